--- a/src/main/kotlin/org/chalkhollow/Main.kt
+++ b/src/main/kotlin/org/chalkhollow/Main.kt
@@ -1,8 +1,8 @@
 package org.chalkhollow
 
-import com.github.ajalt.clikt.core.CoreCliktCommand
 import com.github.ajalt.clikt.core.CliktError
 import com.github.ajalt.clikt.core.Context
+import com.github.ajalt.clikt.core.CoreCliktCommand
 import com.github.ajalt.clikt.core.parse
 import com.github.ajalt.clikt.core.subcommands
 import com.github.ajalt.clikt.parameters.options.flag
@@ -25,9 +25,17 @@
 /** The command line of a process that began at [begunAt], by the steady clock in nanoseconds. */
 class Chalkhollow(private val begunAt: Long = System.nanoTime()) : CoreCliktCommand(name = "chalkhollow") {
     private val config by option("--config", metavar = "FILE", help = "the platform's settings, JSON")
-    private val operator by option("--operator-settings", metavar = "FILE", help = "operators' own settings, protobuf text format")
+    private val operator by option(
+        "--operator-settings",
+        metavar = "FILE",
+        help = "operators' own settings, protobuf text format",
+    )
     private val check by option("--check", help = "check the settings and exit").flag()
-    private val warmUp by option("--warm-up", help = "load what a start needs and exit; used by the build", hidden = true).flag()
+    private val warmUp by option(
+        "--warm-up",
+        help = "load what a start needs and exit; used by the build",
+        hidden = true,
+    ).flag()
 
     init {
         subcommands(StatusCommand())
@@ -42,11 +50,13 @@
         if (currentContext.invokedSubcommand != null) return
         if (warmUp) return WarmUp.run()
         val path = config ?: throw CliktError("missing option --config", statusCode = BAD_SETTINGS)
-        val (platform, own) = try {
-            PlatformSettings.load(Path.of(path)) to (operator?.let { OperatorText.load(Path.of(it)) } ?: OperatorSettings())
-        } catch (e: BadSettings) {
-            throw CliktError(e.message, statusCode = BAD_SETTINGS)
-        }
+        val (platform, own) =
+            try {
+                PlatformSettings.load(Path.of(path)) to
+                    (operator?.let { OperatorText.load(Path.of(it)) } ?: OperatorSettings())
+            } catch (e: BadSettings) {
+                throw CliktError(e.message, statusCode = BAD_SETTINGS)
+            }
         if (check) return echo("$path: good")
         serve(platform, own)
     }
@@ -64,12 +74,19 @@
         loop.run() // this thread is the controller's from here on
     }
 
-    private suspend fun startOrFail(scope: CoroutineScope, loop: EventLoop, platform: PlatformSettings, own: OperatorSettings, life: Long): String? = try {
-        Node(scope, loop, platform, own, life, begunAt).start()
-        null
-    } catch (e: java.io.IOException) {
-        e.message ?: "cannot start"
-    }
+    private suspend fun startOrFail(
+        scope: CoroutineScope,
+        loop: EventLoop,
+        platform: PlatformSettings,
+        own: OperatorSettings,
+        life: Long,
+    ): String? =
+        try {
+            Node(scope, loop, platform, own, life, begunAt).start()
+            null
+        } catch (e: java.io.IOException) {
+            e.message ?: "cannot start"
+        }
 
     private companion object {
         const val BAD_SETTINGS = 2
@@ -78,11 +95,12 @@
 
 /** Sets logging up from `LOG_LEVEL` before the first logger is made. */
 private fun setUpLogging() {
-    val level = when (System.getenv("LOG_LEVEL")?.lowercase()) {
-        "error" -> "error"
-        "debug" -> "debug"
-        else -> "info"
-    }
+    val level =
+        when (System.getenv("LOG_LEVEL")?.lowercase()) {
+            "error" -> "error"
+            "debug" -> "debug"
+            else -> "info"
+        }
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level)
     // Looking for the backend and for the locale's calendar took a third of the processor time of a start.
     System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider")
@@ -94,7 +112,8 @@
 }
 
 fun main(args: Array<String>) {
-    // On a slow machine the virtual machine takes a second to come here, and what an earlier life promised runs out meanwhile.
+    // On a slow machine the virtual machine takes a second to come here, and what an earlier life promised runs out
+    // meanwhile.
     val begunAt = System.nanoTime() - ManagementFactory.getRuntimeMXBean().uptime * 1_000_000
     setUpLogging()
     val command = Chalkhollow(begunAt)
--- a/src/main/kotlin/org/chalkhollow/core/Aims.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Aims.kt
@@ -3,9 +3,10 @@
 import org.chalkhollow.settings.Objective
 
 /**
- * What the settings say of how soon classes of jobs should start and finish. A class may have several aims of a kind, such as
- * most starts within seconds and nearly all within a minute or two: when the first is missed the next still counts. An earlier
- * version kept one of each kind, and took a class that may wait for minutes for one whose users wait for starts.
+ * What the settings say of how soon classes of jobs should start and finish. A class may have several aims of a kind,
+ * such as most starts within seconds and nearly all within a minute or two: when the first is missed the next still
+ * counts. An earlier version kept one of each kind, and took a class that may wait for minutes for one whose users wait
+ * for starts.
  */
 class Aims(objectives: List<Objective>, private val leastBootMs: () -> Long) {
     private val starts = HashMap<String, LongArray>()
@@ -16,22 +17,35 @@
     init {
         for (o in objectives) if (o.kind == "guarantee") guaranteeWithin = ((o.withinS ?: 0.0) * 1000).toLong()
         for ((workload, some) in objectives.filter { it.workload != null }.groupBy { it.workload.orEmpty() }) {
-            fun within(kind: String) = some.filter { it.kind == kind }.mapNotNull { it.withinS }.map { (it * 1000).toLong() }.sorted().toLongArray()
+            fun within(kind: String) =
+                some
+                    .filter { it.kind == kind }
+                    .mapNotNull { it.withinS }
+                    .map { (it * 1000).toLong() }
+                    .sorted()
+                    .toLongArray()
             starts[workload] = within("wait")
             finishes[workload] = within("finished")
-            deadlines[workload] = some.filter { it.kind == "deadline" }.map { it.times }.sorted().toDoubleArray()
+            deadlines[workload] =
+                some
+                    .filter { it.kind == "deadline" }
+                    .map { it.times }
+                    .sorted()
+                    .toDoubleArray()
         }
     }
 
     /**
-     * Whether users of this class wait for its tasks to start, as they do for a service's replicas: sooner than a machine can be had for them, so that room has to
-     * be there already.
+     * Whether users of this class wait for its tasks to start, as they do for a service's replicas: sooner than a
+     * machine can be had for them, so that room has to be there already.
      */
-    fun startsCount(job: OpenJob): Boolean = job.service || (starts[job.spec.workload]?.firstOrNull() ?: return false) < leastBootMs()
+    fun startsCount(job: OpenJob): Boolean =
+        job.service || (starts[job.spec.workload]?.firstOrNull() ?: return false) < leastBootMs()
 
     /**
-     * Whether tasks of such a class, or replicas of a service, that start now are still in time for its last aim on starting. Ending with the first of
-     * them put what had just come before what had waited for seconds, and half a flood of urgent work was late that need not be.
+     * Whether tasks of such a class, or replicas of a service, that start now are still in time for its last aim on
+     * starting. Ending with the first of them put what had just come before what had waited for seconds, and half a
+     * flood of urgent work was late that need not be.
      */
     fun startable(job: OpenJob, wall: Long): Boolean =
         job.service || startsCount(job) && wall < job.acceptedWall + (starts[job.spec.workload]?.last() ?: return false)
@@ -39,19 +53,23 @@
     /** Whether most of the time that the class's tasks may wait for their start is over, and not all of it. */
     fun mustStart(job: OpenJob, wall: Long): Boolean {
         val waited = wall - job.acceptedWall
-        return starts[job.spec.workload]?.any { it >= leastBootMs() && waited < it && waited * WAITED_OF >= it * WAITED } ?: false
+        return starts[job.spec.workload]?.any {
+            it >= leastBootMs() && waited < it && waited * WAITED_OF >= it * WAITED
+        }
+            ?: false
     }
 
     /** Whether tasks within a guarantee that start now are still in time. */
     fun freshGuarantee(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithin
 
     /**
-     * When the job should be over, by its owner's deadline and its class's aims: the first moment that can still be kept when
-     * it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says.
+     * When the job should be over, by its owner's deadline and its class's aims: the first moment that can still be
+     * kept when it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says.
      */
     fun dueWall(job: OpenJob, wall: Long, leastMs: Long): Long {
         var due = Long.MAX_VALUE
         var last = Long.MIN_VALUE
+
         fun consider(at: Long) {
             last = maxOf(last, at)
             if (wall + leastMs <= at) due = minOf(due, at)
--- a/src/main/kotlin/org/chalkhollow/core/BaseFleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/BaseFleet.kt
@@ -6,8 +6,8 @@
 import org.chalkhollow.wire.Row
 
 /**
- * Owns which machines were there before the first leader rented any: they are the operator's own and are kept, with the images
- * they hold, however long they idle. The names are written down once, by the first generation.
+ * Owns which machines were there before the first leader rented any: they are the operator's own and are kept, with the
+ * images they hold, however long they idle. The names are written down once, by the first generation.
  */
 class BaseFleet(private val desk: Desk, private val limits: StateLimits) {
     var names: Set<String> = emptySet()
@@ -37,14 +37,25 @@
         recorded = true
         val sorted = found.sorted()
         var size = Sizes.of(KEY)
-        val kept = sorted.takeWhile { name -> Sizes.of(name).let { size += it + 1; size < limits.valueBytes - 64 } }
+        val kept =
+            sorted.takeWhile { name ->
+                Sizes.of(name).let {
+                    size += it + 1
+                    size < limits.valueBytes - 64
+                }
+            }
         names = HashSet(kept)
         due = write(kept)
         desk.info("${kept.size} machines were here before us")
     }
 
     private fun write(kept: List<String>): Write =
-        Write(listOf(Change(KEY, mapOf("names" to kept))), onRefused = { if (kept.isNotEmpty()) due = write(kept.take(kept.size / 2)) }) {}
+        Write(listOf(Change(KEY, mapOf("names" to kept))), onRefused = {
+            if (kept.isNotEmpty()) {
+                due =
+                    write(kept.take(kept.size / 2))
+            }
+        }) {}
 
     /** Whether renting may begin: what is listed later might be ours. */
     val known: Boolean get() = recorded || !first
--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -125,9 +125,9 @@
     private var ledAtStep = false
 
     /**
-     * What is still to be done of [effect], which the last step decided, when it comes only now: what only an entitled leader
-     * may say is said no more when this is none by now, refusals included: the job may have been accepted since. Writes need no
-     * such check, their conditions hold or do not.
+     * What is still to be done of [effect], which the last step decided, when it comes only now: what only an entitled
+     * leader may say is said no more when this is none by now, refusals included: the job may have been accepted since.
+     * Writes need no such check, their conditions hold or do not.
      */
     fun whenLate(now: Now, effect: Effect): Effect? {
         desk.now = now
@@ -161,8 +161,8 @@
     }
 
     /**
-     * A new leader hears from the machines before it rents more. The first of all has nobody's rentals to wait for: once those
-     * that were there before have reported, or when there are none, what is missing is asked for at once.
+     * A new leader hears from the machines before it rents more. The first of all has nobody's rentals to wait for:
+     * once those that were there before have reported, or when there are none, what is missing is asked for at once.
      */
     private fun mayRent(): Boolean =
         base.known && (desk.steady - leadAt > settings.reportS * 2000 || base.first && fleet.heardFromListed())
@@ -263,9 +263,10 @@
             return
         }
         if (report.seq > m.beatSeq) {
-            // The worker's lease runs from when it sent this report, which is not after now. One that is no newer than another
-            // that we answered was sent before it and renews nothing: late copies must not keep a dead machine alive. The
-            // reply to a direct command does not count here, since a report sent after it may come before it.
+            // The worker's lease runs from when it sent this report, which is not after now. One that is no newer than
+            // another that we answered was sent before it and renews nothing: late copies must not keep a dead machine
+            // alive. The reply to a direct command does not count here, since a report sent after it may come before
+            // it.
             m.beatSeq = report.seq
             m.answeredAt = desk.steady
         }
@@ -278,7 +279,10 @@
         desk.answer(call, 200, WorkerCodec.commands(leadership.generation, settlement.commands(m, startsAllowed = newer)))
     }
 
-    /** Stops, and starts whose marker has just become durable go straight to the worker; the next report's answer repeats them. */
+    /**
+     * Stops, and starts whose marker has just become durable go straight to the worker; the next report's answer
+     * repeats them.
+     */
     private fun sendDirectly(m: Machine) {
         if (!leadership.entitled() || m.directBusy || m.address.isEmpty() || m.session == 0L) return
         if (!m.hears || desk.steady - m.reportedAt > settings.reportS * 2000) return
@@ -338,8 +342,8 @@
     }
 
     /**
-     * A direct start without an answer may be executed as long as our token holds. When something waits for its fate, the
-     * generation is raised: no worker that has seen the new token obeys the old one.
+     * A direct start without an answer may be executed as long as our token holds. When something waits for its fate,
+     * the generation is raised: no worker that has seen the new token obeys the old one.
      */
     private fun raiseGenerationIfNeeded() {
         val t = desk.steady
@@ -359,9 +363,9 @@
     }
 
     /**
-     * No generation can be raised while nothing can be written, and giving up the lead then would cost every machine its lease;
-     * an earlier version did. Nor is one raised again and again. A cancelled task's start that may still be carried out ends with the session of its machine
-     * alone, so that one is answered no more.
+     * No generation can be raised while nothing can be written, and giving up the lead then would cost every machine
+     * its lease; an earlier version did. Nor is one raised again and again. A cancelled task's start that may still be
+     * carried out ends with the session of its machine alone, so that one is answered no more.
      */
     private fun shunStuck(t: Long) {
         for (m in fleet.machines) {
--- a/src/main/kotlin/org/chalkhollow/core/Desk.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Desk.kt
@@ -4,7 +4,9 @@
 import org.chalkhollow.wire.Pack
 import java.util.SplittableRandom
 
-/** What the owners within a controller share: the moment, the effects so far, tickets for replies, and a seeded random. */
+/**
+ * What the owners within a controller share: the moment, the effects so far, tickets for replies, and a seeded random.
+ */
 class Desk(seed: Long) {
     var now = Now(0, 0)
     val random = SplittableRandom(seed)
--- a/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
@@ -10,8 +10,8 @@
 class Allocation(val job: OpenJob, val machine: Machine, val tasks: IntArray, val owed: Boolean)
 
 /**
- * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value, before any
- * of them is started; a marker is removed once all of its attempts are settled.
+ * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value, before
+ * any of them is started; a marker is removed once all of its attempts are settled.
  */
 class DispatchLog(
     private val desk: Desk,
@@ -45,6 +45,7 @@
         var size = BASE_BYTES
         var total = 0
         var marker: Marker? = null
+
         fun seal() {
             val m = marker ?: return
             changes.add(Change(m.key, mapOf("n" to m.number, "a" to rows)))
@@ -53,16 +54,24 @@
             marker = null
         }
         // A gang whose rows do not all fit waits for a round of its own: it is marked whole or not at all.
-        val tooLarge = allocations.filter { it.job.gang }.groupBy { it.job }.filterValues { rows ->
-            rows.sumOf { rowBytes(it) } + BASE_BYTES > minOf(mostBytes, room.bytes / 2)
-        }.keys
+        val tooLarge =
+            allocations
+                .filter { it.job.gang }
+                .groupBy { it.job }
+                .filterValues { rows ->
+                    rows.sumOf { rowBytes(it) } + BASE_BYTES > minOf(mostBytes, room.bytes / 2)
+                }.keys
         var gangs: OpenJob? = null
         for (allocation in allocations) {
             if (allocation.job in tooLarge) continue
             if (allocation.job.gang && gangs !== allocation.job) {
                 gangs = allocation.job
                 seal() // a gang starts a value of its own, so that it cannot be cut by a full one
-                if (changes.size >= room.ops || total + allocations.filter { it.job === gangs }.sumOf { rowBytes(it) } + BASE_BYTES > room.bytes) break
+                if (changes.size >= room.ops ||
+                    total + allocations.filter { it.job === gangs }.sumOf { rowBytes(it) } + BASE_BYTES > room.bytes
+                ) {
+                    break
+                }
             }
             val row = listOf(allocation.job.spec.id, allocation.machine.name, ranges(allocation.tasks))
             val rowSize = rowBytes(allocation)
@@ -70,12 +79,18 @@
             if (marker != null && size + rowSize > mostBytes) seal()
             if (total + rowSize + BASE_BYTES > room.bytes) break
             if (marker == null && (changes.size >= room.ops || exhausted)) break
-            val m = marker ?: nextMarker().also { marker = it; markers.add(it) }
+            val m =
+                marker ?: nextMarker().also {
+                    marker = it
+                    markers.add(it)
+                }
             rows.add(row)
             size += rowSize
             total += rowSize
             for (index in allocation.tasks) {
-                attempts.add(settlement.reserve(allocation.job, index, m.number, allocation.machine, m, allocation.owed))
+                attempts.add(
+                    settlement.reserve(allocation.job, index, m.number, allocation.machine, m, allocation.owed),
+                )
             }
         }
         seal()
@@ -149,9 +164,16 @@
             return text.toString()
         }
 
-        fun indices(ranges: String): List<Int> = ranges.split(',').flatMap { part ->
-            val dash = part.indexOf('-')
-            if (dash < 0) listOf(part.toInt()) else (part.substring(0, dash).toInt()..part.substring(dash + 1).toInt()).toList()
-        }
+        fun indices(ranges: String): List<Int> =
+            ranges.split(',').flatMap { part ->
+                val dash = part.indexOf('-')
+                if (dash <
+                    0
+                ) {
+                    listOf(part.toInt())
+                } else {
+                    (part.substring(0, dash).toInt()..part.substring(dash + 1).toInt()).toList()
+                }
+            }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/Door.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Door.kt
@@ -10,8 +10,8 @@
 import org.chalkhollow.wire.UserCodec
 
 /**
- * Users' requests: answered from durable knowledge by the leader, passed on to it by everyone else. A request that cannot be
- * taken now is answered at once with 503 and when to come back.
+ * Users' requests: answered from durable knowledge by the leader, passed on to it by everyone else. A request that
+ * cannot be taken now is answered at once with 503 and when to come back.
  */
 class Door(
     private val desk: Desk,
@@ -23,7 +23,9 @@
     private val names: Names,
 ) {
     private class Passed(val call: Int, val deadline: Long)
+
     private class Origin(val peer: Int, val seq: Long)
+
     private class Waiting(val calls: ArrayList<Int>, var since: Long)
 
     private val passed = Long2ObjectLinkedOpenHashMap<Passed>()
@@ -50,12 +52,13 @@
         if (leader < 0 || !leadership.leaderIsReady() || passed.size >= MOST_PASSED) return later(call)
         val seq = nextSeq++
         passed.put(seq, Passed(call, desk.steady + PASS_MS))
-        val message = when (ask) {
-            is UserAsk.Submit -> PeerMessage.Forward(seq, SUBMIT, ask.jobId, ask.raw)
-            is UserAsk.Unreadable -> PeerMessage.Forward(seq, SUBMIT, ask.jobId, ask.raw)
-            is UserAsk.Poll -> PeerMessage.Forward(seq, POLL, ask.jobId, NOTHING)
-            is UserAsk.Withdraw -> PeerMessage.Forward(seq, WITHDRAW, ask.jobId, NOTHING)
-        }
+        val message =
+            when (ask) {
+                is UserAsk.Submit -> PeerMessage.Forward(seq, SUBMIT, ask.jobId, ask.raw)
+                is UserAsk.Unreadable -> PeerMessage.Forward(seq, SUBMIT, ask.jobId, ask.raw)
+                is UserAsk.Poll -> PeerMessage.Forward(seq, POLL, ask.jobId, NOTHING)
+                is UserAsk.Withdraw -> PeerMessage.Forward(seq, WITHDRAW, ask.jobId, NOTHING)
+            }
         desk.emit(Effect.Send(leader, message))
     }
 
@@ -63,12 +66,13 @@
         val call = nextRemoteCall--
         if (nextRemoteCall < -1_000_000_000) nextRemoteCall = -1
         origins.put(call, Origin(from, m.seq))
-        val ask = when (m.kind) {
-            SUBMIT -> UserAsk.ofSubmission(m.body) ?: return reply(call, 400)
-            POLL -> UserAsk.Poll(m.jobId)
-            WITHDRAW -> UserAsk.Withdraw(m.jobId)
-            else -> return later(call) // from a newer version: it must not be taken for anything else
-        }
+        val ask =
+            when (m.kind) {
+                SUBMIT -> UserAsk.ofSubmission(m.body) ?: return reply(call, 400)
+                POLL -> UserAsk.Poll(m.jobId)
+                WITHDRAW -> UserAsk.Withdraw(m.jobId)
+                else -> return later(call) // from a newer version: it must not be taken for anything else
+            }
         if (leadership.entitled() && open) serve(call, ask) else later(call)
     }
 
@@ -77,12 +81,13 @@
         desk.emit(Effect.Answer(p.call, m.status, m.body.takeIf { it.isNotEmpty() }, m.retryAfterS))
     }
 
-    private fun serve(call: Int, ask: UserAsk) = when (ask) {
-        is UserAsk.Submit -> submit(call, ask.spec)
-        is UserAsk.Unreadable -> unreadable(call, ask.jobId)
-        is UserAsk.Poll -> poll(call, ask.jobId)
-        is UserAsk.Withdraw -> withdraw(call, ask.jobId)
-    }
+    private fun serve(call: Int, ask: UserAsk) =
+        when (ask) {
+            is UserAsk.Submit -> submit(call, ask.spec)
+            is UserAsk.Unreadable -> unreadable(call, ask.jobId)
+            is UserAsk.Poll -> poll(call, ask.jobId)
+            is UserAsk.Withdraw -> withdraw(call, ask.jobId)
+        }
 
     private fun submit(call: Int, spec: JobSpec) {
         val known = jobs.find(spec.id)
@@ -104,7 +109,10 @@
         }
     }
 
-    /** A user hears 400 only for a job that was not accepted: a repetition is answered with the job's state, however it reads. */
+    /**
+     * A user hears 400 only for a job that was not accepted: a repetition is answered with the job's state, however it
+     * reads.
+     */
     private fun unreadable(call: Int, id: String) {
         val known = jobs.find(id)
         when {
@@ -121,7 +129,8 @@
         val atOnce = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
         if (!quotas.possible(team, Resources(spec.each.cpus * atOnce, spec.each.cards * atOnce, 0.0))) return false
         return fleet.types.filterNotNull().any { type ->
-            (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones) && spec.each.fitsIn(type.room)
+            (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones) &&
+                spec.each.fitsIn(type.room)
         }
     }
 
@@ -136,11 +145,12 @@
         reply(call, 200, UserCodec.progress(id, status(entry), minOf(done, entry.tasks), job?.running ?: 0))
     }
 
-    private fun status(entry: JobEntry): String = when (entry.state) {
-        JobState.DONE -> "done"
-        JobState.CANCELLED -> "aborted"
-        else -> if ((entry.open?.running ?: 0) > 0) "running" else "queued"
-    }
+    private fun status(entry: JobEntry): String =
+        when (entry.state) {
+            JobState.DONE -> "done"
+            JobState.CANCELLED -> "aborted"
+            else -> if ((entry.open?.running ?: 0) > 0) "running" else "queued"
+        }
 
     private fun withdraw(call: Int, id: String) {
         val entry = jobs.find(id)
@@ -177,11 +187,23 @@
             later(p.call)
         }
         for (map in listOf(accepting, cancelling, finishing)) {
-            if (log.stalled()) turnAway(map) else if (map.isNotEmpty()) turnAway(map.filterValues { t - it.since > WAIT_MS })
+            if (log.stalled()) {
+                turnAway(map)
+            } else if (map.isNotEmpty()) {
+                turnAway(
+                    map.filterValues {
+                        t - it.since >
+                            WAIT_MS
+                    },
+                )
+            }
         }
     }
 
-    /** The state service does not answer, or refuses the write: callers hear so now; what is under way may still come to be. */
+    /**
+     * The state service does not answer, or refuses the write: callers hear so now; what is under way may still come to
+     * be.
+     */
     private fun turnAway(map: Map<String, Waiting>) {
         for (waiting in map.values) {
             waiting.calls.forEach(::later)
--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -36,7 +36,10 @@
     /** A machine that reports but hears nothing for this long is returned: it can run nothing, and costs. */
     private val deafMs = maxOf(leaseMs * 3, 30_000L)
 
-    /** All teams together may use this much, and half again for the room that tasks leave over; what is beyond it would idle. */
+    /**
+     * All teams together may use this much, and half again for the room that tasks leave over; what is beyond it would
+     * idle.
+     */
     private val mostCpus = settings.teams.sumOf { it.cpusMax } * 1.5
     private val mostMachines = if (options.maxMachines == 0) Int.MAX_VALUE else options.maxMachines
     private val hearing = Hearing(desk, settings.reportS, settings.leaseS)
@@ -54,7 +57,10 @@
     private var pendingRent: CloudOp.Rent? = null
     private var retryRentAt = 0L
 
-    /** A rental was answered, and there may be more to rent: much is asked for at once at a start and after mass failures. */
+    /**
+     * A rental was answered, and there may be more to rent: much is asked for at once at a start and after mass
+     * failures.
+     */
     var moreNow = false
         private set
     private val refusedUntil = HashMap<Offer, Long>()
@@ -77,36 +83,63 @@
         backoff.clear()
     }
 
-    fun known(name: String): Machine = byName.getOrPut(name) {
-        Machine(names.machines.intern(name), name).also {
-            it.bornAt = desk.steady
-            it.answeredAt = takenOverAt // an earlier leader may have answered it until we took over
+    fun known(name: String): Machine =
+        byName.getOrPut(name) {
+            Machine(names.machines.intern(name), name).also {
+                it.bornAt = desk.steady
+                it.answeredAt = takenOverAt // an earlier leader may have answered it until we took over
+            }
         }
-    }
 
     fun find(name: String): Machine? = byName[name]
 
     /** CPUs of the machines that are up or on their way. */
-    fun cpus(): Double = byName.values.sumOf { if (it.state == Machine.State.UP || it.state == Machine.State.BOOTING) size(it) else 0.0 }
+    fun cpus(): Double =
+        byName.values.sumOf {
+            if (it.state == Machine.State.UP ||
+                it.state == Machine.State.BOOTING
+            ) {
+                size(it)
+            } else {
+                0.0
+            }
+        }
 
     /** CPUs of those of one type; all if [type] is negative. */
-    fun cpus(type: Int): Double = if (type < 0) cpus() else
-        byName.values.sumOf { if (it.type == type && (it.state == Machine.State.UP || it.state == Machine.State.BOOTING)) size(it) else 0.0 }
+    fun cpus(type: Int): Double =
+        if (type < 0) {
+            cpus()
+        } else {
+            byName.values.sumOf {
+                if (it.type == type &&
+                    (it.state == Machine.State.UP || it.state == Machine.State.BOOTING)
+                ) {
+                    size(it)
+                } else {
+                    0.0
+                }
+            }
+        }
 
     /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
     fun leastBootMs(): Long = leastBootMs
+
     private var leastBootMs = 30_000L
 
     fun size(m: Machine): Double = types.getOrNull(m.type)?.room?.cpus ?: 0.0
 
     /**
-     * Takes in who reports; null for a machine that is gone or a session that is over. A report that is not newer than what is
-     * known, such as a copy that was held up on its way, changes nothing.
+     * Takes in who reports; null for a machine that is gone or a session that is over. A report that is not newer than
+     * what is known, such as a copy that was held up on its way, changes nothing.
      */
     fun observe(report: WorkerReport): Machine? {
         if (report.machine in gone) return null
         val m = known(report.machine)
-        if (report.session <= m.lapsedSession || report.session < m.session || m.state == Machine.State.DELETING) return null
+        if (report.session <= m.lapsedSession || report.session < m.session ||
+            m.state == Machine.State.DELETING
+        ) {
+            return null
+        }
         if (report.session == m.session && report.seq <= m.beatSeq) return m
         m.type = names.types.intern(report.type)
         m.zone = names.zones.intern(report.zone)
@@ -123,7 +156,13 @@
             m.images.clear()
             m.held.clear()
         }
-        hearing.reported(m, freshSession, tellsToken = m.token < generation && report.token >= generation, atToken = report.token >= generation)
+        hearing.reported(
+            m,
+            freshSession,
+            tellsToken = m.token < generation && report.token >= generation,
+            atToken =
+                report.token >= generation,
+        )
         if (m.state != Machine.State.UP || m.token < generation && report.token >= generation) desk.changed()
         m.state = Machine.State.UP
         m.reportedAt = desk.steady
@@ -142,8 +181,8 @@
         m.state == Machine.State.UP && m.token >= generation && desk.steady - m.reportedAt < leaseMs && hearing.ask(m)
 
     /**
-     * The cloud will take the machine: what can save its progress does so now, and what will certainly not be over by then begins
-     * elsewhere at once, since it would be lost here and known to be lost only when the lease has lapsed.
+     * The cloud will take the machine: what can save its progress does so now, and what will certainly not be over by
+     * then begins elsewhere at once, since it would be lost here and known to be lost only when the lease has lapsed.
      */
     private fun windDown(m: Machine) {
         val leftS = (m.noticeAt - desk.steady) / 1000.0
@@ -155,13 +194,16 @@
     }
 
     /** Machines that take new tasks: up, heard from at our token, neither draining nor about to be taken. */
-    fun placeable(): List<Machine> = byName.values.filter { m ->
-        m.state == Machine.State.UP && m.hears && !m.draining && !m.shunned && m.noticeAt == Machine.NEVER &&
-            !m.retiring && desk.steady >= m.fullUntil && desk.steady - m.reportedAt < leaseMs / 2 && types.getOrNull(m.type) != null
-    }
+    fun placeable(): List<Machine> =
+        byName.values.filter { m ->
+            m.state == Machine.State.UP && m.hears && !m.draining && !m.shunned && m.noticeAt == Machine.NEVER &&
+                !m.retiring && desk.steady >= m.fullUntil && desk.steady - m.reportedAt < leaseMs / 2 &&
+                types.getOrNull(m.type) != null
+        }
 
     fun allows(job: OpenJob, type: Int, zone: Int, spot: Boolean): Boolean =
-        (job.types == null || type in job.types) && (job.zone < 0 || job.zone == zone) && (!spot || job.spec.spotAllowed)
+        (job.types == null || type in job.types) && (job.zone < 0 || job.zone == zone) &&
+            (!spot || job.spec.spotAllowed)
 
     /** Ends leases that have certainly lapsed. */
     fun lapse() {
@@ -185,7 +227,11 @@
         refill()
         moreNow = false
         val t = desk.steady
-        if (!catalogBusy && (catalogAt == Machine.NEVER || leading && t - catalogAt > CATALOG_MS) && spend()) readCatalog()
+        if (!catalogBusy && (catalogAt == Machine.NEVER || leading && t - catalogAt > CATALOG_MS) &&
+            spend()
+        ) {
+            readCatalog()
+        }
         if (!leading || !catalogKnown) return
         if (!listBusy && t - listAt > LIST_MS && spend()) readList(null, HashSet())
         retire(unplaced.isNotEmpty())
@@ -230,9 +276,13 @@
                 found.add(m.name)
                 onListed(m)
             }
-            val last = reply.page.machines.lastOrNull()?.name
-            if (reply.page.more && last != null) readList(last, found)
-            else {
+            val last =
+                reply.page.machines
+                    .lastOrNull()
+                    ?.name
+            if (reply.page.more && last != null) {
+                readList(last, found)
+            } else {
                 listAt = desk.steady
                 base.onList(found)
                 dropUnlisted(found)
@@ -280,26 +330,34 @@
         val out = silent(t)
         for (m in byName.values) {
             if (m.state == Machine.State.DELETING || m in out) continue
-            if (!m.vacant || m.state != Machine.State.UP) m.idleSince = Machine.NEVER
-            else if (m.idleSince == Machine.NEVER) m.idleSince = t
+            if (!m.vacant || m.state != Machine.State.UP) {
+                m.idleSince = Machine.NEVER
+            } else if (m.idleSince == Machine.NEVER) {
+                m.idleSince = t
+            }
             if (m.failedJobs.size >= SICK_JOBS && !m.draining) {
                 m.draining = true
                 desk.info("${m.name} fails every task and is set aside")
             }
             if (useless(m, t)) out.add(m)
         }
-        // Work that no machine can take waits for ever if idle machines of other kinds fill the room that the cloud gives.
+        // Work that no machine can take waits for ever if idle machines of other kinds fill the room that the cloud
+        // gives.
         val stuck = unplaced.any { u -> byName.values.none { couldTake(it, u.job) } }
-        if (unplaced.isEmpty() || stuck) out.addAll(idle(t, stuck).filter { m -> unplaced.none { couldTake(m, it.job) } })
+        if (unplaced.isEmpty() ||
+            stuck
+        ) {
+            out.addAll(idle(t, stuck).filter { m -> unplaced.none { couldTake(m, it.job) } })
+        }
         if (out.isEmpty() || !spend()) return false
         delete(out.take(MOST_DELETED))
         return true
     }
 
     /**
-     * Machines that the cloud has taken, or that say nothing and do not answer: a deletion that the cloud confirms proves what
-     * was on them gone, long before their leases lapse. Where much of a zone is silent it is the network or ourselves, and
-     * everything there may be well; those are left to their leases.
+     * Machines that the cloud has taken, or that say nothing and do not answer: a deletion that the cloud confirms
+     * proves what was on them gone, long before their leases lapse. Where much of a zone is silent it is the network or
+     * ourselves, and everything there may be well; those are left to their leases.
      */
     private fun silent(t: Long): ArrayList<Machine> {
         val out = ArrayList<Machine>()
@@ -310,8 +368,11 @@
             if (m.state != Machine.State.UP) continue
             up.merge(m.zone, 1, Int::plus)
             if (hearing.overdue(m)) overdue.merge(m.zone, 1, Int::plus)
-            if (m.noticeAt != Machine.NEVER && t > m.noticeAt + TAKEN_MS) out.add(m)
-            else if (m.busy && hearing.silent(m)) silent.add(m)
+            if (m.noticeAt != Machine.NEVER && t > m.noticeAt + TAKEN_MS) {
+                out.add(m)
+            } else if (m.busy && hearing.silent(m)) {
+                silent.add(m)
+            }
         }
         if (t - takenOverAt < leaseMs) return out
         silent.filterTo(out) { (overdue[it.zone] ?: 0) * SILENT_OF < up.getValue(it.zone) }
@@ -325,8 +386,8 @@
     var reserve: () -> Double = { 0.0 }
 
     /**
-     * When little is asked for, tasks spread thinly over machines that cost more than their like can be had for. A few at a time
-     * those stop taking tasks, run dry and go; as soon as anything waits they are back in use.
+     * When little is asked for, tasks spread thinly over machines that cost more than their like can be had for. A few
+     * at a time those stop taking tasks, run dry and go; as soon as anything waits they are back in use.
      */
     private fun retire(waits: Boolean) {
         val t = desk.steady
@@ -336,11 +397,15 @@
             return
         }
         if (t - waitedAt < CALM_MS || t - retiredAt < RETIRE_EVERY_MS) return
-        val dear = placeable().filter { m ->
-            val type = types.getOrNull(m.type) ?: return@filter false
-            // A replica never ends, so a machine that has one would never run dry.
-            m.name !in base.names && m.attempts.none { it.job.service } && priceOf(m.type, m.spot) > minOf(type.price, type.spotPrice)
-        }.map { it to it.room(types).cpus }.sortedByDescending { it.second }
+        val dear =
+            placeable()
+                .filter { m ->
+                    val type = types.getOrNull(m.type) ?: return@filter false
+                    // A replica never ends, so a machine that has one would never run dry.
+                    m.name !in base.names && m.attempts.none { it.job.service } &&
+                        priceOf(m.type, m.spot) > minOf(type.price, type.spotPrice)
+                }.map { it to it.room(types).cpus }
+                .sortedByDescending { it.second }
         var free = placeable().sumOf { it.room(types).cpus }
         for ((m, room) in dear.take(maxOf(1, dear.size / RETIRED_OF))) {
             free -= room
@@ -355,11 +420,13 @@
         return when {
             m.failed && m.state != Machine.State.UP -> true
             m.state == Machine.State.LOST -> t - m.lostAt > LOST_MS
-            // A new leader has not heard from machines that have long been up: they are given time to find it. An earlier
-            // version returned those that a list named before their first report came in.
-            m.state == Machine.State.BOOTING -> m.attempts.isEmpty() && t - m.bornAt > bootMs * 4 + BOOT_SLACK_MS &&
-                t - takenOverAt > leaseMs * 2
-            m.state == Machine.State.UP && m.deafSince != Machine.NEVER && t - m.deafSince > deafMs && t - takenOverAt > deafMs -> true
+            // A new leader has not heard from machines that have long been up: they are given time to find it. An
+            // earlier version returned those that a list named before their first report came in.
+            m.state == Machine.State.BOOTING ->
+                m.attempts.isEmpty() && t - m.bornAt > bootMs * 4 + BOOT_SLACK_MS &&
+                    t - takenOverAt > leaseMs * 2
+            m.state == Machine.State.UP && m.deafSince != Machine.NEVER && t - m.deafSince > deafMs &&
+                t - takenOverAt > deafMs -> true
             m.draining -> !m.busy
             m.retiring && m.state == Machine.State.UP -> m.vacant
             m.noticeAt != Machine.NEVER -> m.vacant
@@ -368,15 +435,22 @@
     }
 
     /**
-     * Machines that have idled for too long, the dearest first. The operator's own machines stay, and rented ones may idle
-     * beside them while they cost less than [OperatorSettings.standbyShare] of what those do.
+     * Machines that have idled for too long, the dearest first. The operator's own machines stay, and rented ones may
+     * idle beside them while they cost less than [OperatorSettings.standbyShare] of what those do.
      */
     private fun idle(t: Long, stuck: Boolean): List<Machine> {
-        val idle = byName.values.filter {
-            it.state == Machine.State.UP && it.idleSince != Machine.NEVER && !it.draining && it.name !in base.names
-        }
+        val idle =
+            byName.values.filter {
+                it.state == Machine.State.UP && it.idleSince != Machine.NEVER && !it.draining && it.name !in base.names
+            }
         val long = idle.filter { t - it.idleSince > idleAllowedMs(it) }.sortedByDescending { priceOf(it.type, it.spot) }
-        var standby = if (stuck) 0.0 else options.standbyShare * byName.values.filter { it.name in base.names }.sumOf { priceOf(it.type, it.spot) }
+        var standby =
+            if (stuck) {
+                0.0
+            } else {
+                options.standbyShare *
+                    byName.values.filter { it.name in base.names }.sumOf { priceOf(it.type, it.spot) }
+            }
         val out = ArrayList<Machine>()
         for (m in long.reversed()) {
             standby -= priceOf(m.type, m.spot)
@@ -387,7 +461,8 @@
 
     private fun couldTake(m: Machine, job: OpenJob): Boolean {
         val type = types.getOrNull(m.type) ?: return false
-        return allows(job, m.type, m.zone, m.spot) && Placement.fitsType(job, m.type, type) && !job.avoids(m.id, desk.steady)
+        return allows(job, m.type, m.zone, m.spot) && Placement.fitsType(job, m.type, type) &&
+            !job.avoids(m.id, desk.steady)
     }
 
     /** The dearer a machine is, compared with the cheapest way to have its like, the sooner it goes. */
@@ -406,9 +481,12 @@
         desk.cloud(CloudOp.Delete(list.map { it.name })) { reply ->
             if (inGeneration != generation) return@cloud
             changeBusy = false
-            if (reply is CloudReply.Deleted) list.forEach(::remove)
+            if (reply is CloudReply.Deleted) {
+                list.forEach(::remove)
+                return@cloud
+            }
             // Without a 200 they may or may not be gone: they stay out of use and are asked for again.
-            else for (m in list) {
+            for (m in list) {
                 m.state = Machine.State.LOST
                 m.lapsedSession = maxOf(m.session, m.lapsedSession)
                 m.lostAt = desk.steady - LOST_MS
@@ -419,13 +497,21 @@
     private fun priceOf(type: Int, spot: Boolean): Double =
         types.getOrNull(type)?.let { if (spot) it.spotPrice else it.price } ?: 0.0
 
-    /** Rents for the most urgent class of tasks that neither the machines that are up nor those booting have room for. */
+    /**
+     * Rents for the most urgent class of tasks that neither the machines that are up nor those booting have room for.
+     */
     private fun rentFor(unplaced: List<Placement.Unplaced>) {
         if (unplaced.isEmpty()) return
         val t = desk.steady
-        val coming = byName.values.filter { it.state == Machine.State.BOOTING && it.type >= 0 && !it.failed && !overdue(it, t) }
-        val rooms = coming.map { Virtual(it.type, it.zone, it.spot, types.getOrNull(it.type)?.room ?: Machine.NOTHING) }
-            .toMutableList()
+        val coming =
+            byName.values.filter {
+                it.state == Machine.State.BOOTING && it.type >= 0 && !it.failed &&
+                    !overdue(it, t)
+            }
+        val rooms =
+            coming
+                .map { Virtual(it.type, it.zone, it.spot, types.getOrNull(it.type)?.room ?: Machine.NOTHING) }
+                .toMutableList()
         val wanted = LinkedHashMap<Offer, Int>()
         val inZone = HashMap<Int, Int>()
         for (m in byName.values) inZone.merge(m.zone, 1, Int::plus)
@@ -451,7 +537,14 @@
         requests++
         // The generation is in the name, and the label for good measure: no request name comes twice.
         val name = "$label-$generation-$requests"
-        val rent = CloudOp.Rent(name, names.types.name(offer.type), names.zones.name(offer.zone), offer.spot, minOf(count, MOST_RENTED))
+        val rent =
+            CloudOp.Rent(
+                name,
+                names.types.name(offer.type),
+                names.zones.name(offer.zone),
+                offer.spot,
+                minOf(count, MOST_RENTED),
+            )
         pendingRent = rent
         send(rent)
     }
@@ -459,7 +552,16 @@
     private class Virtual(val type: Int, val zone: Int, val spot: Boolean, var room: Resources) {
         fun take(job: OpenJob, most: Int): Int {
             val n = minOf(most, job.each.countIn(room))
-            if (n > 0) room = Resources(room.cpus - n * job.each.cpus, room.cards - n * job.each.cards, room.memoryGb - n * job.each.memoryGb)
+            if (n >
+                0
+            ) {
+                room =
+                    Resources(
+                        room.cpus - n * job.each.cpus,
+                        room.cards - n * job.each.cards,
+                        room.memoryGb - n * job.each.memoryGb,
+                    )
+            }
             return n
         }
     }
@@ -550,7 +652,9 @@
     }
 
     private fun rented(rent: CloudOp.Rent, offer: Offer, list: List<String>) {
-        desk.info("rented ${list.size} of ${rent.count} ${rent.type} in ${rent.zone}${if (rent.spot) " (spot)" else ""}")
+        desk.info(
+            "rented ${list.size} of ${rent.count} ${rent.type} in ${rent.zone}${if (rent.spot) " (spot)" else ""}",
+        )
         for (name in list) {
             if (name in gone) continue
             val m = known(name)
@@ -571,9 +675,11 @@
     }
 
     /** Whether every machine that the cloud lists as up has reported; never before a list was read. */
-    fun heardFromListed(): Boolean = listAt != Machine.NEVER && byName.values.none { m ->
-        m.listedAt != Machine.NEVER && !m.listedStarting && !m.failed && m.state == Machine.State.BOOTING
-    }
+    fun heardFromListed(): Boolean =
+        listAt != Machine.NEVER &&
+            byName.values.none { m ->
+                m.listedAt != Machine.NEVER && !m.listedStarting && !m.failed && m.state == Machine.State.BOOTING
+            }
 
     private fun refill() {
         val most = settings.cloudRps
--- a/src/main/kotlin/org/chalkhollow/core/Hearing.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Hearing.kt
@@ -1,12 +1,13 @@
 package org.chalkhollow.core
 
 /**
- * Owns whether machines hear us. Reports alone do not tell, since a cut can stop one direction only; a machine that reports
- * and hears nothing looks alive, and what it is given waits for ever. Proofs are: its first report at our token, a start of
- * ours that shows up, a direct command that it answers, and a next report that comes sooner than one can that follows a
- * report without an answer. Where reports are rare, that last one is not to be had from each, so a machine is doubted only
- * when proofs fail to come for several reports, then asked directly, and given no more work when that brings no proof either.
- * Only placement and the return of machines rest on this, no proof about attempts does.
+ * Owns whether machines hear us. Reports alone do not tell, since a cut can stop one direction only; a machine that
+ * reports and hears nothing looks alive, and what it is given waits for ever. Proofs are: its first report at our
+ * token, a start of ours that shows up, a direct command that it answers, and a next report that comes sooner than one
+ * can that follows a report without an answer. Where reports are rare, that last one is not to be had from each, so a
+ * machine is doubted only when proofs fail to come for several reports, then asked directly, and given no more work
+ * when that brings no proof either. Only placement and the return of machines rest on this, no proof about attempts
+ * does.
  */
 class Hearing(private val desk: Desk, reportS: Double, leaseS: Double) {
     private val doubtMs = maxOf(UNANSWERED_GAP_MS, (reportS * 3000).toLong())
@@ -37,7 +38,14 @@
         val hears = atToken && desk.steady - m.provedAt < doubtMs + ASK_MS
         if (hears != m.hears) desk.changed()
         m.hears = hears
-        m.deafSince = if (hears) Machine.NEVER else if (m.deafSince == Machine.NEVER) desk.steady else m.deafSince
+        m.deafSince =
+            if (hears) {
+                Machine.NEVER
+            } else if (m.deafSince == Machine.NEVER) {
+                desk.steady
+            } else {
+                m.deafSince
+            }
     }
 
     /** Whether [m] is to be asked directly now. */
@@ -59,7 +67,10 @@
     }
 
     private companion object {
-        /** A worker that gets no answer waits 4 s for it and reports again after another one, a little less by our clock. */
+        /**
+         * A worker that gets no answer waits 4 s for it and reports again after another one, a little less by our
+         * clock.
+         */
         const val UNANSWERED_GAP_MS = 4500L
 
         /** How long a direct command waits for its answer, and how often one is sent to ask. */
--- a/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
@@ -7,10 +7,16 @@
 import java.util.TreeSet
 
 /**
- * Owns what is written down of which machine holds which images. Reports do not tell, and a new leader that did not know
- * would send tasks to fetch again what lies ready elsewhere. It is a hint: losing it costs time, never correctness.
+ * Owns what is written down of which machine holds which images. Reports do not tell, and a new leader that did not
+ * know would send tasks to fetch again what lies ready elsewhere. It is a hint: losing it costs time, never
+ * correctness.
  */
-class ImageMemory(private val desk: Desk, private val names: Names, private val limits: StateLimits, private val fleet: Fleet) {
+class ImageMemory(
+    private val desk: Desk,
+    private val names: Names,
+    private val limits: StateLimits,
+    private val fleet: Fleet,
+) {
     private class Held(val session: Long, val images: List<String>)
 
     private val remembered = HashMap<String, Held>()
@@ -32,7 +38,10 @@
     }
 
     fun load(row: Row) {
-        row.key.substringAfterLast('/').toIntOrNull()?.let(inherited::add)
+        row.key
+            .substringAfterLast('/')
+            .toIntOrNull()
+            ?.let(inherited::add)
         val f = Fields.of(row.value, row.key)
         val images = f.texts("images")
         for ((machine, value) in Fields.of(f.map["held"], row.key).map) {
--- a/src/main/kotlin/org/chalkhollow/core/Io.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Io.kt
@@ -25,45 +25,66 @@
     }
 
     /**
-     * A submission that is malformed, but whose [jobId] can be read: it is never accepted, and is refused only once it is
-     * certain that it does not repeat a job that was.
+     * A submission that is malformed, but whose [jobId] can be read: it is never accepted, and is refused only once it
+     * is certain that it does not repeat a job that was.
      */
     class Unreadable(override val jobId: String, val raw: ByteArray, val why: String?) : UserAsk
 
     class Poll(override val jobId: String) : UserAsk
+
     class Withdraw(override val jobId: String) : UserAsk
 
     companion object {
         /** What [body] asks as a submission, or null when it is malformed and names no job. */
-        fun ofSubmission(body: ByteArray): UserAsk? = try {
-            Submit(UserCodec.job(body), body)
-        } catch (e: Malformed) {
-            UserCodec.idIn(body)?.let { Unreadable(it, body, e.message) }
-        }
+        fun ofSubmission(body: ByteArray): UserAsk? =
+            try {
+                Submit(UserCodec.job(body), body)
+            } catch (e: Malformed) {
+                UserCodec.idIn(body)?.let { Unreadable(it, body, e.message) }
+            }
     }
 }
 
 /** Everything that can happen to a controller. */
 sealed interface Input {
     data object Tick : Input
+
     class User(val call: Int, val ask: UserAsk) : Input
+
     class Report(val call: Int, val report: WorkerReport) : Input
+
     class State(val ticket: Int, val reply: StateReply) : Input
+
     class Cloud(val ticket: Int, val reply: CloudReply) : Input
+
     class Direct(val ticket: Int, val reply: DirectReply) : Input
+
     class Peer(val from: Int, val message: PeerMessage) : Input
 }
 
 /** Everything that a controller can want done. */
 sealed interface Effect {
     class Answer(val call: Int, val status: Int, val body: ByteArray?, val retryAfterS: Int = 0) : Effect
+
     class State(val ticket: Int, val op: StateOp) : Effect
+
     class Cloud(val ticket: Int, val op: CloudOp) : Effect
-    class Direct(val ticket: Int, val address: String, val token: Long, val session: Long, val commands: List<Command>) : Effect
+
+    class Direct(
+        val ticket: Int,
+        val address: String,
+        val token: Long,
+        val session: Long,
+        val commands: List<Command>,
+    ) : Effect
+
     class Send(val peer: Int, val message: PeerMessage) : Effect
+
     class Timer(val at: Long) : Effect
+
     /** Something of a kind took this long; for histograms. */
     class Sample(val kind: String, val ms: Long) : Effect
+
     class Note(val level: Level, val text: String) : Effect
 
     enum class Level { ERROR, WARN, INFO, DEBUG }
@@ -72,16 +93,25 @@
 /** Operations on the state service. */
 sealed interface StateOp {
     data class Read(val key: String) : StateOp
+
     data class List(val prefix: String, val after: String?) : StateOp
-    data class Commit(val conditions: kotlin.collections.List<Condition>, val changes: kotlin.collections.List<Change>) : StateOp
+
+    data class Commit(
+        val conditions: kotlin.collections.List<Condition>,
+        val changes: kotlin.collections.List<Change>,
+    ) : StateOp
 }
 
 /** Replies of the state service. */
 sealed interface StateReply {
     data class Found(val row: Row) : StateReply
+
     data object Missing : StateReply
+
     data class Page(val rows: Rows) : StateReply
+
     data class Committed(val revision: Long) : StateReply
+
     data class Conflict(val failed: List<String>) : StateReply
 
     /** Certainly not executed. */
@@ -89,35 +119,49 @@
 
     /** Executed, not executed, or yet to be executed. */
     data object NoResponse : StateReply
+
     data class Rejected(val why: String) : StateReply
 }
 
 /** Operations of the cloud. */
 sealed interface CloudOp {
     data object Catalog : CloudOp
+
     data class Machines(val after: String?) : CloudOp
-    data class Rent(val request: String, val type: String, val zone: String, val spot: Boolean, val count: Int) : CloudOp
+
+    data class Rent(val request: String, val type: String, val zone: String, val spot: Boolean, val count: Int) :
+        CloudOp
+
     data class Delete(val names: List<String>) : CloudOp
 }
 
 /** Replies of the cloud. */
 sealed interface CloudReply {
     data class CatalogIs(val types: List<MachineType>) : CloudReply
+
     data class MachinesAre(val page: ListedPage) : CloudReply
+
     data class Rented(val names: List<String>) : CloudReply
+
     data object NoCapacity : CloudReply
+
     data object Deleted : CloudReply
+
     data object Unavailable : CloudReply
+
     data object NoResponse : CloudReply
+
     data class Rejected(val why: String) : CloudReply
 }
 
 /** Replies to direct commands; a refusal carries a report as well. */
 sealed interface DirectReply {
     data class Executed(val report: WorkerReport) : DirectReply
+
     data class Refused(val report: WorkerReport) : DirectReply
 
     /** The connection was refused before anything was sent. */
     data object NotSent : DirectReply
+
     data object NoResponse : DirectReply
 }
--- a/src/main/kotlin/org/chalkhollow/core/Job.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Job.kt
@@ -53,15 +53,18 @@
     }
 
     /**
-     * Whether a task of it failed on [machine] lately. What was wrong there may be over: an earlier version kept such a machine
-     * from the job for good, and a job that had failed everywhere waited for ever beside machines with room.
+     * Whether a task of it failed on [machine] lately. What was wrong there may be over: an earlier version kept such a
+     * machine from the job for good, and a job that had failed everywhere waited for ever beside machines with room.
      */
     fun avoids(machine: Int, t: Long): Boolean = failedAt.containsKey(machine) && t - failedAt.get(machine) < AVOID_MS
 
     /** Whether tasks of it failed on several machines lately. */
     fun failsAround(t: Long): Boolean = failedAt.size > 2 && failedAt.values.count { t - it < AVOID_MS } > 2
 
-    /** When a task of it was last placed by this leader, by the time of day, and the CPUs it is owed for having been passed over. */
+    /**
+     * When a task of it was last placed by this leader, by the time of day, and the CPUs it is owed for having been
+     * passed over.
+     */
     var placedWall = acceptedWall
     var owedCpus = 0.0
 
--- a/src/main/kotlin/org/chalkhollow/core/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/JobTable.kt
@@ -53,7 +53,10 @@
     private fun record(spec: JobSpec, wall: Long): Map<String, Any?> =
         mapOf("s" to "open", "at" to wall, "j" to UserCodec.map(spec))
 
-    /** Queues a new job for its durable record; [then] runs once it is accepted, [refused] when its record cannot be written. */
+    /**
+     * Queues a new job for its durable record; [then] runs once it is accepted, [refused] when its record cannot be
+     * written.
+     */
     fun accept(spec: JobSpec, refused: () -> Unit, then: () -> Unit) {
         val entry = entry(spec.id, spec.tasks)
         val wall = desk.now.wall
@@ -90,21 +93,33 @@
 
     /** Writes the first of [records], or the next when that is refused; the last is tried again and again. */
     private fun cancel(job: OpenJob, records: List<Map<String, Any?>>, then: () -> Unit) {
-        fun write(record: Map<String, Any?>, onRefused: () -> Unit) = Write(listOf(Change(JOB + job.spec.id, record)), onRefused) {
-            close(job, JobState.CANCELLED)
-            onCancelled(job)
-            then()
+        fun write(record: Map<String, Any?>, onRefused: () -> Unit) =
+            Write(listOf(Change(JOB + job.spec.id, record)), onRefused) {
+                close(job, JobState.CANCELLED)
+                onCancelled(job)
+                then()
+            }
+        if (records.size > 1) {
+            urgent.add(write(records.first()) { cancel(job, records.drop(1), then) })
+        } else {
+            urgent.add(write(records.first()) { later(write(records.first()) { cancel(job, records, then) }) })
         }
-        if (records.size > 1) urgent.add(write(records.first()) { cancel(job, records.drop(1), then) })
-        else urgent.add(write(records.first()) { later(write(records.first()) { cancel(job, records, then) }) })
     }
 
-    /** What is written of a cancelled job, the fullest first. Its tasks are only waited for, so where they may run can be left out. */
+    /**
+     * What is written of a cancelled job, the fullest first. Its tasks are only waited for, so where they may run can
+     * be left out.
+     */
     private fun cancelledRecords(job: OpenJob): List<Map<String, Any?>> {
         val last = finalRecord("cancelled", job)
         val spec = UserCodec.map(job.spec)
         val small = spec - "flavours"
-        return listOf(last + ("j" to spec), last + ("j" to small), last + ("j" to small - PLACEMENT_ONLY), last).distinct()
+        return listOf(
+            last + ("j" to spec),
+            last + ("j" to small),
+            last + ("j" to small - PLACEMENT_ONLY),
+            last,
+        ).distinct()
     }
 
     private fun later(write: Write) {
@@ -175,18 +190,19 @@
         val slice = job.done.get(from, minOf(from + pageTasks, job.spec.tasks))
         val text = Base64.getEncoder().encodeToString(slice.toByteArray())
         val key = pageKey(job, from)
-        val write = Write(listOf(Change(key, mapOf("b" to text))), onRefused = {
-            job.dirtyPages.set(page)
-            job.writeAfter = desk.steady + AGAIN_MS
-        }) {
-            job.writtenPages.add(from)
-            job.oversized.clear(page)
-            job.rewritten.clear(page)
-            if (job.entry.state != JobState.OPEN) trash.add(remove(key))
-            val done = BitSet()
-            for (i in slice.stream()) done.set(from + i)
-            recorded(job, done)
-        }
+        val write =
+            Write(listOf(Change(key, mapOf("b" to text))), onRefused = {
+                job.dirtyPages.set(page)
+                job.writeAfter = desk.steady + AGAIN_MS
+            }) {
+                job.writtenPages.add(from)
+                job.oversized.clear(page)
+                job.rewritten.clear(page)
+                if (job.entry.state != JobState.OPEN) trash.add(remove(key))
+                val done = BitSet()
+                for (i in slice.stream()) done.set(from + i)
+                recorded(job, done)
+            }
         if (!write.fits(room)) return null
         job.dirtyPages.clear(page)
         job.dirtySince = desk.steady
@@ -194,8 +210,8 @@
     }
 
     /**
-     * The page to write next, or -1. A version with larger values wrote larger pages: what such a one holds beyond ours must be
-     * durable elsewhere before it is overwritten, so those parts go first, the highest before all.
+     * The page to write next, or -1. A version with larger values wrote larger pages: what such a one holds beyond ours
+     * must be durable elsewhere before it is overwritten, so those parts go first, the highest before all.
      */
     private fun nextPage(job: OpenJob): Int {
         val highest = job.rewritten.length() - 1
@@ -234,9 +250,12 @@
             else -> {
                 val entry = entry(id, f.long("n").toInt())
                 entry.state = JobState.CANCELLED
-                // Its tasks may still be on machines, and count against the team's limit until they are gone: an earlier
-                // version forgot them at a change of leader and let the team exceed its limit.
-                f.map["j"]?.let { spec -> cancelledJobs[id] = lazy { describe(entry, UserCodec.storedJob(Fields.of(spec, row.key)), 0) } }
+                // Its tasks may still be on machines, and count against the team's limit until they are gone: an
+                // earlier version forgot them at a change of leader and let the team exceed its limit.
+                f.map["j"]?.let { spec ->
+                    cancelledJobs[id] =
+                        lazy { describe(entry, UserCodec.storedJob(Fields.of(spec, row.key)), 0) }
+                }
             }
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Leadership.kt
@@ -24,11 +24,12 @@
 }
 
 /**
- * Owns who leads. The leadership record is a lease: every write of the leader changes its stamp, and a follower may take
- * over only after it has seen the same stamp for longer than any renewal is good for. Beside it stand the peers'
- * promises: while a majority (the leader counted) has promised not to stand, the leader stays entitled although the state
- * service serves nobody, because a candidate needs the votes of a majority, and no vote is given against a promise.
- * A candidate without votes has to wait out [OperatorSettings.outageLimitMs], beyond which no leader acts on promises.
+ * Owns who leads. The leadership record is a lease: every write of the leader changes its stamp, and a follower may
+ * take over only after it has seen the same stamp for longer than any renewal is good for. Beside it stand the peers'
+ * promises: while a majority (the leader counted) has promised not to stand, the leader stays entitled although the
+ * state service serves nobody, because a candidate needs the votes of a majority, and no vote is given against a
+ * promise. A candidate without votes has to wait out [OperatorSettings.outageLimitMs], beyond which no leader acts on
+ * promises.
  */
 class Leadership(
     private val desk: Desk,
@@ -43,8 +44,9 @@
 ) {
     interface Events {
         /**
-         * To read all that leaders have written, from now on, when the leadership record has [stamp]. Every write raises the
-         * record, so if it still has that stamp when this controller takes over, what was read is all there is.
+         * To read all that leaders have written, from now on, when the leadership record has [stamp]. Every write
+         * raises the record, so if it still has that stamp when this controller takes over, what was read is all there
+         * is.
          */
         fun prepare(stamp: Long)
 
@@ -82,7 +84,9 @@
     private var readDueAt = startedAt
     private var servedAt = NEVER
 
-    /** The last generation whose leader has told us that it gave up: its lease binds nobody, however lately it wrote. */
+    /**
+     * The last generation whose leader has told us that it gave up: its lease binds nobody, however lately it wrote.
+     */
     private var releasedGeneration = 0L
     private var releasedAt = NEVER
 
@@ -100,9 +104,9 @@
     private var votesUsedAt = NEVER
 
     /**
-     * Whether a record was read that was asked for once every vote of an earlier life had run out. Until then this process
-     * may have voted for a leader that it does not know of any more, and promises nothing: an earlier version promised an
-     * older leader at once after a quick restart, and then two were entitled.
+     * Whether a record was read that was asked for once every vote of an earlier life had run out. Until then this
+     * process may have voted for a leader that it does not know of any more, and promises nothing: an earlier version
+     * promised an older leader at once after a quick restart, and then two were entitled.
      */
     private var knowsRecord = false
 
@@ -198,7 +202,10 @@
     private fun released(record: LeadRecord, sinceMs: Long): Boolean =
         record.generation == releasedGeneration && desk.steady - releasedAt >= sinceMs && servedAt > releasedAt
 
-    /** Takes over without votes, once all is read: a leader that does not know what was cancelled must not keep it running. */
+    /**
+     * Takes over without votes, once all is read: a leader that does not know what was cancelled must not keep it
+     * running.
+     */
     private fun claimed(why: String) {
         claim = why
         events.prepare(seenStamp)
@@ -317,8 +324,9 @@
 
     private fun lead(t: Long) {
         if (servedElsewhere(t)) {
-            // Nobody renews the workers' leases from here until a peer leads, and if the state service falls silent for all in
-            // between, nobody does until it is back. So the lead is given up only once a peer could take it at once.
+            // Nobody renews the workers' leases from here until a peer leads, and if the state service falls silent for
+            // all in between, nobody does until it is back. So the lead is given up only once a peer could take it at
+            // once.
             if (makesWaySince == NEVER) makesWaySince = t
             if (preparedElsewhere.any { it } || t - makesWaySince > PREPARE_WAIT_MS) {
                 return makeWay("the state service serves others but not this controller")
@@ -373,9 +381,9 @@
     }
 
     /**
-     * Peers were served by the state service after it had begun to refuse us: this is no outage, so make way. What they say when an
-     * outage begins is still about the time before it; an earlier version took that for later and stepped down, and with no leader
-     * until the outage was over all tasks were lost.
+     * Peers were served by the state service after it had begun to refuse us: this is no outage, so make way. What they
+     * say when an outage begins is still about the time before it; an earlier version took that for later and stepped
+     * down, and with no leader until the outage was over all tasks were lost.
      */
     private fun servedElsewhere(t: Long): Boolean =
         failingSince != NEVER && t > failingSince && servedElsewhereAt.any { it > failingSince + servedMs + SERVED_MARGIN_MS }
--- a/src/main/kotlin/org/chalkhollow/core/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Machine.kt
@@ -47,6 +47,7 @@
     var lostAt = NEVER
 
     val attempts = ArrayList<Attempt>()
+
     /** Tasks reported that no attempt of ours explains and that must go. */
     var orphans: List<TaskReport> = emptyList()
     val images = IntOpenHashSet()
@@ -105,7 +106,13 @@
     /** What is left of it for new tasks. */
     fun room(types: List<MachineType?>): Resources {
         val all = types.getOrNull(type)?.room ?: return NOTHING
-        return if (users == 0) all else Resources(all.cpus - usedCpus, all.cards - usedCards, all.memoryGb - usedMemoryGb)
+        return if (users ==
+            0
+        ) {
+            all
+        } else {
+            Resources(all.cpus - usedCpus, all.cards - usedCards, all.memoryGb - usedMemoryGb)
+        }
     }
 
     // Only within a placement round: the room that the round has not given away, and how the machine ranks for a job.
--- a/src/main/kotlin/org/chalkhollow/core/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Placement.kt
@@ -9,8 +9,9 @@
 import java.util.PriorityQueue
 
 /**
- * Owns which ready tasks go where. A job's tasks are alike, so they are decided as a class: one pass over the machines that
- * fit gives each as many as it has room for, best fit first among a sample, all machines if the sample has no room.
+ * Owns which ready tasks go where. A job's tasks are alike, so they are decided as a class: one pass over the machines
+ * that fit gives each as many as it has room for, best fit first among a sample, all machines if the sample has no
+ * room.
  */
 class Placement(
     private val desk: Desk,
@@ -22,8 +23,8 @@
     private val aims: Aims,
 ) {
     /**
-     * A class of tasks that found no room, for the fleet to rent by; [pressing] if it would be late without dear machines. Only
-     * zones that [zones] admit are of use to it now.
+     * A class of tasks that found no room, for the fleet to rent by; [pressing] if it would be late without dear
+     * machines. Only zones that [zones] admit are of use to it now.
      */
     class Unplaced(val job: OpenJob, val count: Int, val pressing: Boolean, val zones: ZoneRule? = null) {
         fun admits(zone: Int): Boolean = zones == null || zones.admits(zone)
@@ -52,7 +53,10 @@
 
     private fun poolCpus(type: Int): Double = pools.getOrPut(type) { fleet.cpus(type) }
 
-    /** What may still be given to jobs that are owed something; they share [OperatorSettings.patienceShare] of the machines. */
+    /**
+     * What may still be given to jobs that are owed something; they share [OperatorSettings.patienceShare] of the
+     * machines.
+     */
     private var owedLeft = 0.0
 
     /** Jobs that users would compare: of one class and team, and of about one size. */
@@ -60,19 +64,24 @@
         constructor(job: OpenJob) : this(job.spec.workload, job.team, Integer.numberOfLeadingZeros(job.spec.tasks))
     }
 
-    /** When a task of a kind was last placed: what a flood of one kind leaves over is shared among kinds, not among its jobs. */
+    /**
+     * When a task of a kind was last placed: what a flood of one kind leaves over is shared among kinds, not among its
+     * jobs.
+     */
     private val kindPlacedWall = HashMap<Kind, Long>()
 
     /** When one was last placed in the common order, without being owed it. */
     private val kindServedWall = HashMap<Kind, Long>()
 
-    private fun due(job: OpenJob): Long = aims.dueWall(job, desk.now.wall, (job.spec.expectedS * SURE_FACTOR * 1000).toLong())
+    private fun due(job: OpenJob): Long =
+        aims.dueWall(job, desk.now.wall, (job.spec.expectedS * SURE_FACTOR * 1000).toLong())
 
     private fun goesFirst(job: OpenJob): Boolean = job.owedCpus > 0 && owedLeft > 0
 
     /**
-     * Nothing is put off for ever, neither by priority nor for being late or wide: what has been passed over for longer than
-     * [OperatorSettings.patienceS] goes before the rest, the kind that was served longest ago first, until it has been given something.
+     * Nothing is put off for ever, neither by priority nor for being late or wide: what has been passed over for longer
+     * than [OperatorSettings.patienceS] goes before the rest, the kind that was served longest ago first, until it has
+     * been given something.
      */
     private fun noteOwed(capacity: Double) {
         val patienceMs = (options.patienceS * 1000).toLong()
@@ -123,11 +132,15 @@
     fun reserve(): Double = if (urgentSizes.isEmpty()) 0.0 else options.urgentReserve * urgentSizes.average()
 
     private fun yields(job: OpenJob): Boolean =
-        job.spec.priority >= Priority.STANDARD && !aims.startsCount(job) && !withinGuarantee(job) && !pressing(job, 0.0) && !waitsLong(job)
+        job.spec.priority >= Priority.STANDARD &&
+            !aims.startsCount(
+                job,
+            ) && !withinGuarantee(job) && !pressing(job, 0.0) &&
+            !waitsLong(job)
 
     /**
-     * Whether some of the job has waited for so long that room kept for other work is no longer kept from it. An earlier version
-     * kept it for ever, so that work waited beside machines with room for it.
+     * Whether some of the job has waited for so long that room kept for other work is no longer kept from it. An
+     * earlier version kept it for ever, so that work waited beside machines with room for it.
      */
     private fun waitsLong(job: OpenJob): Boolean = desk.now.wall - job.allPlacedWall > KEPT_FROM_MS
 
@@ -150,7 +163,8 @@
             val first = waiting[i]
             var end = i + 1
             while (end < waiting.size && alike(first, waiting[end])) end++
-            // Among jobs of one standing, a machine goes first to one whose image it holds: fetching costs machine time.
+            // Among jobs of one standing, a machine goes first to one whose image it holds: fetching costs machine
+            // time.
             if (end - i > 1 && !aims.startsCount(first)) for (k in i until end) round.serve(waiting[k], heldOnly = true)
             for (k in i until end) round.serve(waiting[k], heldOnly = false)
             i = end
@@ -161,8 +175,12 @@
         return round.out
     }
 
-    private fun alike(a: OpenJob, b: OpenJob): Boolean = !goesFirst(a) && !goesFirst(b) &&
-        a.spec.priority == b.spec.priority && aims.startsCount(a) == aims.startsCount(b) && standing(a) == standing(b) && (canWait(a) || standing(a) == LATE)
+    private fun alike(a: OpenJob, b: OpenJob): Boolean =
+        !goesFirst(a) && !goesFirst(b) &&
+            a.spec.priority == b.spec.priority && aims.startsCount(
+                a,
+            ) == aims.startsCount(b) && standing(a) == standing(b) &&
+            (canWait(a) || standing(a) == LATE)
 
     /** Whether others may go before the job for a while without making it late. */
     private fun canWait(job: OpenJob): Boolean {
@@ -196,21 +214,40 @@
             if (job.service && wanted < ready) limited.add(job to ready - wanted)
             var want = wanted
             if (job.failures > 0 && job.failsAround(desk.steady)) want = minOf(want, 1) // a probe, not the whole array
-            if (goesFirst(job) && !job.gang) want = minOf(want, maxOf(1, (minOf(job.owedCpus, owedLeft) / maxOf(job.each.cpus, 0.1)).toInt()))
-            else if (yields(job)) want = minOf(want, ((free - reserve) / maxOf(job.each.cpus, 0.1)).toInt())
+            if (goesFirst(job) &&
+                !job.gang
+            ) {
+                want =
+                    minOf(want, maxOf(1, (minOf(job.owedCpus, owedLeft) / maxOf(job.each.cpus, 0.1)).toInt()))
+            } else if (yields(job)) {
+                want = minOf(want, ((free - reserve) / maxOf(job.each.cpus, 0.1)).toInt())
+            }
             if (job.gang && (!job.live.isEmpty() || want < ready)) want = 0 // all at once or not at all
             // Rules on zones are counted over what one call places, so such jobs are placed in one.
             if (heldOnly && (job.gang || job.spec.together || job.spec.spread)) want = 0
-            var placed = when {
-                want <= 0 -> 0
-                job.gang -> placeGang(job, want, machines, out)
-                else -> place(job, want, machines, out, taken[job] ?: 0, heldOnly)
-            }
+            var placed =
+                when {
+                    want <= 0 -> 0
+                    job.gang -> placeGang(job, want, machines, out)
+                    else -> place(job, want, machines, out, taken[job] ?: 0, heldOnly)
+                }
             // Room for services is no longer kept from what waits long, see [waitsLong].
             val again = placed == 0 || !job.spec.together && !job.spec.spread
             if (kept && again && placed < want && !heldOnly && !job.service && waitsLong(job) && exceptions-- > 0) {
                 replicas.giveBack()
-                placed += if (!job.gang) place(job, want - placed, machines, out, (taken[job] ?: 0) + placed, false) else placeGang(job, want, machines, out)
+                placed +=
+                    if (!job.gang) {
+                        place(
+                            job,
+                            want - placed,
+                            machines,
+                            out,
+                            (taken[job] ?: 0) + placed,
+                            false,
+                        )
+                    } else {
+                        placeGang(job, want, machines, out)
+                    }
                 replicas.keepRoom(machines)
             }
             if (placed > 0) note(job, placed)
@@ -245,7 +282,9 @@
         }
     }
 
-    /** The machines that could take the smallest task that waits; in a full fleet they are few, and a round is short. */
+    /**
+     * The machines that could take the smallest task that waits; in a full fleet they are few, and a round is short.
+     */
     private fun withRoom(placeable: List<Machine>, waiting: List<OpenJob>): List<Machine> {
         val cpus = waiting.minOfOrNull { it.each.cpus } ?: 0.0
         val memory = waiting.minOfOrNull { it.each.memoryGb } ?: 0.0
@@ -257,29 +296,33 @@
     }
 
     /**
-     * Where a job stands among those of its priority. Work whose start its users still wait for goes first, then what can be
-     * done in time, the teams' guarantees before the rest.
+     * Where a job stands among those of its priority. Work whose start its users still wait for goes first, then what
+     * can be done in time, the teams' guarantees before the rest.
      */
-    private fun standing(job: OpenJob): Int = when {
-        aims.startable(job, desk.now.wall) || withinGuarantee(job) && aims.freshGuarantee(job, desk.now.wall) -> 0
-        aims.mustStart(job, desk.now.wall) -> 0
-        hopeless(job) || job in givenUp -> LATE
-        withinGuarantee(job) -> 1
-        else -> 2
-    }
+    private fun standing(job: OpenJob): Int =
+        when {
+            aims.startable(job, desk.now.wall) || withinGuarantee(job) && aims.freshGuarantee(job, desk.now.wall) -> 0
+            aims.mustStart(job, desk.now.wall) -> 0
+            hopeless(job) || job in givenUp -> LATE
+            withinGuarantee(job) -> 1
+            else -> 2
+        }
 
     /** Jobs that cannot all be in time together with the others, chosen so that as few as possible are late. */
     private val givenUp = HashSet<OpenJob>()
 
     /**
-     * When more is asked of a type than it can do in time, someone will be late; what costs most machine time gives way, as
-     * long as it takes to bring the rest in on time (Moore and Hodgson's rule, by type and priority). It is put off, not for
-     * ever: see [noteOwed].
+     * When more is asked of a type than it can do in time, someone will be late; what costs most machine time gives
+     * way, as long as it takes to bring the rest in on time (Moore and Hodgson's rule, by type and priority). It is put
+     * off, not for ever: see [noteOwed].
      */
     private fun findGivenUp() {
         givenUp.clear()
         val now = desk.now.wall
-        for ((pool, jobs) in jobs.open.filter { it.placeable || !it.live.isEmpty() }.groupBy { it.onlyType to it.spec.priority }) {
+        for ((pool, jobs) in jobs.open.filter { it.placeable || !it.live.isEmpty() }.groupBy {
+            it.onlyType to
+                it.spec.priority
+        }) {
             val cpus = poolCpus(pool.first)
             if (cpus <= 0) continue
             val chosen = PriorityQueue<Pair<OpenJob, Double>>(compareBy { -it.second })
@@ -297,8 +340,8 @@
     }
 
     /**
-     * Whether the job has missed what its users wait for. When more is asked than can be done, work that can still be in time
-     * goes first: running what is late anyway would only make the rest late too.
+     * Whether the job has missed what its users wait for. When more is asked than can be done, work that can still be
+     * in time goes first: running what is late anyway would only make the rest late too.
      */
     private fun hopeless(job: OpenJob): Boolean {
         if (aims.startable(job, desk.now.wall)) return false
@@ -318,9 +361,9 @@
     val preempted = LinkedHashSet<Machine>()
 
     /**
-     * Stops work for tasks whose start is still in time, on machines that hold their image: work of lower priority for urgent
-     * tasks, and what other teams run beyond their guarantees for tasks within one. Only what saves its progress or has hardly
-     * begun is stopped, and no other work is preempted.
+     * Stops work for tasks whose start is still in time, on machines that hold their image: work of lower priority for
+     * urgent tasks, and what other teams run beyond their guarantees for tasks within one. Only what saves its progress
+     * or has hardly begun is stopped, and no other work is preempted.
      */
     private fun preempt(left: List<Unplaced>, placeable: List<Machine>) {
         var places: List<Machine>? = null
@@ -329,10 +372,18 @@
             val owed = withinGuarantee(u.job) && aims.freshGuarantee(u.job, desk.now.wall)
             if (!urgent && !owed || u.job.gang) continue
             if (u.job.service) {
-                preemptFor(u, placeable.filter { m -> m.attempts.any { it.stopping || yieldsTo(it, u.job) } }, urgent, owed)
+                preemptFor(
+                    u,
+                    placeable.filter { m ->
+                        m.attempts.any { it.stopping || yieldsTo(it, u.job) }
+                    },
+                    urgent,
+                    owed,
+                )
                 continue
             }
-            val some = places ?: placeable.filter { m -> m.attempts.any { it.stopping || stoppable(it) } }.also { places = it }
+            val some =
+                places ?: placeable.filter { m -> m.attempts.any { it.stopping || stoppable(it) } }.also { places = it }
             if (some.isEmpty()) return
             preemptFor(u, some, urgent, owed)
         }
@@ -342,10 +393,15 @@
     private fun makeWayWithinLimit(job: OpenJob, count: Int) {
         var need = count * job.each.cpus
         val victims = ArrayList<Attempt>()
-        for (m in fleet.machines) for (a in m.attempts) {
-            if (a.job.team != job.team) continue
-            if (a.stopping && a.onMachine) need -= a.job.each.cpus
-            else if (yieldsTo(a, job)) victims.add(a)
+        for (m in fleet.machines) {
+            for (a in m.attempts) {
+                if (a.job.team != job.team) continue
+                if (a.stopping && a.onMachine) {
+                    need -= a.job.each.cpus
+                } else if (yieldsTo(a, job)) {
+                    victims.add(a)
+                }
+            }
         }
         victims.sortWith(cheapestFirst)
         for (a in victims) {
@@ -361,19 +417,35 @@
         val places = candidates.filter { (job.service || !fetches(job, it)) && allowed(job, it) && u.admits(it.zone) }
         var need = u.count - places.sumOf { job.each.countIn(roomAfterStops(it)) }
         if (need <= 0) return
-        val victims = places.associateWith { m -> m.attempts.filter { mayStop(it, job, urgent, owed) }.sortedWith(cheapestFirst) }
+        val victims =
+            places.associateWith { m ->
+                m.attempts.filter { mayStop(it, job, urgent, owed) }.sortedWith(cheapestFirst)
+            }
         val heldFirst = compareBy<Map.Entry<Machine, List<Attempt>>> { if (fetches(job, it.key)) 1 else 0 }
-        for ((m, some) in victims.entries.filter { it.value.isNotEmpty() }.sortedWith(heldFirst.thenBy(cheapestFirst) { it.value.first() })) {
+        for ((m, some) in victims.entries
+            .filter {
+                it.value.isNotEmpty()
+            }.sortedWith(heldFirst.thenBy(cheapestFirst) { it.value.first() })) {
             if (need <= 0) return
             need -= stopOn(m, some, job, need)
         }
     }
 
-    private val cheapestFirst = compareBy<Attempt>({ if (it.job.spec.checkpointS > 0) 0 else 1 }, { -it.placedAt }, { it.machine.id }, { it.index })
+    private val cheapestFirst =
+        compareBy<Attempt>({
+            if (it.job.spec.checkpointS >
+                0
+            ) {
+                0
+            } else {
+                1
+            }
+        }, { -it.placedAt }, { it.machine.id }, { it.index })
 
     /**
-     * Stops as many of [victims] on [m] as make room there for tasks of [job], and none that do not: an earlier version counted
-     * CPUs over all machines, so what was stopped went back to where it had been, since the room was too small for the other.
+     * Stops as many of [victims] on [m] as make room there for tasks of [job], and none that do not: an earlier version
+     * counted CPUs over all machines, so what was stopped went back to where it had been, since the room was too small
+     * for the other.
      */
     private fun stopOn(m: Machine, victims: List<Attempt>, job: OpenJob, most: Int): Int {
         var room = roomAfterStops(m)
@@ -402,13 +474,18 @@
         return room
     }
 
-    private fun plus(a: Resources, b: Resources) = Resources(a.cpus + b.cpus, a.cards + b.cards, a.memoryGb + b.memoryGb)
+    private fun plus(a: Resources, b: Resources) =
+        Resources(a.cpus + b.cpus, a.cards + b.cards, a.memoryGb + b.memoryGb)
 
     /** Whether little is lost by stopping [a], whatever for. */
-    private fun stoppable(a: Attempt): Boolean = a.onMachine && !a.stopping && !a.owed && a.job.spec.shape == Shape.ARRAY &&
-        (a.job.spec.checkpointS > 0 || desk.steady - a.placedAt < YOUNG_MS) && !withinGuarantee(a.job)
+    private fun stoppable(a: Attempt): Boolean =
+        a.onMachine && !a.stopping && !a.owed && a.job.spec.shape == Shape.ARRAY &&
+            (a.job.spec.checkpointS > 0 || desk.steady - a.placedAt < YOUNG_MS) && !withinGuarantee(a.job)
 
-    /** For a replica any task of lower priority gives way, those that lose least first: who asks for a service waits for it all along. */
+    /**
+     * For a replica any task of lower priority gives way, those that lose least first: who asks for a service waits for
+     * it all along.
+     */
     private fun yieldsTo(a: Attempt, by: OpenJob): Boolean =
         a.onMachine && !a.stopping && !a.job.service && !a.job.gang && a.job.spec.priority > by.spec.priority
 
@@ -416,7 +493,8 @@
         if (by.service && yieldsTo(a, by)) return true
         if (!stoppable(a)) return false
         val lower = urgent && a.job.spec.priority > by.spec.priority
-        val borrowed = owed && a.job.team != by.team && a.job.spec.priority >= by.spec.priority && quotas.beyond(a.job.team)
+        val borrowed =
+            owed && a.job.team != by.team && a.job.spec.priority >= by.spec.priority && quotas.beyond(a.job.team)
         return lower || borrowed
     }
 
@@ -435,8 +513,18 @@
         return 0
     }
 
-    /** Places up to [want] tasks, after the [skip] that this round has placed already; [heldOnly]: only where the image is. */
-    private fun place(job: OpenJob, want: Int, machines: List<Machine>, out: MutableList<Allocation>, skip: Int, heldOnly: Boolean): Int {
+    /**
+     * Places up to [want] tasks, after the [skip] that this round has placed already; [heldOnly]: only where the image
+     * is.
+     */
+    private fun place(
+        job: OpenJob,
+        want: Int,
+        machines: List<Machine>,
+        out: MutableList<Allocation>,
+        skip: Int,
+        heldOnly: Boolean,
+    ): Int {
         val zones = ZoneRule(job, fleet)
         if (zones.blocked) return 0
         val urgent = aims.startsCount(job)
@@ -445,7 +533,17 @@
             if (!job.each.fitsIn(m.left) || !allowed(job, m)) continue
             val fetches = fetches(job, m)
             if (heldOnly && fetches) continue
-            m.rank = (if (wantedElsewhere(job, m.type)) 4 else 0) + (if (fetches) if (urgent) 3 else 1 else 0)
+            m.rank = (if (wantedElsewhere(job, m.type)) 4 else 0) + (
+                if (fetches) {
+                    if (urgent) {
+                        3
+                    } else {
+                        1
+                    }
+                } else {
+                    0
+                }
+            )
             fits.add(m)
         }
         if (fits.isEmpty()) return 0
@@ -470,7 +568,12 @@
             out.add(Allocation(job, m, tasks, goesFirst(job)))
             zones.take(m.zone, n)
             val room = m.left
-            m.left = Resources(room.cpus - n * job.each.cpus, room.cards - n * job.each.cards, room.memoryGb - n * job.each.memoryGb)
+            m.left =
+                Resources(
+                    room.cpus - n * job.each.cpus,
+                    room.cards - n * job.each.cards,
+                    room.memoryGb - n * job.each.memoryGb,
+                )
             if (job.image >= 0) m.images.add(job.image)
             left -= n
         }
@@ -478,18 +581,19 @@
     }
 
     /**
-     * Which of the machines that fit come first: those that no other work has to wait for; for work whose start users wait for,
-     * those that hold the image; the smaller types, so that large ones stay whole; then those that hold the image; then the
-     * fullest. Cost was tried as a tie-break and did not help, see docs/measurements.md.
+     * Which of the machines that fit come first: those that no other work has to wait for; for work whose start users
+     * wait for, those that hold the image; the smaller types, so that large ones stay whole; then those that hold the
+     * image; then the fullest. Cost was tried as a tie-break and did not help, see docs/measurements.md.
      */
-    private val preference = Comparator<Machine> { a, b ->
-        var c = (a.rank shr 1).compareTo(b.rank shr 1)
-        if (c == 0) c = fleet.size(a).compareTo(fleet.size(b))
-        if (c == 0) c = a.rank.compareTo(b.rank)
-        if (c == 0) c = a.left.cpus.compareTo(b.left.cpus)
-        if (c == 0) c = a.id.compareTo(b.id)
-        c
-    }
+    private val preference =
+        Comparator<Machine> { a, b ->
+            var c = (a.rank shr 1).compareTo(b.rank shr 1)
+            if (c == 0) c = fleet.size(a).compareTo(fleet.size(b))
+            if (c == 0) c = a.rank.compareTo(b.rank)
+            if (c == 0) c = a.left.cpus.compareTo(b.left.cpus)
+            if (c == 0) c = a.id.compareTo(b.id)
+            c
+        }
 
     /** Whether tasks that fit no other type have lately waited for this one, which [job] does not need. */
     private fun wantedElsewhere(job: OpenJob, type: Int): Boolean =
@@ -498,8 +602,9 @@
     private fun fetches(job: OpenJob, m: Machine): Boolean = job.image >= 0 && job.image !in m.images
 
     /**
-     * Some of the machines that fit: those that hold the image first, then others, each from a random place on; all of them when
-     * the sample has too little room. A sample drawn from all alike would mostly miss the few that hold the image.
+     * Some of the machines that fit: those that hold the image first, then others, each from a random place on; all of
+     * them when the sample has too little room. A sample drawn from all alike would mostly miss the few that hold the
+     * image.
      */
     private fun sample(fits: ArrayList<Machine>, want: Int, job: OpenJob): ArrayList<Machine> {
         if (fits.size <= options.sampleSize) return fits
@@ -540,16 +645,20 @@
         var dearest = false
         for ((index, type) in fleet.types.withIndex()) {
             if (type == null || (job.types != null && index !in job.types)) continue
-            if (!job.each.fitsIn(type.room)) dearest = true
-            else if (only >= 0) return -1
-            else only = index
+            if (!job.each.fitsIn(type.room)) {
+                dearest = true
+            } else if (only >= 0) {
+                return -1
+            } else {
+                only = index
+            }
         }
         return if (dearest) only else -1
     }
 
     /**
-     * Types that alone can hold some jobs' tasks are left to those, since their work has nowhere else to go. Urgent work may use
-     * them all the same, and so may work that has waited long while nothing waits for the type.
+     * Types that alone can hold some jobs' tasks are left to those, since their work has nowhere else to go. Urgent
+     * work may use them all the same, and so may work that has waited long while nothing waits for the type.
      */
     private fun sparedFor(job: OpenJob, type: Int): Boolean {
         val t = desk.steady
@@ -569,7 +678,10 @@
         private const val PATIENCE_MS = 30_000L
         private const val KEPT_FROM_MS = 60_000L
 
-        /** Of the jobs that wait long only the first few are offered the room kept for services: each offer costs a pass. */
+        /**
+         * Of the jobs that wait long only the first few are offered the room kept for services: each offer costs a
+         * pass.
+         */
         private const val MOST_EXCEPTIONS = 5
         private const val SURE_FACTOR = 0.8 // estimates are often too high; what may still do is not given up
         private const val LATE_FACTOR = 1.5
@@ -598,7 +710,10 @@
         }
     }
 
-    /** Whether a machine in [zone] could take a task of the job as things stand; any zone may yet be chosen for one that has none. */
+    /**
+     * Whether a machine in [zone] could take a task of the job as things stand; any zone may yet be chosen for one that
+     * has none.
+     */
     fun admits(zone: Int): Boolean = (only < 0 || zone == only) && spreadRoom(zone) > 0
 
     /** A task may be in a zone that is not known: `together` has to wait. */
@@ -611,12 +726,14 @@
         only = room.entries.maxByOrNull { it.value }?.key ?: -1
     }
 
-    fun roomIn(zone: Int): Int = when {
-        job.spec.together && zone != only -> 0
-        else -> spreadRoom(zone)
-    }
+    fun roomIn(zone: Int): Int =
+        when {
+            job.spec.together && zone != only -> 0
+            else -> spreadRoom(zone)
+        }
 
-    private fun spreadRoom(zone: Int): Int = if (job.spec.spread) maxOf(0, most - unknown - (perZone[zone] ?: 0)) else Int.MAX_VALUE
+    private fun spreadRoom(zone: Int): Int =
+        if (job.spec.spread) maxOf(0, most - unknown - (perZone[zone] ?: 0)) else Int.MAX_VALUE
 
     fun take(zone: Int, n: Int) {
         perZone.merge(zone, n, Int::plus)
--- a/src/main/kotlin/org/chalkhollow/core/Quotas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Quotas.kt
@@ -23,7 +23,17 @@
 
     /** How many more tasks of this size the team's limit allows, on top of [extra]. */
     fun headroom(team: Int, each: Resources, extra: Resources): Int =
-        if (team < 0) 0 else count(teams[team].cpusMax - cpus[team] - extra.cpus, teams[team].cardsMax - cards[team] - extra.cards, each)
+        if (team <
+            0
+        ) {
+            0
+        } else {
+            count(
+                teams[team].cpusMax - cpus[team] - extra.cpus,
+                teams[team].cardsMax - cards[team] - extra.cards,
+                each,
+            )
+        }
 
     /** Whether this much fits into what the team is guaranteed. */
     fun guarantees(team: Int, cpus: Double, cards: Double): Boolean =
--- a/src/main/kotlin/org/chalkhollow/core/Reach.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Reach.kt
@@ -1,9 +1,9 @@
 package org.chalkhollow.core
 
 /**
- * Owns which controllers the workers reach. A leader that none of them reaches any more, while they ask at its peers, keeps
- * their leases from being renewed by anyone: it has to make way. A worker without an answer turns to another controller after
- * about 5 s, so within [WINDOW_MS] all of them have asked somewhere.
+ * Owns which controllers the workers reach. A leader that none of them reaches any more, while they ask at its peers,
+ * keeps their leases from being renewed by anyone: it has to make way. A worker without an answer turns to another
+ * controller after about 5 s, so within [WINDOW_MS] all of them have asked somewhere.
  */
 class Reach(peers: Int) {
     private val counts = IntArray(SLOTS)
--- a/src/main/kotlin/org/chalkhollow/core/Settlement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Settlement.kt
@@ -7,8 +7,8 @@
 import org.chalkhollow.wire.WorkerReport
 
 /**
- * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. An attempt is settled, and its task free to
- * be placed again, only on proof that it runs nowhere and never will.
+ * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. An attempt is settled, and its task
+ * free to be placed again, only on proof that it runs nowhere and never will.
  */
 class Settlement(
     private val desk: Desk,
@@ -33,7 +33,14 @@
     var owedCpus = 0.0
         private set
 
-    fun reserve(job: OpenJob, index: Int, number: Long, machine: Machine, marker: Marker?, owed: Boolean = false): Attempt {
+    fun reserve(
+        job: OpenJob,
+        index: Int,
+        number: Long,
+        machine: Machine,
+        marker: Marker?,
+        owed: Boolean = false,
+    ): Attempt {
         val attempt = Attempt(job, index, number, machine, marker, owed)
         if (owed) owedCpus += job.each.cpus
         attempt.since = desk.steady
@@ -82,9 +89,9 @@
     fun machineGone(machine: Machine) = gone(machine, inherited = true)
 
     /**
-     * [machine] is in a new session, which ends what was in the one before. That says nothing of what an earlier leader started:
-     * while the session that we knew is only told by reports of before our token, old copies among them, its starts may be in
-     * the new one. An earlier version took them for gone, and they ran twice.
+     * [machine] is in a new session, which ends what was in the one before. That says nothing of what an earlier leader
+     * started: while the session that we knew is only told by reports of before our token, old copies among them, its
+     * starts may be in the new one. An earlier version took them for gone, and they ran twice.
      */
     fun newSession(machine: Machine, knewOurToken: Boolean) = gone(machine, inherited = knewOurToken)
 
@@ -102,14 +109,15 @@
     }
 
     /**
-     * Takes in a report that is newer than all before it from this machine. Only a [beat] proves by silence that a start is
-     * not under way: the worker has one report in flight at a time, so it has taken or dropped every response before it.
+     * Takes in a report that is newer than all before it from this machine. Only a [beat] proves by silence that a
+     * start is not under way: the worker has one report in flight at a time, so it has taken or dropped every response
+     * before it.
      */
     fun reconcile(m: Machine, report: WorkerReport, beat: Boolean) {
         if (repeats(m, report)) return
         val current = report.token >= generation()
-        // Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came out the
-        // same, the one's completion was taken for the other's.
+        // Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came
+        // out the same, the one's completion was taken for the other's.
         val known = HashMap<Identity, Attempt>(m.attempts.size * 2)
         for (a in m.attempts) known[Identity(a.job.entry.id, a.index, a.number)] = a
         val reported = HashMap<Attempt, TaskReport>(report.tasks.size * 2)
@@ -120,7 +128,11 @@
         }
         for (a in ArrayList(m.attempts)) {
             val t = reported[a]
-            if (t != null) present(a, t) else if (beat) absent(a, current)
+            if (t != null) {
+                present(a, t)
+            } else if (beat) {
+                absent(a, current)
+            }
         }
         m.orphans = unknown.filter { !adopt(m, it) }
         m.reconciled = report.tasks.takeIf { beat && unknown.isEmpty() }
@@ -133,11 +145,12 @@
     private fun absent(a: Attempt, current: Boolean) {
         when (a.phase) {
             Attempt.Phase.MARKING, Attempt.Phase.MARKED -> Unit
-            Attempt.Phase.SENT -> when {
-                a.directPending -> Unit // the start may still be under way
-                a.inherited -> if (current) settle(a) // an older leader's start can no longer be obeyed
-                else -> a.phase = Attempt.Phase.MARKED // the response was dropped, and stays dropped
-            }
+            Attempt.Phase.SENT ->
+                when {
+                    a.directPending -> Unit // the start may still be under way
+                    a.inherited -> if (current) settle(a) // an older leader's start can no longer be obeyed
+                    else -> a.phase = Attempt.Phase.MARKED // the response was dropped, and stays dropped
+                }
             Attempt.Phase.EXITED -> if (a.forgettable) settle(a) else Unit
             else -> if (!a.directPending && (current || !a.inherited)) settle(a)
         }
@@ -163,8 +176,14 @@
         if (runs && !ran) {
             a.job.running++
             desk.emit(Effect.Sample("start", desk.steady - a.placedAt))
-            if (a.job.running == 1 && a.job.doneCount == 0) desk.emit(Effect.Sample("wait", desk.now.wall - a.job.acceptedWall))
-            desk.debug("${a.job.spec.id}/${a.index} (${a.job.spec.workload}) runs ${desk.now.wall - a.job.acceptedWall} ms after it was accepted, ${desk.steady - a.placedAt} ms after it was placed on ${a.machine.name}${if (a.cached) ", image held" else ""}")
+            if (a.job.running == 1 &&
+                a.job.doneCount == 0
+            ) {
+                desk.emit(Effect.Sample("wait", desk.now.wall - a.job.acceptedWall))
+            }
+            desk.debug(
+                "${a.job.spec.id}/${a.index} (${a.job.spec.workload}) runs ${desk.now.wall - a.job.acceptedWall} ms after it was accepted, ${desk.steady - a.placedAt} ms after it was placed on ${a.machine.name}${if (a.cached) ", image held" else ""}",
+            )
         }
         if (!runs && ran) a.job.running--
         a.since = desk.steady
@@ -203,7 +222,11 @@
         val job = a.job
         job.failedOn(a.machine.id, desk.steady)
         job.failures = if (desk.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
-        if (job.failures > job.spec.tasks) job.notBefore = desk.steady + (FAILED_MS shl minOf(job.failures / job.spec.tasks, 5))
+        if (job.failures >
+            job.spec.tasks
+        ) {
+            job.notBefore = desk.steady + (FAILED_MS shl minOf(job.failures / job.spec.tasks, 5))
+        }
     }
 
     private fun failed(a: Attempt) {
@@ -259,37 +282,72 @@
             val unwanted = a.job.cancelled || a.job.done.get(a.index)
             when (a.phase) {
                 Attempt.Phase.MARKING -> Unit
-                Attempt.Phase.MARKED -> when {
-                    unwanted || m.draining || m.noticeAt != Machine.NEVER -> if (!a.directPending) settle(a)
-                    startsAllowed && !a.job.cancelling -> {
-                        a.phase = Attempt.Phase.SENT
+                Attempt.Phase.MARKED ->
+                    when {
+                        unwanted || m.draining || m.noticeAt != Machine.NEVER -> if (!a.directPending) settle(a)
+                        startsAllowed && !a.job.cancelling -> {
+                            a.phase = Attempt.Phase.SENT
+                            out.add(Command.Start(id, a.index, a.number))
+                        }
+                    }
+                Attempt.Phase.SENT ->
+                    if (a.directPending && !a.inherited && !unwanted &&
+                        startsAllowed
+                    ) {
                         out.add(Command.Start(id, a.index, a.number))
                     }
-                }
-                Attempt.Phase.SENT -> if (a.directPending && !a.inherited && !unwanted && startsAllowed) out.add(Command.Start(id, a.index, a.number))
-                Attempt.Phase.EXITED -> if (a.forgettable && mayForget(a)) out.add(Command.Forget(id, a.index, a.number))
-                else -> if (unwanted) out.add(Command.Stop(id, a.index, a.number, 0.0))
-                else if (a.stopping) out.add(stop(a))
+                Attempt.Phase.EXITED ->
+                    if (a.forgettable &&
+                        mayForget(a)
+                    ) {
+                        out.add(Command.Forget(id, a.index, a.number))
+                    }
+                else ->
+                    if (unwanted) {
+                        out.add(Command.Stop(id, a.index, a.number, 0.0))
+                    } else if (a.stopping) {
+                        out.add(stop(a))
+                    }
             }
         }
         for (t in m.orphans) {
             if (out.size >= MOST_COMMANDS) break
-            out.add(if (t.phase == TaskReport.Phase.EXITED) Command.Forget(t.jobId, t.index, t.attempt) else Command.Stop(t.jobId, t.index, t.attempt, 0.0))
+            out.add(
+                if (t.phase ==
+                    TaskReport.Phase.EXITED
+                ) {
+                    Command.Forget(t.jobId, t.index, t.attempt)
+                } else {
+                    Command.Stop(t.jobId, t.index, t.attempt, 0.0)
+                },
+            )
         }
         m.orphans = emptyList()
         return out
     }
 
     /**
-     * A worker that has forgotten an attempt begins it again when a copy of its start comes late, and what was stopped or
-     * cancelled would run unknown to us. So an attempt that this leader started directly is left to the next generation to forget,
-     * whose token voids all copies, unless it was completed: then it ends as soon as it begins. An earlier version took the
-     * first answer for the last.
+     * A worker that has forgotten an attempt begins it again when a copy of its start comes late, and what was stopped
+     * or cancelled would run unknown to us. So an attempt that this leader started directly is left to the next
+     * generation to forget, whose token voids all copies, unless it was completed: then it ends as soon as it begins.
+     * An earlier version took the first answer for the last.
      */
-    private fun mayForget(a: Attempt): Boolean = !a.directPending && (!a.sentDirectly || a.completed && !a.job.cancelled)
+    private fun mayForget(a: Attempt): Boolean =
+        !a.directPending && (!a.sentDirectly || a.completed && !a.job.cancelled)
 
     /** Stops a task so that it saves its progress if it can; nobody has any use for that of a cancelled one. */
-    fun stop(a: Attempt) = Command.Stop(a.job.spec.id, a.index, a.number, if (a.job.cancelled) 0.0 else a.job.spec.saveS + GRACE_S)
+    fun stop(a: Attempt) =
+        Command.Stop(
+            a.job.spec.id,
+            a.index,
+            a.number,
+            if (a.job.cancelled) {
+                0.0
+            } else {
+                a.job.spec.saveS +
+                    GRACE_S
+            },
+        )
 
     private data class Identity(val job: Int, val index: Int, val number: Long)
 
--- a/src/main/kotlin/org/chalkhollow/core/StateLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StateLog.kt
@@ -7,16 +7,17 @@
 import org.chalkhollow.wire.Condition
 
 /**
- * Changes that belong into one transaction, and what to do once they are durable, or once the state service has refused them
- * although they came alone: a hint is dropped, and what must not be lost is given again later by its source.
+ * Changes that belong into one transaction, and what to do once they are durable, or once the state service has refused
+ * them although they came alone: a hint is dropped, and what must not be lost is given again later by its source.
  */
 class Write(val changes: List<Change>, val onRefused: () -> Unit, val onDurable: () -> Unit)
 
 /**
- * The leader's only way to write: one transaction at a time, each conditional on the stamp of the leadership record, which
- * it raises, and on the stamps of the keys it changes. So a deposed leader's late writes fail, every write renews the lease,
- * and a lost reply is resolved by looking whether the record counts one write more. A transaction that the service refuses for
- * its size, or again and again for its rate, is taken apart, down to one write each, so that no write can hold up the others.
+ * The leader's only way to write: one transaction at a time, each conditional on the stamp of the leadership record,
+ * which it raises, and on the stamps of the keys it changes. So a deposed leader's late writes fail, every write renews
+ * the lease, and a lost reply is resolved by looking whether the record counts one write more. A transaction that the
+ * service refuses for its size, or again and again for its rate, is taken apart, down to one write each, so that no
+ * write can hold up the others.
  */
 class StateLog(
     private val desk: Desk,
@@ -101,8 +102,12 @@
     /** Whether writes have failed for long enough that new requests should be turned away at once. */
     fun stalled(): Boolean = failingSince >= 0 && desk.steady - failingSince > STALL_MS
 
-    /** Whether the last transaction took long, or the one under way does: no time to give up the lead and ask for it again. */
-    fun slow(): Boolean = failingSince >= 0 || batch.let { it != null && desk.steady - it.firstSentAt > SLOW_MS } || lastTookMs > SLOW_MS
+    /**
+     * Whether the last transaction took long, or the one under way does: no time to give up the lead and ask for it
+     * again.
+     */
+    fun slow(): Boolean =
+        failingSince >= 0 || batch.let { it != null && desk.steady - it.firstSentAt > SLOW_MS } || lastTookMs > SLOW_MS
 
     /** Puts the next transaction together and sends it, when none is in flight and the budget allows. */
     fun pump() {
@@ -124,7 +129,13 @@
         if (part != null) {
             if (desk.steady < retryPartsAt) return
             // Its changes were paid for once; a renewal must not wait until they are paid for again.
-            if (tokens >= part.sumOf { it.changes.size } + 1) send(compose(parts.removeFirst())) else if (renewalDue) send(compose(emptyList()))
+            if (tokens >=
+                part.sumOf { it.changes.size } + 1
+            ) {
+                send(compose(parts.removeFirst()))
+            } else if (renewalDue) {
+                send(compose(emptyList()))
+            }
             return
         }
         val room = Room(minOf(limits.txnOps - 1, tokens.toInt() - 1, learnedOps), TXN_BYTES)
@@ -141,7 +152,10 @@
         send(compose(writes))
     }
 
-    /** Every transaction counts one more in the record, also in place of a refused one: a late copy of that is told from it. */
+    /**
+     * Every transaction counts one more in the record, also in place of a refused one: a late copy of that is told from
+     * it.
+     */
     private fun compose(writes: List<Write>): Batch {
         record = record.copy(writes = record.writes + 1)
         val conditions = ArrayList<Condition>()
@@ -179,7 +193,17 @@
                 failed()
                 b.unavailable++
                 when {
-                    b.writes.size < 2 || b.unavailable % TAKE_APART_AFTER != 0 -> again(b, if (b.unavailable > TAKE_APART_AFTER) RETRY_MS * 2 else RETRY_MS)
+                    b.writes.size < 2 || b.unavailable % TAKE_APART_AFTER != 0 ->
+                        again(
+                            b,
+                            if (b.unavailable >
+                                TAKE_APART_AFTER
+                            ) {
+                                RETRY_MS * 2
+                            } else {
+                                RETRY_MS
+                            },
+                        )
                     !b.uncertain -> thin(b)
                     else -> lookAtRecord(b) { thin(b) }
                 }
@@ -187,12 +211,24 @@
         }
     }
 
-    /** Refused for what it is. An earlier sending without an answer may have been taken all the same, which the record tells. */
+    /**
+     * Refused for what it is. An earlier sending without an answer may have been taken all the same, which the record
+     * tells.
+     */
     private fun rejected(b: Batch, why: String) {
         if (desk.steady - complainedAt >= COMPLAIN_MS) {
             complainedAt = desk.steady
-            val keys = b.writes.flatMap { it.changes }.take(3).joinToString { it.key }
-            desk.emit(Effect.Note(Effect.Level.ERROR, "the state service refuses a transaction of ${b.op.changes.size} changes ($keys): $why"))
+            val keys =
+                b.writes
+                    .flatMap { it.changes }
+                    .take(3)
+                    .joinToString { it.key }
+            desk.emit(
+                Effect.Note(
+                    Effect.Level.ERROR,
+                    "the state service refuses a transaction of ${b.op.changes.size} changes ($keys): $why",
+                ),
+            )
         }
         if (b.uncertain) return lookAtRecord(b) { rejected(b, why) }
         if (b.writes.isEmpty()) {
@@ -230,9 +266,10 @@
     }
 
     /**
-     * The conditions did not hold: either an earlier sending of the same transaction was applied, or someone else leads. When
-     * they were not looked at, neither may be so, and [unchanged] says what then: should an earlier sending be carried out
-     * yet, the conditions of the next transaction fail, its count in the record is another, and the term ends.
+     * The conditions did not hold: either an earlier sending of the same transaction was applied, or someone else
+     * leads. When they were not looked at, neither may be so, and [unchanged] says what then: should an earlier sending
+     * be carried out yet, the conditions of the next transaction fail, its count in the record is another, and the term
+     * ends.
      */
     private fun lookAtRecord(b: Batch, unchanged: (() -> Unit)? = null) {
         val inTerm = term
@@ -241,11 +278,14 @@
             when (reply) {
                 is StateReply.Found -> {
                     val stands = LeadRecord.of(reply.row)
-                    if (stands == record) committed(b, reply.row.stamp, b.firstSentAt)
-                    else if (unchanged != null && reply.row.stamp == recordStamp) {
+                    if (stands == record) {
+                        committed(b, reply.row.stamp, b.firstSentAt)
+                    } else if (unchanged != null && reply.row.stamp == recordStamp) {
                         b.uncertain = false
                         unchanged()
-                    } else leadership.depose("generation ${stands.generation} of ${stands.owner} stands")
+                    } else {
+                        leadership.depose("generation ${stands.generation} of ${stands.owner} stands")
+                    }
                 }
                 StateReply.Missing -> leadership.depose("the leadership record is gone")
                 else -> {
@@ -294,11 +334,12 @@
 object Sizes {
     fun of(change: Change): Int = 48 + change.key.length + of(change.value)
 
-    fun of(value: Any?): Int = when (value) {
-        null -> 5
-        is String -> value.length + 3 + value.count { it < ' ' || it == '"' || it == '\\' || it > '~' } * 5
-        is Map<*, *> -> 3 + value.entries.sumOf { of(it.key) + of(it.value) + 2 }
-        is List<*> -> 3 + value.sumOf { of(it) + 1 }
-        else -> 24
-    }
+    fun of(value: Any?): Int =
+        when (value) {
+            null -> 5
+            is String -> value.length + 3 + value.count { it < ' ' || it == '"' || it == '\\' || it > '~' } * 5
+            is Map<*, *> -> 3 + value.entries.sumOf { of(it.key) + of(it.value) + 2 }
+            is List<*> -> 3 + value.sumOf { of(it) + 1 }
+            else -> 24
+        }
 }
--- a/src/main/kotlin/org/chalkhollow/core/Survey.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Survey.kt
@@ -3,10 +3,11 @@
 import org.chalkhollow.wire.Row
 
 /**
- * Reads all that leaders have written, under [prefixes] and in their order, before this controller stands for leadership. A
- * leader that has yet to read would renew the leases of tasks whose cancellation an earlier one has confirmed, and in an
- * outage that begins just then it would for as long as that lasts. Every write raises the leadership record, so what was read
- * after the record had some stamp is all there is for as long as it keeps that stamp; and a take-over is conditional on it.
+ * Reads all that leaders have written, under [prefixes] and in their order, before this controller stands for
+ * leadership. A leader that has yet to read would renew the leases of tasks whose cancellation an earlier one has
+ * confirmed, and in an outage that begins just then it would for as long as that lasts. Every write raises the
+ * leadership record, so what was read after the record had some stamp is all there is for as long as it keeps that
+ * stamp; and a take-over is conditional on it.
  */
 class Survey(private val desk: Desk, private val prefixes: List<String>, private val onComplete: () -> Unit) {
     private class Reading(val stamp: Long, val begunAt: Long) {
@@ -63,7 +64,10 @@
                 return@state
             }
             r.rows.addAll(reply.rows.rows)
-            val last = reply.rows.rows.lastOrNull()?.key
+            val last =
+                reply.rows.rows
+                    .lastOrNull()
+                    ?.key
             when {
                 reply.rows.more && last != null -> read(r, prefix, last)
                 prefix + 1 < prefixes.size -> read(r, prefix + 1, null)
--- a/src/main/kotlin/org/chalkhollow/core/Versions.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Versions.kt
@@ -2,7 +2,10 @@
 
 import org.chalkhollow.mesh.PeerMessage
 
-/** Owns which versions the controllers run, as far as each has said; that of a peer that has said nothing yet is not known. */
+/**
+ * Owns which versions the controllers run, as far as each has said; that of a peer that has said nothing yet is not
+ * known.
+ */
 class Versions(private val label: String, private val peers: List<String>) {
     private val heard = arrayOfNulls<Int>(peers.size)
 
@@ -12,7 +15,9 @@
     }
 
     /** By label, this controller's first; null is not known. */
-    val all: Map<String, Int?> get() = mapOf<String, Int?>(label to PeerMessage.VERSION) + peers.indices.associate { peers[it] to heard[it] }
+    val all: Map<String, Int?> get() =
+        mapOf<String, Int?>(label to PeerMessage.VERSION) +
+            peers.indices.associate { peers[it] to heard[it] }
 
     /** Whether every controller is known to run this version or a newer one. */
     val allNew: Boolean get() = heard.all { it != null && it >= PeerMessage.VERSION }
--- a/src/main/kotlin/org/chalkhollow/mesh/MeshNode.kt
+++ b/src/main/kotlin/org/chalkhollow/mesh/MeshNode.kt
@@ -37,7 +37,10 @@
     private val lives = LongArray(peers.size)
     private val connected = BooleanArray(peers.size)
 
-    /** Peers that have begun a new life, or that called while we had no connection to them: they listen, so call them now. */
+    /**
+     * Peers that have begun a new life, or that called while we had no connection to them: they listen, so call them
+     * now.
+     */
     private val wake = peers.map { Channel<Unit>(Channel.CONFLATED) }
     private val queues = peers.map { Channel<PeerMessage>(QUEUE, BufferOverflow.DROP_OLDEST) }
 
@@ -57,14 +60,15 @@
     fun run(server: ServerSocket) {
         scope.launch {
             while (true) {
-                val socket = try {
-                    server.accept()
-                } catch (e: CancellationException) {
-                    throw e
-                } catch (e: Throwable) {
-                    delay(RETRY_MS)
-                    continue
-                }
+                val socket =
+                    try {
+                        server.accept()
+                    } catch (e: CancellationException) {
+                        throw e
+                    } catch (e: Throwable) {
+                        delay(RETRY_MS)
+                        continue
+                    }
                 scope.launch { hear(socket) }
             }
         }
@@ -117,20 +121,29 @@
         }
     }
 
-    /** Null after a while without an answer, or as soon as the peer itself has called, which it does once it listens. */
-    private suspend fun connect(i: Int): Socket? = withTimeoutOrNull(CONNECT_MS) {
-        coroutineScope {
-            val attempt = async { aSocket(selector).tcp().connect(peers[i].address.host, peers[i].address.port) { noDelay = true } }
-            select {
-                attempt.onAwait { it }
-                wake[i].onReceive {
-                    attempt.cancel()
-                    wake[i].trySend(Unit) // so that the next attempt is made at once
-                    null
+    /**
+     * Null after a while without an answer, or as soon as the peer itself has called, which it does once it listens.
+     */
+    private suspend fun connect(i: Int): Socket? =
+        withTimeoutOrNull(CONNECT_MS) {
+            coroutineScope {
+                val attempt =
+                    async {
+                        aSocket(selector).tcp().connect(peers[i].address.host, peers[i].address.port) {
+                            noDelay =
+                                true
+                        }
+                    }
+                select {
+                    attempt.onAwait { it }
+                    wake[i].onReceive {
+                        attempt.cancel()
+                        wake[i].trySend(Unit) // so that the next attempt is made at once
+                        null
+                    }
                 }
             }
         }
-    }
 
     private companion object {
         const val QUEUE = 256
--- a/src/main/kotlin/org/chalkhollow/mesh/PeerListener.kt
+++ b/src/main/kotlin/org/chalkhollow/mesh/PeerListener.kt
@@ -4,9 +4,12 @@
 import io.ktor.utils.io.readByteArray
 import io.ktor.utils.io.readInt
 
-/** Told of what came from other controllers and was dropped; [peer] is null before the connection has said whose it is. */
+/**
+ * Told of what came from other controllers and was dropped; [peer] is null before the connection has said whose it is.
+ */
 interface DroppedFrames {
     fun malformed(peer: String?, why: String)
+
     fun newer(peer: String?, kind: String)
 }
 
@@ -18,8 +21,9 @@
     private val receive: (Int, PeerMessage) -> Unit,
 ) {
     /**
-     * Reads frames until the connection ends or cannot be read any further: where a frame's end is not known, or nobody that
-     * we know is calling. A frame that is malformed or of a newer version's kind is dropped, and the next one is read.
+     * Reads frames until the connection ends or cannot be read any further: where a frame's end is not known, or nobody
+     * that we know is calling. A frame that is malformed or of a newer version's kind is dropped, and the next one is
+     * read.
      */
     suspend fun hear(input: ByteReadChannel) {
         var peer = -1
@@ -34,8 +38,11 @@
                     if (message is PeerMessage.Hello) {
                         peer = labels.indexOf(message.label)
                         if (peer >= 0) greeted(peer, message)
-                    } else if (peer >= 0) receive(peer, message)
-                    else return dropped.malformed(null, "a message from nobody that is known")
+                    } else if (peer >= 0) {
+                        receive(peer, message)
+                    } else {
+                        return dropped.malformed(null, "a message from nobody that is known")
+                    }
                 }
             }
         }
--- a/src/main/kotlin/org/chalkhollow/mesh/PeerMessage.kt
+++ b/src/main/kotlin/org/chalkhollow/mesh/PeerMessage.kt
@@ -6,7 +6,10 @@
 /** What controllers say to each other; every message is one CBOR frame. */
 @Serializable
 sealed interface PeerMessage {
-    /** The first frame on a connection: who is calling, which life of it, and which [VERSION]; 0 are those that did not tell. */
+    /**
+     * The first frame on a connection: who is calling, which life of it, and which [VERSION]; 0 are those that did not
+     * tell.
+     */
     @Serializable
     @SerialName("hello")
     data class Hello(val label: String, val incarnation: Long, val version: Int = 0) : PeerMessage
@@ -17,8 +20,9 @@
     data class PromiseAsk(val generation: Long, val seq: Long, val ready: Boolean) : PeerMessage
 
     /**
-     * The answer to [PromiseAsk]; [stateServed] says whether the state service has lately served this peer, [reports] how many
-     * workers' reports have lately come to it, [prepared] whether it has read all that a new leader has to know.
+     * The answer to [PromiseAsk]; [stateServed] says whether the state service has lately served this peer, [reports]
+     * how many workers' reports have lately come to it, [prepared] whether it has read all that a new leader has to
+     * know.
      */
     @Serializable
     @SerialName("promise")
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -51,13 +51,7 @@
 enum class JobState { OPEN, DONE, CANCELLED }
 
 /** A team's guarantee and its limit. */
-data class Team(
-    val name: String,
-    val cpus: Double,
-    val cpusMax: Double,
-    val cards: Double,
-    val cardsMax: Double,
-)
+data class Team(val name: String, val cpus: Double, val cpusMax: Double, val cards: Double, val cardsMax: Double)
 
 /** A machine type of the cloud's catalog. */
 data class MachineType(
--- a/src/main/kotlin/org/chalkhollow/runtime/Drill.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Drill.kt
@@ -28,9 +28,10 @@
 
 /**
  * Plays a small deployment to a controller of its own, in memory: election, reports in their wire form, a job from its
- * submission to its end. Nothing of it leaves the process. It serves twice. The build's class data archive is made of it; and
- * a follower that has nothing else to do goes through it in small steps, because a take-over is no time to run code for the
- * first time: every worker reports at once then, and unpractised code took over a second of processor time for that.
+ * submission to its end. Nothing of it leaves the process. It serves twice. The build's class data archive is made of
+ * it; and a follower that has nothing else to do goes through it in small steps, because a take-over is no time to run
+ * code for the first time: every worker reports at once then, and unpractised code took over a second of processor time
+ * for that.
  */
 internal class Drill(private val scope: CoroutineScope, settings: PlatformSettings) {
     private val settings = settings.copy(peers = emptyList())
@@ -67,47 +68,80 @@
     }
 
     private fun carryOut(effects: List<Effect>) {
-        for (e in effects) when (e) {
-            is Effect.State -> inbox.add(Input.State(e.ticket, stateReply(e.op)))
-            is Effect.Cloud -> inbox.add(Input.Cloud(e.ticket, cloudReply(e.op)))
-            is Effect.Direct -> {
-                Pack.encode(WorkerCodec.direct(e.token, e.session, e.commands))
-                inbox.add(Input.Direct(e.ticket, DirectReply.NotSent))
+        for (e in effects) {
+            when (e) {
+                is Effect.State -> inbox.add(Input.State(e.ticket, stateReply(e.op)))
+                is Effect.Cloud -> inbox.add(Input.Cloud(e.ticket, cloudReply(e.op)))
+                is Effect.Direct -> {
+                    Pack.encode(WorkerCodec.direct(e.token, e.session, e.commands))
+                    inbox.add(Input.Direct(e.ticket, DirectReply.NotSent))
+                }
+                is Effect.Answer -> HttpServer.bytes(HttpReply(e.status, e.body, e.retryAfterS), false)
+                else -> Unit
             }
-            is Effect.Answer -> HttpServer.bytes(HttpReply(e.status, e.body, e.retryAfterS), false)
-            else -> Unit
         }
     }
 
-    private fun stateReply(op: StateOp): StateReply = when (op) {
-        is StateOp.Read -> StateReply.Missing
-        is StateOp.List -> StateReply.Page(Rows(emptyList(), false))
-        is StateOp.Commit -> {
-            Pack.encode(ServiceCodec.commit(op.conditions, op.changes))
-            StateReply.Committed(++revision)
+    private fun stateReply(op: StateOp): StateReply =
+        when (op) {
+            is StateOp.Read -> StateReply.Missing
+            is StateOp.List -> StateReply.Page(Rows(emptyList(), false))
+            is StateOp.Commit -> {
+                Pack.encode(ServiceCodec.commit(op.conditions, op.changes))
+                StateReply.Committed(++revision)
+            }
         }
-    }
 
-    private fun cloudReply(op: CloudOp): CloudReply = when (op) {
-        CloudOp.Catalog -> CloudReply.CatalogIs(listOf(MachineType("drill", Resources(8.0, 0.0, 64.0), 1.0, 10.0, 1.0, 1.0, 10.0, listOf("z"))))
-        is CloudOp.Machines -> CloudReply.MachinesAre(ListedPage(emptyList(), false))
-        is CloudOp.Rent -> CloudReply.NoCapacity
-        is CloudOp.Delete -> CloudReply.Deleted
-    }
+    private fun cloudReply(op: CloudOp): CloudReply =
+        when (op) {
+            CloudOp.Catalog ->
+                CloudReply.CatalogIs(
+                    listOf(MachineType("drill", Resources(8.0, 0.0, 64.0), 1.0, 10.0, 1.0, 1.0, 10.0, listOf("z"))),
+                )
+            is CloudOp.Machines -> CloudReply.MachinesAre(ListedPage(emptyList(), false))
+            is CloudOp.Rent -> CloudReply.NoCapacity
+            is CloudOp.Delete -> CloudReply.Deleted
+        }
 
     private fun name(round: Int) = "j-" + round.toString().padStart(6, '0')
 
-    private fun job(round: Int, team: String): Map<String, Any?> = mapOf(
-        "nameId" to name(round), "workload" to "w", "owner" to team, "shape" to "batch", "urgency" to "high", "pieces" to 4,
-        "vcpus" to 1.0, "cards" to 0.0, "memoryGb" to 1.0, "bundle" to "i", "pullGb" to 1.0, "flavours" to null, "site" to null,
-        "together" to false, "spread" to false, "standby" to true, "expectedS" to 1.0, "snapshotS" to 0.0, "flushS" to 0.0, "dueS" to 9.0,
-    )
+    private fun job(round: Int, team: String): Map<String, Any?> =
+        mapOf(
+            "nameId" to name(round),
+            "workload" to "w",
+            "owner" to team,
+            "shape" to "batch",
+            "urgency" to "high",
+            "pieces" to 4,
+            "vcpus" to 1.0,
+            "cards" to 0.0,
+            "memoryGb" to 1.0,
+            "bundle" to "i",
+            "pullGb" to 1.0,
+            "flavours" to null,
+            "site" to null,
+            "together" to false,
+            "spread" to false,
+            "standby" to true,
+            "expectedS" to 1.0,
+            "snapshotS" to 0.0,
+            "flushS" to 0.0,
+            "dueS" to 9.0,
+        )
 
-    private fun reportOf(machine: Int, round: Int): Map<String, Any?> = mapOf(
-        "host" to "n-$machine", "address" to "127.0.0.1:9", "flavour" to "drill", "site" to "z", "standby" to false, "tenure" to 1,
-        "tally" to round + 1, "mandate" to 1, "warningS" to null,
-        "pieces" to List(2) { mapOf("piece" to "j-900000/$it", "try" to round / 8, "status" to "running") },
-    )
+    private fun reportOf(machine: Int, round: Int): Map<String, Any?> =
+        mapOf(
+            "host" to "n-$machine",
+            "address" to "127.0.0.1:9",
+            "flavour" to "drill",
+            "site" to "z",
+            "standby" to false,
+            "tenure" to 1,
+            "tally" to round + 1,
+            "mandate" to 1,
+            "warningS" to null,
+            "pieces" to List(2) { mapOf("piece" to "j-900000/$it", "try" to round / 8, "status" to "running") },
+        )
 
     private companion object {
         const val USER = 1
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -15,11 +15,14 @@
 
 /**
  * The one thread of a controller: it runs coroutines, their timers and the sockets of the HTTP side. ktor-network pumps
- * every socket through coroutines of its own on a pool of threads; with hundreds of workers that was half of the processor
- * time measured, most of it hand-overs between threads, so it carries only the few connections between controllers.
+ * every socket through coroutines of its own on a pool of threads; with hundreds of workers that was half of the
+ * processor time measured, most of it hand-overs between threads, so it carries only the few connections between
+ * controllers.
  */
 @OptIn(InternalCoroutinesApi::class)
-class EventLoop : CoroutineDispatcher(), Delay {
+class EventLoop :
+    CoroutineDispatcher(),
+    Delay {
     /** What a channel's key calls when the channel is ready. */
     fun interface Ready {
         fun onReady(key: SelectionKey)
@@ -33,8 +36,8 @@
     private val local = ArrayDeque<Runnable>()
 
     /**
-     * What other threads hand over: that is what other controllers say. It goes before all else, since an election must not
-     * wait behind hundreds of workers that ask for the leader.
+     * What other threads hand over: that is what other controllers say. It goes before all else, since an election must
+     * not wait behind hundreds of workers that ask for the leader.
      */
     private val foreign = ConcurrentLinkedQueue<Runnable>()
     private val timers = PriorityQueue<Timer>(compareBy({ it.at }, { it.order }))
@@ -60,14 +63,18 @@
     }
 
     override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
-        val handle = invokeOnTimeout(timeMillis, { with(continuation) { resumeUndispatched(Unit) } }, continuation.context)
+        val handle =
+            invokeOnTimeout(timeMillis, { with(continuation) { resumeUndispatched(Unit) } }, continuation.context)
         continuation.invokeOnCancellation { handle.dispose() }
     }
 
     override fun invokeOnTimeout(timeMillis: Long, block: Runnable, context: CoroutineContext): DisposableHandle {
         val timer = Timer(System.nanoTime() + timeMillis.coerceIn(0, MOST_DELAY_MS) * 1_000_000, timersMade++, block)
-        if (Thread.currentThread() === thread) timers.add(timer)
-        else dispatch(context) { timers.add(timer) }
+        if (Thread.currentThread() === thread) {
+            timers.add(timer)
+        } else {
+            dispatch(context) { timers.add(timer) }
+        }
         return DisposableHandle { timer.cancelled = true }
     }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/FrameComplaints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/FrameComplaints.kt
@@ -5,8 +5,8 @@
 import org.slf4j.Logger
 
 /**
- * Counts the frames of other controllers that were dropped, and logs some: malformed ones a few times a minute at most, and
- * each kind of a newer version once.
+ * Counts the frames of other controllers that were dropped, and logs some: malformed ones a few times a minute at most,
+ * and each kind of a newer version once.
  */
 @Suppress("UnstableApiUsage")
 internal class FrameComplaints(private val log: Logger, private val meters: Meters) : DroppedFrames {
@@ -15,19 +15,30 @@
 
     override fun malformed(peer: String?, why: String) {
         meters.malformedFrame()
-        if (limiter.tryAcquire()) log.warn("a frame from {} is malformed and was dropped: {}", peer ?: "an unknown controller", plain(why))
+        if (limiter.tryAcquire()) {
+            log.warn(
+                "a frame from {} is malformed and was dropped: {}",
+                peer ?: "an unknown controller",
+                plain(why),
+            )
+        }
     }
 
     override fun newer(peer: String?, kind: String) {
         meters.newerFrame()
         val name = plain(kind)
         if (kinds.size < MOST_KINDS && kinds.add(name)) {
-            log.warn("{} sent a message of the unknown kind \"{}\", which a newer version may know; such messages are skipped", peer ?: "an unknown controller", name)
+            log.warn(
+                "{} sent a message of the unknown kind \"{}\", which a newer version may know; such messages are skipped",
+                peer ?: "an unknown controller",
+                name,
+            )
         }
     }
 
     /** On one line, and short. */
-    private fun plain(text: String): String = text.take(MOST_CHARS).map { if (it.isISOControl()) ' ' else it }.joinToString("")
+    private fun plain(text: String): String =
+        text.take(MOST_CHARS).map { if (it.isISOControl()) ' ' else it }.joinToString("")
 
     private companion object {
         const val PER_S = 0.2
--- a/src/main/kotlin/org/chalkhollow/runtime/Http.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Http.kt
@@ -15,7 +15,11 @@
     /** The body's length as the headers give it; null when it cannot be told. */
     fun length(headers: HttpHeadersMap): Long? {
         val text = headers["Content-Length"] ?: return 0L
-        return text.toString().trim().toLongOrNull()?.takeIf { it >= 0 }
+        return text
+            .toString()
+            .trim()
+            .toLongOrNull()
+            ?.takeIf { it >= 0 }
     }
 
     fun chunked(headers: HttpHeadersMap): Boolean =
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
@@ -12,11 +12,16 @@
 import org.chalkhollow.settings.Address
 
 /** What a request is answered with. */
-class HttpReply(val status: Int, val body: ByteArray?, val retryAfterS: Int = 0, val type: String = "application/msgpack")
+class HttpReply(
+    val status: Int,
+    val body: ByteArray?,
+    val retryAfterS: Int = 0,
+    val type: String = "application/msgpack",
+)
 
 /**
- * A small HTTP/1.1 server on an [EventLoop] with the parser of Ktor's CIO engine: persistent connections, no pipelining,
- * bodies bounded, connections bounded, and slow or idle ones closed.
+ * A small HTTP/1.1 server on an [EventLoop] with the parser of Ktor's CIO engine: persistent connections, no
+ * pipelining, bodies bounded, connections bounded, and slow or idle ones closed.
  */
 class HttpServer(
     private val scope: CoroutineScope,
@@ -106,10 +111,18 @@
         private const val SWEEP_MS = 5000L
         private const val IDLE_MS = 90_000L
         private const val IDLE_SHORT_MS = 15_000L
-        private val REASONS = mapOf(
-            200 to "OK", 201 to "Created", 400 to "Bad Request", 404 to "Not Found", 405 to "Method Not Allowed",
-            413 to "Content Too Large", 421 to "Misdirected Request", 422 to "Unprocessable Content", 503 to "Service Unavailable",
-        )
+        private val REASONS =
+            mapOf(
+                200 to "OK",
+                201 to "Created",
+                400 to "Bad Request",
+                404 to "Not Found",
+                405 to "Method Not Allowed",
+                413 to "Content Too Large",
+                421 to "Misdirected Request",
+                422 to "Unprocessable Content",
+                503 to "Service Unavailable",
+            )
 
         /** [r] as it goes over the wire. */
         internal fun bytes(r: HttpReply, close: Boolean): ByteArray {
--- a/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
@@ -7,8 +7,8 @@
 import org.chalkhollow.core.Controller
 
 /**
- * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when somebody first asks, since that
- * costs processor time which a start does not have.
+ * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when somebody first asks, since
+ * that costs processor time which a start does not have.
  */
 class Meters {
     private val answers = Int2LongOpenHashMap()
@@ -18,7 +18,12 @@
     private val histograms = LinkedHashMap<String, Histogram>()
     private val registry by lazy {
         SimpleMeterRegistry().also { r ->
-            FunctionCounter.builder("chalkhollow.reports.malformed", this) { it.malformedReports.toDouble() }.register(r)
+            FunctionCounter
+                .builder(
+                    "chalkhollow.reports.malformed",
+                    this,
+                ) { it.malformedReports.toDouble() }
+                .register(r)
             FunctionCounter.builder("chalkhollow.frames.malformed", this) { it.malformedFrames.toDouble() }.register(r)
             FunctionCounter.builder("chalkhollow.frames.newer", this) { it.newerFrames.toDouble() }.register(r)
         }
@@ -47,28 +52,41 @@
         histograms.getOrPut(kind) { Histogram(MOST_MICROS, 2) }.recordValue(micros.coerceIn(0, MOST_MICROS))
 
     /** All meters, one a line. */
-    fun text(view: Controller.View): String = buildString {
-        appendLine("chalkhollow_leading ${if (view.leading) 1 else 0}")
-        appendLine("chalkhollow_generation ${view.generation}")
-        appendLine("chalkhollow_jobs_open ${view.openJobs}")
-        appendLine("chalkhollow_jobs_known ${view.jobs}")
-        appendLine("chalkhollow_machines ${view.machines}")
-        appendLine("chalkhollow_replicas_wanted ${view.replicas.first}")
-        appendLine("chalkhollow_replicas_up ${view.replicas.second}")
-        for ((label, version) in view.versions) if (version != null) appendLine("chalkhollow_version{controller=\"$label\"} $version")
-        for ((kind, h) in histograms) {
-            for (q in QUANTILES) appendLine("chalkhollow_micros{kind=\"$kind\",quantile=\"$q\"} ${h.getValueAtPercentile(q * 100)}")
-            appendLine("chalkhollow_micros_count{kind=\"$kind\"} ${h.totalCount}")
+    fun text(view: Controller.View): String =
+        buildString {
+            appendLine("chalkhollow_leading ${if (view.leading) 1 else 0}")
+            appendLine("chalkhollow_generation ${view.generation}")
+            appendLine("chalkhollow_jobs_open ${view.openJobs}")
+            appendLine("chalkhollow_jobs_known ${view.jobs}")
+            appendLine("chalkhollow_machines ${view.machines}")
+            appendLine("chalkhollow_replicas_wanted ${view.replicas.first}")
+            appendLine("chalkhollow_replicas_up ${view.replicas.second}")
+            for ((label, version) in view.versions) {
+                if (version !=
+                    null
+                ) {
+                    appendLine("chalkhollow_version{controller=\"$label\"} $version")
+                }
+            }
+            for ((kind, h) in histograms) {
+                for (q in QUANTILES) {
+                    appendLine("chalkhollow_micros{kind=\"$kind\",quantile=\"$q\"} ${h.getValueAtPercentile(q * 100)}")
+                }
+                appendLine("chalkhollow_micros_count{kind=\"$kind\"} ${h.totalCount}")
+            }
+            for (status in answers.keys) {
+                FunctionCounter
+                    .builder("chalkhollow.answers", answers) {
+                        it.get(status).toDouble()
+                    }.tag("status", status.toString())
+                    .register(registry)
+            }
+            for (meter in registry.meters) {
+                val tags = meter.id.tags.joinToString(",") { "${it.key}=\"${it.value}\"" }
+                val name = meter.id.name.replace('.', '_') + "_total" + if (tags.isEmpty()) "" else "{$tags}"
+                for (sample in meter.measure()) appendLine("$name ${sample.value}")
+            }
         }
-        for (status in answers.keys) {
-            FunctionCounter.builder("chalkhollow.answers", answers) { it.get(status).toDouble() }.tag("status", status.toString()).register(registry)
-        }
-        for (meter in registry.meters) {
-            val tags = meter.id.tags.joinToString(",") { "${it.key}=\"${it.value}\"" }
-            val name = meter.id.name.replace('.', '_') + "_total" + if (tags.isEmpty()) "" else "{$tags}"
-            for (sample in meter.measure()) appendLine("$name ${sample.value}")
-        }
-    }
 
     private companion object {
         const val MOST_MICROS = 600_000_000L
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -26,9 +26,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Runs one controller: feeds it inputs, one at a time on one thread, and carries out its effects. Decides nothing. [scope]
- * must run on [loop]. [begunAt] is when this process began, in nanoseconds by the steady clock: an earlier life of this
- * controller had ended by then, which may be a while before this is made on a slow machine.
+ * Runs one controller: feeds it inputs, one at a time on one thread, and carries out its effects. Decides nothing.
+ * [scope] must run on [loop]. [begunAt] is when this process began, in nanoseconds by the steady clock: an earlier life
+ * of this controller had ended by then, which may be a while before this is made on a slow machine.
  */
 class Node(
     private val scope: CoroutineScope,
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
@@ -1,11 +1,11 @@
 package org.chalkhollow.runtime
 
+import io.ktor.http.HttpMethod
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import io.ktor.http.HttpMethod
 import org.chalkhollow.mesh.Frames
 import org.chalkhollow.mesh.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
@@ -15,8 +15,9 @@
 import java.net.ServerSocket
 
 /**
- * Goes once through what a controller needs early in its life, on loopback and with made-up replies, so that the class data
- * archive that the build makes of this run holds it. Starting costs processor time, and a start is an outage to users.
+ * Goes once through what a controller needs early in its life, on loopback and with made-up replies, so that the class
+ * data archive that the build makes of this run holds it. Starting costs processor time, and a start is an outage to
+ * users.
  */
 object WarmUp {
     private const val ROUNDS = 100
@@ -50,25 +51,57 @@
         }
     }
 
-    private fun messages(): List<PeerMessage> = listOf(
-        PeerMessage.Hello("a", 1, PeerMessage.VERSION), PeerMessage.PromiseAsk(1, 1, true), PeerMessage.Promise(1, 1, true, true),
-        PeerMessage.VoteAsk(1, 1, 1), PeerMessage.Vote(1, 1, true),
-        PeerMessage.Forward(1, 1, "j-1", ByteArray(8)), PeerMessage.Forwarded(1, 200, ByteArray(8), 0),
-    )
+    private fun messages(): List<PeerMessage> =
+        listOf(
+            PeerMessage.Hello("a", 1, PeerMessage.VERSION),
+            PeerMessage.PromiseAsk(1, 1, true),
+            PeerMessage.Promise(1, 1, true, true),
+            PeerMessage.VoteAsk(1, 1, 1),
+            PeerMessage.Vote(1, 1, true),
+            PeerMessage.Forward(1, 1, "j-1", ByteArray(8)),
+            PeerMessage.Forwarded(1, 200, ByteArray(8), 0),
+        )
 
-    private fun job(): Map<String, Any?> = mapOf(
-        "nameId" to "j-000001", "workload" to "w", "owner" to "t", "shape" to "batch", "urgency" to "high", "pieces" to 2,
-        "vcpus" to 1.0, "cards" to 0.0, "memoryGb" to 1.0, "bundle" to "i", "pullGb" to 1.0, "flavours" to null, "site" to null,
-        "together" to false, "spread" to false, "standby" to true, "expectedS" to 1.0, "snapshotS" to 0.0, "flushS" to 0.0, "dueS" to 9.0,
-    )
+    private fun job(): Map<String, Any?> =
+        mapOf(
+            "nameId" to "j-000001",
+            "workload" to "w",
+            "owner" to "t",
+            "shape" to "batch",
+            "urgency" to "high",
+            "pieces" to 2,
+            "vcpus" to 1.0,
+            "cards" to 0.0,
+            "memoryGb" to 1.0,
+            "bundle" to "i",
+            "pullGb" to 1.0,
+            "flavours" to null,
+            "site" to null,
+            "together" to false,
+            "spread" to false,
+            "standby" to true,
+            "expectedS" to 1.0,
+            "snapshotS" to 0.0,
+            "flushS" to 0.0,
+            "dueS" to 9.0,
+        )
 
-    private fun report(seq: Long): Map<String, Any?> = mapOf(
-        "host" to "n-1", "address" to "127.0.0.1:9", "flavour" to "t", "site" to "z", "standby" to false, "tenure" to 1,
-        "tally" to seq, "mandate" to 1, "warningS" to null,
-        "pieces" to listOf(mapOf("piece" to "j-000009/1", "try" to 1, "status" to "running")),
-    )
+    private fun report(seq: Long): Map<String, Any?> =
+        mapOf(
+            "host" to "n-1",
+            "address" to "127.0.0.1:9",
+            "flavour" to "t",
+            "site" to "z",
+            "standby" to false,
+            "tenure" to 1,
+            "tally" to seq,
+            "mandate" to 1,
+            "warningS" to null,
+            "pieces" to listOf(mapOf("piece" to "j-000009/1", "try" to 1, "status" to "running")),
+        )
 
-    private fun settings(users: Int, mesh: Int): String = """
+    private fun settings(users: Int, mesh: Int): String =
+        """
         {"label":"a","location":"z","client_listen":"127.0.0.1:$users","mesh_addr":"127.0.0.1:$mesh",
          "seeds":[{"label":"b","location":"z","endpoint":"127.0.0.1:$mesh"}],
          "external":{"cloud":"127.0.0.1:$users","state":"127.0.0.1:$users"},
@@ -76,5 +109,5 @@
           "objectives":[{"kind":"wait","class":"w","within_s":5,"share":0.9}],
           "workers":{"report_s":2,"lease_s":10,"cancel_s":40},
           "state":{"rps":80,"write_rps":20,"value_kb":8,"txn_ops":12},"cloud":{"rps":3,"list_lag_s":5}}}
-    """.trimIndent()
+        """.trimIndent()
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerLinks.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerLinks.kt
@@ -4,9 +4,9 @@
 import org.chalkhollow.settings.Address
 
 /**
- * Kept connections for direct commands, one a worker. At the largest sizes there are fewer sockets than two a worker, so these
- * give way: whenever the process holds more than [most], those that were used longest ago are closed. [others] counts the
- * sockets held for everything else, which are the ones that nobody can do without.
+ * Kept connections for direct commands, one a worker. At the largest sizes there are fewer sockets than two a worker,
+ * so these give way: whenever the process holds more than [most], those that were used longest ago are closed. [others]
+ * counts the sockets held for everything else, which are the ones that nobody can do without.
  */
 class WorkerLinks(
     private val scope: CoroutineScope,
@@ -21,7 +21,10 @@
         links[address]?.let { return it }
         val port = address.substringAfterLast(':', "").toIntOrNull() ?: return null
         trim(1)
-        return HttpLink(scope, loop, Address(address.substringBeforeLast(':'), port), WORKER_BODY, 1).also { links[address] = it }
+        return HttpLink(scope, loop, Address(address.substringBeforeLast(':'), port), WORKER_BODY, 1).also {
+            links[address] =
+                it
+        }
     }
 
     /** Closes the eldest until there is room for [more] sockets. */
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorText.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorText.kt
@@ -20,27 +20,29 @@
     private val INT = FieldDescriptorProto.Type.TYPE_INT64
     private val NUMBER = FieldDescriptorProto.Type.TYPE_DOUBLE
 
-    private val fields = listOf(
-        Field("sample_size", INT, 1.0, 100_000.0),
-        Field("leader_lease_ms", INT, 500.0, 600_000.0),
-        Field("leader_renew_ms", INT, 100.0, 100_000.0),
-        Field("promise_ms", INT, 500.0, 600_000.0),
-        Field("outage_limit_ms", INT, 0.0, 3_600_000.0),
-        Field("idle_return_s", NUMBER, 1.0, 86_400.0),
-        Field("standby_share", NUMBER, 0.0, 100.0),
-        Field("urgent_reserve", NUMBER, 0.0, 100.0),
-        Field("patience_s", NUMBER, 1.0, 1e6),
-        Field("patience_share", NUMBER, 0.0, 1.0),
-        Field("spare_machines", INT, 0.0, 10_000.0),
-        Field("max_machines", INT, 0.0, 1e6),
-    )
+    private val fields =
+        listOf(
+            Field("sample_size", INT, 1.0, 100_000.0),
+            Field("leader_lease_ms", INT, 500.0, 600_000.0),
+            Field("leader_renew_ms", INT, 100.0, 100_000.0),
+            Field("promise_ms", INT, 500.0, 600_000.0),
+            Field("outage_limit_ms", INT, 0.0, 3_600_000.0),
+            Field("idle_return_s", NUMBER, 1.0, 86_400.0),
+            Field("standby_share", NUMBER, 0.0, 100.0),
+            Field("urgent_reserve", NUMBER, 0.0, 100.0),
+            Field("patience_s", NUMBER, 1.0, 1e6),
+            Field("patience_share", NUMBER, 0.0, 1.0),
+            Field("spare_machines", INT, 0.0, 10_000.0),
+            Field("max_machines", INT, 0.0, 1e6),
+        )
 
     fun load(path: Path): OperatorSettings {
-        val text = try {
-            Files.readString(path)
-        } catch (e: IOException) {
-            throw BadSettings("$path: cannot be read")
-        }
+        val text =
+            try {
+                Files.readString(path)
+            } catch (e: IOException) {
+                throw BadSettings("$path: cannot be read")
+            }
         return parse(text, path.toString())
     }
 
@@ -52,27 +54,38 @@
             throw BadSettings("$source: line ${e.line}, column ${e.column}: ${oneLine(e)}")
         }
         val d = OperatorSettings()
-        fun <T> read(name: String, default: T, convert: (Number) -> T): T = value(builder, name, source)?.let(convert) ?: default
-        val s = OperatorSettings(
-            sampleSize = read("sample_size", d.sampleSize) { it.toInt() },
-            leaderLeaseMs = read("leader_lease_ms", d.leaderLeaseMs) { it.toLong() },
-            leaderRenewMs = read("leader_renew_ms", d.leaderRenewMs) { it.toLong() },
-            promiseMs = read("promise_ms", d.promiseMs) { it.toLong() },
-            outageLimitMs = read("outage_limit_ms", d.outageLimitMs) { it.toLong() },
-            idleReturnS = read("idle_return_s", d.idleReturnS) { it.toDouble() },
-            standbyShare = read("standby_share", d.standbyShare) { it.toDouble() },
-            urgentReserve = read("urgent_reserve", d.urgentReserve) { it.toDouble() },
-            patienceS = read("patience_s", d.patienceS) { it.toDouble() },
-            patienceShare = read("patience_share", d.patienceShare) { it.toDouble() },
-            spareMachines = read("spare_machines", d.spareMachines) { it.toInt() },
-            maxMachines = read("max_machines", d.maxMachines) { it.toInt() },
-        )
-        if (s.leaderRenewMs * 2 > s.leaderLeaseMs) throw BadSettings("$source: field leader_renew_ms must be at most half of leader_lease_ms")
+
+        fun <T> read(name: String, default: T, convert: (Number) -> T): T =
+            value(builder, name, source)?.let(convert) ?: default
+        val s =
+            OperatorSettings(
+                sampleSize = read("sample_size", d.sampleSize) { it.toInt() },
+                leaderLeaseMs = read("leader_lease_ms", d.leaderLeaseMs) { it.toLong() },
+                leaderRenewMs = read("leader_renew_ms", d.leaderRenewMs) { it.toLong() },
+                promiseMs = read("promise_ms", d.promiseMs) { it.toLong() },
+                outageLimitMs = read("outage_limit_ms", d.outageLimitMs) { it.toLong() },
+                idleReturnS = read("idle_return_s", d.idleReturnS) { it.toDouble() },
+                standbyShare = read("standby_share", d.standbyShare) { it.toDouble() },
+                urgentReserve = read("urgent_reserve", d.urgentReserve) { it.toDouble() },
+                patienceS = read("patience_s", d.patienceS) { it.toDouble() },
+                patienceShare = read("patience_share", d.patienceShare) { it.toDouble() },
+                spareMachines = read("spare_machines", d.spareMachines) { it.toInt() },
+                maxMachines = read("max_machines", d.maxMachines) { it.toInt() },
+            )
+        if (s.leaderRenewMs * 2 >
+            s.leaderLeaseMs
+        ) {
+            throw BadSettings("$source: field leader_renew_ms must be at most half of leader_lease_ms")
+        }
         return s
     }
 
     private fun oneLine(e: TextFormat.ParseException): String =
-        e.message.orEmpty().substringAfter(": ").lines().joinToString(" ") { it.trim() }
+        e.message
+            .orEmpty()
+            .substringAfter(": ")
+            .lines()
+            .joinToString(" ") { it.trim() }
 
     private fun value(message: DynamicMessage.Builder, name: String, source: String): Number? {
         val field = message.descriptorForType.findFieldByName(name)
@@ -89,11 +102,25 @@
         val message = DescriptorProto.newBuilder().setName("OperatorSettings")
         fields.forEachIndexed { i, f ->
             message.addField(
-                FieldDescriptorProto.newBuilder().setName(f.name).setNumber(i + 1).setType(f.type)
+                FieldDescriptorProto
+                    .newBuilder()
+                    .setName(f.name)
+                    .setNumber(i + 1)
+                    .setType(f.type)
                     .setLabel(FieldDescriptorProto.Label.LABEL_OPTIONAL),
             )
         }
-        val file = FileDescriptorProto.newBuilder().setName("operator.proto").setSyntax("proto2").addMessageType(message)
-        return Descriptors.FileDescriptor.buildFrom(file.build(), emptyArray()).findMessageTypeByName("OperatorSettings")
+        val file =
+            FileDescriptorProto
+                .newBuilder()
+                .setName(
+                    "operator.proto",
+                ).setSyntax("proto2")
+                .addMessageType(message)
+        return Descriptors.FileDescriptor
+            .buildFrom(
+                file.build(),
+                emptyArray(),
+            ).findMessageTypeByName("OperatorSettings")
     }
 }
--- a/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
@@ -27,13 +27,23 @@
 /** Budget and limits of the state service. */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val txnOps: Int) {
     /** The smaller of each. */
-    fun within(other: StateLimits) = StateLimits(
-        minOf(rps, other.rps), minOf(writeRps, other.writeRps), minOf(valueBytes, other.valueBytes), minOf(txnOps, other.txnOps),
-    )
+    fun within(other: StateLimits) =
+        StateLimits(
+            minOf(rps, other.rps),
+            minOf(writeRps, other.writeRps),
+            minOf(valueBytes, other.valueBytes),
+            minOf(txnOps, other.txnOps),
+        )
 }
 
 /** An aim on how soon a class of jobs should start or finish. */
-data class Objective(val kind: String, val workload: String?, val withinS: Double?, val share: Double, val times: Double = 1.0)
+data class Objective(
+    val kind: String,
+    val workload: String?,
+    val withinS: Double?,
+    val share: Double,
+    val times: Double = 1.0,
+)
 
 /** What the platform hands to every controller. */
 data class PlatformSettings(
@@ -61,21 +71,23 @@
     companion object {
         /** Reads and checks the settings file at [path]. */
         fun load(path: Path): PlatformSettings {
-            val text = try {
-                Files.readString(path)
-            } catch (e: IOException) {
-                throw BadSettings("$path: cannot be read")
-            }
+            val text =
+                try {
+                    Files.readString(path)
+                } catch (e: IOException) {
+                    throw BadSettings("$path: cannot be read")
+                }
             return parse(text, path.toString())
         }
 
         /** Parses settings; [source] is what errors call them. */
         fun parse(text: String, source: String): PlatformSettings {
-            val root = try {
-                Json.parseToJsonElement(text)
-            } catch (e: SerializationException) {
-                throw BadSettings("$source: not JSON")
-            }
+            val root =
+                try {
+                    Json.parseToJsonElement(text)
+                } catch (e: SerializationException) {
+                    throw BadSettings("$source: not JSON")
+                }
             return read(Node(root, "", source))
         }
 
@@ -85,27 +97,32 @@
             val state = facts.at("state")
             val cloud = facts.at("cloud")
             val limits = limits(state, null)
-            val settings = PlatformSettings(
-                label = root.at("label").text(),
-                location = root.at("location").text(),
-                clientListen = root.at("client_listen").address(),
-                meshAddress = root.at("mesh_addr").address(),
-                peers = root.at("seeds").items().map { Peer(it.at("label").text(), it.at("endpoint").address()) },
-                state = root.at("external").at("state").address(),
-                cloud = root.at("external").at("cloud").address(),
-                teams = facts.at("teams").items().map(::team),
-                objectives = facts.optional("objectives")?.items()?.map(::objective) ?: emptyList(),
-                reportS = workers.at("report_s").number(0.05, 600.0),
-                leaseS = workers.at("lease_s").number(0.5, 3600.0),
-                cancelS = workers.at("cancel_s").number(1.0, 86400.0),
-                stateLimits = state.optional("next")?.let { limits(it, limits).within(limits) } ?: limits,
-                stateLimitsNow = limits,
-                cloudRps = cloud.at("rps").number(0.05, 1e5),
-                listLagS = cloud.at("list_lag_s").number(0.0, 3600.0),
-                maxConnections = facts.optional("machine_limits")?.optional("max_connections")
-                    ?.number(16.0, 1e6)?.toInt() ?: 1000,
-                skewMs = facts.optional("skew_ms")?.number(0.0, 1e7) ?: 1000.0,
-            )
+            val settings =
+                PlatformSettings(
+                    label = root.at("label").text(),
+                    location = root.at("location").text(),
+                    clientListen = root.at("client_listen").address(),
+                    meshAddress = root.at("mesh_addr").address(),
+                    peers = root.at("seeds").items().map { Peer(it.at("label").text(), it.at("endpoint").address()) },
+                    state = root.at("external").at("state").address(),
+                    cloud = root.at("external").at("cloud").address(),
+                    teams = facts.at("teams").items().map(::team),
+                    objectives = facts.optional("objectives")?.items()?.map(::objective) ?: emptyList(),
+                    reportS = workers.at("report_s").number(0.05, 600.0),
+                    leaseS = workers.at("lease_s").number(0.5, 3600.0),
+                    cancelS = workers.at("cancel_s").number(1.0, 86400.0),
+                    stateLimits = state.optional("next")?.let { limits(it, limits).within(limits) } ?: limits,
+                    stateLimitsNow = limits,
+                    cloudRps = cloud.at("rps").number(0.05, 1e5),
+                    listLagS = cloud.at("list_lag_s").number(0.0, 3600.0),
+                    maxConnections =
+                        facts
+                            .optional("machine_limits")
+                            ?.optional("max_connections")
+                            ?.number(16.0, 1e6)
+                            ?.toInt() ?: 1000,
+                    skewMs = facts.optional("skew_ms")?.number(0.0, 1e7) ?: 1000.0,
+                )
             val labels = settings.peers.map { it.label } + settings.label
             if (labels.toSet().size != labels.size) root.at("seeds").fail("names a controller twice")
             return settings
@@ -124,24 +141,26 @@
         }
 
         private fun team(n: Node): Team {
-            val team = Team(
-                name = n.at("name").text(),
-                cpus = n.at("cpus").number(0.0, 1e9),
-                cpusMax = n.at("cpus_max").number(0.0, 1e9),
-                cards = n.optional("gpus")?.number(0.0, 1e9) ?: 0.0,
-                cardsMax = n.optional("gpus_max")?.number(0.0, 1e9) ?: 0.0,
-            )
+            val team =
+                Team(
+                    name = n.at("name").text(),
+                    cpus = n.at("cpus").number(0.0, 1e9),
+                    cpusMax = n.at("cpus_max").number(0.0, 1e9),
+                    cards = n.optional("gpus")?.number(0.0, 1e9) ?: 0.0,
+                    cardsMax = n.optional("gpus_max")?.number(0.0, 1e9) ?: 0.0,
+                )
             if (team.cpusMax < team.cpus) n.at("cpus_max").fail("is below cpus")
             return team
         }
 
-        private fun objective(n: Node) = Objective(
-            kind = n.at("kind").text(),
-            workload = n.optional("class")?.text(),
-            withinS = n.optional("within_s")?.number(0.0, 1e9),
-            share = n.optional("share")?.number(0.0, 1.0) ?: 1.0,
-            times = n.optional("times")?.number(0.0, 1e6) ?: 1.0,
-        )
+        private fun objective(n: Node) =
+            Objective(
+                kind = n.at("kind").text(),
+                workload = n.optional("class")?.text(),
+                withinS = n.optional("within_s")?.number(0.0, 1e9),
+                share = n.optional("share")?.number(0.0, 1.0) ?: 1.0,
+                times = n.optional("times")?.number(0.0, 1e6) ?: 1.0,
+            )
     }
 }
 
@@ -155,9 +174,10 @@
         return Node(child, join(name), source)
     }
 
-    fun items(): List<Node> = (element as? JsonArray ?: fail("is not a list")).mapIndexed { i, e ->
-        Node(e, "$path[$i]", source)
-    }
+    fun items(): List<Node> =
+        (element as? JsonArray ?: fail("is not a list")).mapIndexed { i, e ->
+            Node(e, "$path[$i]", source)
+        }
 
     fun text(): String {
         val p = element as? JsonPrimitive
--- a/src/main/kotlin/org/chalkhollow/wire/Fields.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/Fields.kt
@@ -1,6 +1,8 @@
 package org.chalkhollow.wire
 
-/** Strict access to the fields of a decoded map: what is required must be there and of its type, the rest is ignored. */
+/**
+ * Strict access to the fields of a decoded map: what is required must be there and of its type, the rest is ignored.
+ */
 @JvmInline
 value class Fields(val map: Map<String, Any?>) {
     fun text(name: String): String = map[name] as? String ?: bad(name)
@@ -11,21 +13,23 @@
 
     fun long(name: String): Long = longOrNull(name) ?: bad(name)
 
-    fun longOrNull(name: String): Long? = when (val v = map[name]) {
-        null -> null
-        is Long -> if (v >= 0) v else bad(name)
-        is Double -> if (v >= 0 && v < 9e15 && v == Math.floor(v)) v.toLong() else bad(name)
-        else -> bad(name)
-    }
+    fun longOrNull(name: String): Long? =
+        when (val v = map[name]) {
+            null -> null
+            is Long -> if (v >= 0) v else bad(name)
+            is Double -> if (v >= 0 && v < 9e15 && v == Math.floor(v)) v.toLong() else bad(name)
+            else -> bad(name)
+        }
 
     fun number(name: String): Double = numberOrNull(name) ?: bad(name)
 
-    fun numberOrNull(name: String): Double? = when (val v = map[name]) {
-        null -> null
-        is Double -> if (v.isFinite()) v else bad(name)
-        is Long -> v.toDouble()
-        else -> bad(name)
-    }
+    fun numberOrNull(name: String): Double? =
+        when (val v = map[name]) {
+            null -> null
+            is Double -> if (v.isFinite()) v else bad(name)
+            is Long -> v.toDouble()
+            else -> bad(name)
+        }
 
     /** A number that must be at least [least] and at most [most]. */
     fun amount(name: String, least: Double = 0.0, most: Double = 1e9): Double =
--- a/src/main/kotlin/org/chalkhollow/wire/Pack.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/Pack.kt
@@ -2,9 +2,9 @@
 
 import org.msgpack.core.MessageFormat
 import org.msgpack.core.MessagePack
+import org.msgpack.core.MessagePackException
 import org.msgpack.core.MessagePacker
 import org.msgpack.core.MessageUnpacker
-import org.msgpack.core.MessagePackException
 import org.msgpack.value.ValueType
 
 /** A message that does not keep to its protocol; [message] says where. */
@@ -66,7 +66,10 @@
     internal fun MessageUnpacker.take(depth: Int): Any? {
         if (depth > MAX_DEPTH) throw Malformed("nested too deeply")
         return when (nextFormat.valueType) {
-            ValueType.NIL -> { unpackNil(); null }
+            ValueType.NIL -> {
+                unpackNil()
+                null
+            }
             ValueType.BOOLEAN -> unpackBoolean()
             ValueType.INTEGER -> takeInteger()
             ValueType.FLOAT -> unpackDouble()
--- a/src/main/kotlin/org/chalkhollow/wire/ReportReader.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/ReportReader.kt
@@ -5,8 +5,8 @@
 import java.util.Arrays
 
 /**
- * Decodes workers' reports. Most reports repeat the task list of the one before, so that list is decoded once: while its
- * bytes stay the same, the same [WorkerReport.tasks] instance is handed out again.
+ * Decodes workers' reports. Most reports repeat the task list of the one before, so that list is decoded once: while
+ * its bytes stay the same, the same [WorkerReport.tasks] instance is handed out again.
  */
 class ReportReader {
     private class Known(val bytes: ByteArray, val tasks: List<TaskReport>)
@@ -38,7 +38,9 @@
     private fun tasks(machine: String, body: ByteArray, from: Int, until: Int): List<TaskReport> {
         val before = known[machine]
         if (before != null && Arrays.equals(before.bytes, 0, before.bytes.size, body, from, until)) return before.tasks
-        val list = Pack.read(body, from, until - from) { it.take(1) } as? List<*> ?: throw Malformed("field $TASKS is missing or invalid")
+        val list =
+            Pack.read(body, from, until - from) { it.take(1) } as? List<*>
+                ?: throw Malformed("field $TASKS is missing or invalid")
         val tasks = list.map { WorkerCodec.task(Fields.of(it, TASKS)) }
         if (until - from <= MOST_BYTES) {
             if (known.size >= MOST_KNOWN) known.clear()
--- a/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
@@ -33,10 +33,20 @@
 
 /** Bodies of the state service and of the cloud. */
 object ServiceCodec {
-    fun commit(conditions: List<Condition>, changes: List<Change>): Map<String, Any?> = mapOf(
-        "if" to conditions.map { mapOf("key" to it.key, "stamp" to it.stamp) },
-        "apply" to changes.map { if (it.value == null) mapOf("remove" to it.key) else mapOf("set" to it.key, "value" to it.value) },
-    )
+    fun commit(conditions: List<Condition>, changes: List<Change>): Map<String, Any?> =
+        mapOf(
+            "if" to conditions.map { mapOf("key" to it.key, "stamp" to it.stamp) },
+            "apply" to
+                changes.map {
+                    if (it.value ==
+                        null
+                    ) {
+                        mapOf("remove" to it.key)
+                    } else {
+                        mapOf("set" to it.key, "value" to it.value)
+                    }
+                },
+        )
 
     fun revision(body: ByteArray): Long = Pack.decodeMap(body).long("ledger")
 
@@ -47,18 +57,19 @@
         return Rows(f.maps("rows").map { Row(it.text("key"), it.map["value"], it.long("stamp")) }, f.flag("more"))
     }
 
-    fun catalog(body: ByteArray): List<MachineType> = Pack.decodeMap(body).maps("flavours").map { f ->
-        MachineType(
-            name = f.text("sku"),
-            room = Resources(f.amount("vcpus"), f.numberOrNull("cards") ?: 0.0, f.amount("memoryGb")),
-            imageGbPerS = f.numberOrNull("pullGbPerS") ?: 0.1,
-            cacheGb = f.numberOrNull("localGb") ?: 0.0,
-            price = f.amount("price"),
-            spotPrice = f.numberOrNull("lowPrice") ?: f.amount("price"),
-            bootS = f.numberOrNull("readyS") ?: 60.0,
-            zones = f.texts("sites"),
-        )
-    }
+    fun catalog(body: ByteArray): List<MachineType> =
+        Pack.decodeMap(body).maps("flavours").map { f ->
+            MachineType(
+                name = f.text("sku"),
+                room = Resources(f.amount("vcpus"), f.numberOrNull("cards") ?: 0.0, f.amount("memoryGb")),
+                imageGbPerS = f.numberOrNull("pullGbPerS") ?: 0.1,
+                cacheGb = f.numberOrNull("localGb") ?: 0.0,
+                price = f.amount("price"),
+                spotPrice = f.numberOrNull("lowPrice") ?: f.amount("price"),
+                bootS = f.numberOrNull("readyS") ?: 60.0,
+                zones = f.texts("sites"),
+            )
+        }
 
     fun rent(request: String, type: String, zone: String, spot: Boolean, count: Int): Map<String, Any?> =
         mapOf("booking" to request, "flavour" to type, "site" to zone, "standby" to spot, "number" to count)
@@ -72,18 +83,20 @@
         return ListedPage(f.maps("hosts").map(::listed), f.flag("more"))
     }
 
-    private fun listed(f: Fields) = ListedMachine(
-        name = f.text("nameId"),
-        address = f.textOrNull("address") ?: "",
-        type = f.text("flavour"),
-        zone = f.text("site"),
-        spot = f.flag("standby"),
-        status = when (f.text("status")) {
-            "starting" -> ListedMachine.Status.STARTING
-            "running" -> ListedMachine.Status.RUNNING
-            "failed" -> ListedMachine.Status.FAILED
-            else -> throw Malformed("field status is missing or invalid")
-        },
-        ageS = f.numberOrNull("ageS") ?: 0.0,
-    )
+    private fun listed(f: Fields) =
+        ListedMachine(
+            name = f.text("nameId"),
+            address = f.textOrNull("address") ?: "",
+            type = f.text("flavour"),
+            zone = f.text("site"),
+            spot = f.flag("standby"),
+            status =
+                when (f.text("status")) {
+                    "starting" -> ListedMachine.Status.STARTING
+                    "running" -> ListedMachine.Status.RUNNING
+                    "failed" -> ListedMachine.Status.FAILED
+                    else -> throw Malformed("field status is missing or invalid")
+                },
+            ageS = f.numberOrNull("ageS") ?: 0.0,
+        )
 }
--- a/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
@@ -13,12 +13,13 @@
     private const val MAX_TASKS = 100_000L
     private const val MAX_NAME = 200
 
-    private val priorities = mapOf(
-        "production" to Priority.PRODUCTION,
-        "high" to Priority.HIGH,
-        "standard" to Priority.STANDARD,
-        "best_effort" to Priority.BEST_EFFORT,
-    )
+    private val priorities =
+        mapOf(
+            "production" to Priority.PRODUCTION,
+            "high" to Priority.HIGH,
+            "standard" to Priority.STANDARD,
+            "best_effort" to Priority.BEST_EFFORT,
+        )
     private val shapes = mapOf("batch" to Shape.ARRAY, "group" to Shape.GANG, "service" to Shape.SERVICE)
     private val shapeNames = shapes.entries.associate { (k, v) -> v to k }
     private val priorityNames = priorities.entries.associate { (k, v) -> v to k }
@@ -30,12 +31,15 @@
     /** Reads a submission, which must have every field; only `flavours`, `site` and `dueS` may be null or omitted. */
     fun job(bytes: ByteArray): JobSpec = read(Pack.decodeMap(bytes), stored = false)
 
-    /** Reads a job that was written down by [map], also by earlier versions that took jobs without an image or an estimate. */
+    /**
+     * Reads a job that was written down by [map], also by earlier versions that took jobs without an image or an
+     * estimate.
+     */
     fun storedJob(f: Fields): JobSpec = read(f, stored = true)
 
     /**
-     * The job id in a submission that [job] cannot read, if it can still be read and has the right form: the body may be cut
-     * short or malformed after it.
+     * The job id in a submission that [job] cannot read, if it can still be read and has the right form: the body may
+     * be cut short or malformed after it.
      */
     fun idIn(bytes: ByteArray): String? {
         var id: String? = null
@@ -92,14 +96,29 @@
     }
 
     /** The same job as a map, in the form in which jobs are written down: fields that are null are left out. */
-    fun map(spec: JobSpec): Map<String, Any?> = mapOf(
-        "nameId" to spec.id, "workload" to spec.workload, "owner" to spec.team, "shape" to shapeNames.getValue(spec.shape),
-        "urgency" to priorityNames.getValue(spec.priority), "pieces" to spec.tasks,
-        "vcpus" to spec.each.cpus, "cards" to spec.each.cards, "memoryGb" to spec.each.memoryGb,
-        "bundle" to spec.image, "pullGb" to spec.imageGb, "flavours" to spec.types, "site" to spec.zone,
-        "together" to spec.together, "spread" to spec.spread, "standby" to spec.spotAllowed,
-        "expectedS" to spec.expectedS, "snapshotS" to spec.checkpointS, "flushS" to spec.saveS, "dueS" to spec.dueS,
-    ).filterValues { it != null }
+    fun map(spec: JobSpec): Map<String, Any?> =
+        mapOf(
+            "nameId" to spec.id,
+            "workload" to spec.workload,
+            "owner" to spec.team,
+            "shape" to shapeNames.getValue(spec.shape),
+            "urgency" to priorityNames.getValue(spec.priority),
+            "pieces" to spec.tasks,
+            "vcpus" to spec.each.cpus,
+            "cards" to spec.each.cards,
+            "memoryGb" to spec.each.memoryGb,
+            "bundle" to spec.image,
+            "pullGb" to spec.imageGb,
+            "flavours" to spec.types,
+            "site" to spec.zone,
+            "together" to spec.together,
+            "spread" to spec.spread,
+            "standby" to spec.spotAllowed,
+            "expectedS" to spec.expectedS,
+            "snapshotS" to spec.checkpointS,
+            "flushS" to spec.saveS,
+            "dueS" to spec.dueS,
+        ).filterValues { it != null }
 
     fun status(id: String, state: String): Map<String, Any?> = mapOf("nameId" to id, "status" to state)
 
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -29,43 +29,57 @@
     val attempt: Long
 
     data class Start(override val jobId: String, override val index: Int, override val attempt: Long) : Command
+
     data class Stop(
         override val jobId: String,
         override val index: Int,
         override val attempt: Long,
         val graceS: Double,
     ) : Command
+
     data class Forget(override val jobId: String, override val index: Int, override val attempt: Long) : Command
 }
 
 /** The workers' side of the protocol. */
 object WorkerCodec {
-    private val phases = mapOf(
-        "pulling" to TaskReport.Phase.FETCHING, "gathering" to TaskReport.Phase.FETCHING, "running" to TaskReport.Phase.RUNNING,
-        "saving" to TaskReport.Phase.SAVING, "exited" to TaskReport.Phase.EXITED,
-    )
-    private val causes = mapOf(
-        "done" to ExitCause.DONE, "halted" to ExitCause.HALTED, "error" to ExitCause.ERROR,
-        "full" to ExitCause.FULL, "busy" to ExitCause.BUSY, "peers" to ExitCause.HALTED, "incomplete" to ExitCause.HALTED, "no_such" to ExitCause.NO_SUCH,
-    )
+    private val phases =
+        mapOf(
+            "pulling" to TaskReport.Phase.FETCHING,
+            "gathering" to TaskReport.Phase.FETCHING,
+            "running" to TaskReport.Phase.RUNNING,
+            "saving" to TaskReport.Phase.SAVING,
+            "exited" to TaskReport.Phase.EXITED,
+        )
+    private val causes =
+        mapOf(
+            "done" to ExitCause.DONE,
+            "halted" to ExitCause.HALTED,
+            "error" to ExitCause.ERROR,
+            "full" to ExitCause.FULL,
+            "busy" to ExitCause.BUSY,
+            "peers" to ExitCause.HALTED,
+            "incomplete" to ExitCause.HALTED,
+            "no_such" to ExitCause.NO_SUCH,
+        )
 
     fun report(bytes: ByteArray): WorkerReport {
         val f = Pack.decodeMap(bytes)
         return report(f, f.maps("pieces").map(::task))
     }
 
-    internal fun report(f: Fields, tasks: List<TaskReport>) = WorkerReport(
-        machine = f.text("host"),
-        address = f.text("address"),
-        type = f.text("flavour"),
-        zone = f.text("site"),
-        spot = f.flag("standby"),
-        session = f.long("tenure"),
-        seq = f.long("tally"),
-        token = f.long("mandate"),
-        noticeS = f.numberOrNull("warningS"),
-        tasks = tasks,
-    )
+    internal fun report(f: Fields, tasks: List<TaskReport>) =
+        WorkerReport(
+            machine = f.text("host"),
+            address = f.text("address"),
+            type = f.text("flavour"),
+            zone = f.text("site"),
+            spot = f.flag("standby"),
+            session = f.long("tenure"),
+            seq = f.long("tally"),
+            token = f.long("mandate"),
+            noticeS = f.numberOrNull("warningS"),
+            tasks = tasks,
+        )
 
     internal fun task(f: Fields): TaskReport {
         val name = f.text("piece")
@@ -92,11 +106,12 @@
     fun redirect(label: String): Map<String, Any?> = mapOf("overseer" to label)
 
     private fun order(c: Command): Map<String, Any?> {
-        val verb = when (c) {
-            is Command.Start -> "start"
-            is Command.Stop -> "kill"
-            is Command.Forget -> "forget"
-        }
+        val verb =
+            when (c) {
+                is Command.Start -> "start"
+                is Command.Stop -> "kill"
+                is Command.Forget -> "forget"
+            }
         val map = LinkedHashMap<String, Any?>()
         map["verb"] = verb
         map["piece"] = c.jobId + "/" + c.index
--- a/src/test/kotlin/org/chalkhollow/MeetingsOfMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MeetingsOfMachinesTest.kt
@@ -6,7 +6,6 @@
 import org.chalkhollow.rehearsal.Stage
 import org.chalkhollow.rehearsal.Stage.Companion.START_MS
 import org.chalkhollow.rehearsal.WorkerStand
-import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -38,7 +37,20 @@
         r.network.late = 0.0
         r.begin(0, 1)
         var id = ""
-        r.world.after(12_000) { id = r.users.submit { it.copy(tasks = 6, each = Resources(2.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, expectedS = 300.0) } }
+        r.world.after(12_000) {
+            id =
+                r.users.submit {
+                    it.copy(
+                        tasks = 6,
+                        each = Resources(2.0, 0.0, 1.0),
+                        types = null,
+                        zone = null,
+                        together = false,
+                        spread = false,
+                        expectedS = 300.0,
+                    )
+                }
+        }
         r.world.runUntil(40_000)
         assertTrue(r.cloud.workers.sumOf { it.onMachine().size } == 6)
         r.users.cancel(id)
@@ -49,7 +61,11 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,22000,false")
-    fun `a team at its limit changes leaders while machines can't be asked and a job is called off`(seed: Long, leaseMs: Long, holds: Boolean) {
+    fun `a team at its limit changes leaders while machines can't be asked and a job is called off`(
+        seed: Long,
+        leaseMs: Long,
+        holds: Boolean,
+    ) {
         val s = Stage(seed, leaseMs)
         s.begin(jobs = 8, long = 0)
         val ids = ArrayList<String>()
@@ -57,7 +73,13 @@
         s.at(START_MS) { s.busy().take(4).forEach { cut(s, it, leaseMs - 4000 + 6000 * (seed % 3), holds) } }
         s.at(START_MS + 500) { crashLeader(s, 3000) }
         s.at(START_MS + 300 + seed % 5 * 700) { ids.take(2).forEach(s::cancel) }
-        repeat(4) { s.at(START_MS + 1000 + it * 1500L) { s.r.users.submit { j -> s.plain(j, "red").copy(tasks = 5, expectedS = 30.0) } } }
+        repeat(4) {
+            s.at(START_MS + 1000 + it * 1500L) {
+                s.r.users.submit { j ->
+                    s.plain(j, "red").copy(tasks = 5, expectedS = 30.0)
+                }
+            }
+        }
         s.at(START_MS + 9000) { ids.drop(2).take(1).forEach(s::cancel) }
         s.at(START_MS + 14_000) { crashLeader(s, 2000) }
         s.play(START_MS + 40_000)
@@ -69,14 +91,40 @@
         val s = Stage(seed)
         s.begin(jobs = 10, long = 3)
         repeat(3) { i ->
-            s.at(7000L + i * 300) { s.r.users.submit { s.plain(it).copy(workload = "bound", tasks = 5, zone = "east", expectedS = 50.0) } }
-            s.at(7100L + i * 300) { s.r.users.submit { s.plain(it).copy(workload = "together", tasks = 4, together = true, expectedS = 50.0) } }
-            s.at(7200L + i * 300) { s.r.users.submit { s.plain(it).copy(workload = "spread", tasks = 5, spread = true, expectedS = 50.0) } }
+            s.at(7000L + i * 300) {
+                s.r.users.submit { s.plain(it).copy(workload = "bound", tasks = 5, zone = "east", expectedS = 50.0) }
+            }
+            s.at(7100L + i * 300) {
+                s.r.users.submit {
+                    s
+                        .plain(
+                            it,
+                        ).copy(workload = "together", tasks = 4, together = true, expectedS = 50.0)
+                }
+            }
+            s.at(7200L + i * 300) {
+                s.r.users.submit { s.plain(it).copy(workload = "spread", tasks = 5, spread = true, expectedS = 50.0) }
+            }
+        }
+        s.at(START_MS) {
+            s.r.cloud.workers
+                .filter {
+                    it.present && it.zone == "east" && s.world.chance(0.7)
+                }.forEach { s.r.cloud.kill(it.name) }
+        }
+        s.at(START_MS + 8000) {
+            s.r.cloud.workers
+                .filter {
+                    it.present && it.zone == "west" && s.world.chance(0.5)
+                }.forEach { cut(s, it, 20_000, true) }
         }
-        s.at(START_MS) { s.r.cloud.workers.filter { it.present && it.zone == "east" && s.world.chance(0.7) }.forEach { s.r.cloud.kill(it.name) } }
-        s.at(START_MS + 8000) { s.r.cloud.workers.filter { it.present && it.zone == "west" && s.world.chance(0.5) }.forEach { cut(s, it, 20_000, true) } }
         s.at(START_MS + 12_000) { crashLeader(s, 2000) }
-        s.at(START_MS + 13_000) { s.r.cloud.workers.filter { it.present && it.zone == "east" && s.world.chance(0.5) }.forEach { s.r.cloud.kill(it.name) } }
+        s.at(START_MS + 13_000) {
+            s.r.cloud.workers
+                .filter {
+                    it.present && it.zone == "east" && s.world.chance(0.5)
+                }.forEach { s.r.cloud.kill(it.name) }
+        }
         s.play(START_MS + 40_000)
     }
 
@@ -89,7 +137,13 @@
         s.at(START_MS + 1000) { s.cancelNow(3) }
         s.at(START_MS + 3000) { crashLeader(s, 3000) }
         s.at(START_MS + 6000) { s.cancelNow(1) }
-        s.at(START_MS + 20_000) { s.r.cloud.workers.filter { it.present && s.world.chance(0.4) }.forEach { it.mute(5000) } }
+        s.at(
+            START_MS + 20_000,
+        ) {
+            s.r.cloud.workers
+                .filter { it.present && s.world.chance(0.4) }
+                .forEach { it.mute(5000) }
+        }
         s.play(START_MS + leaseMs + 20_000)
     }
 
@@ -137,8 +191,21 @@
             s.at(START_MS + i * 2500L) {
                 s.r.users.submit {
                     s.plain(it).copy(
-                        workload = if (i % 2 == 0) "urgent" else "wide", priority = if (i % 2 == 0) Priority.HIGH else Priority.BEST_EFFORT,
-                        tasks = 8, each = Resources(3.0, 0.0, 4.0), expectedS = 15.0, checkpointS = 2.0, saveS = 1.0 + seed % 5,
+                        workload =
+                            if (i % 2 ==
+                                0
+                            ) {
+                                "urgent"
+                            } else {
+                                "wide"
+                            },
+                        priority = if (i % 2 == 0) Priority.HIGH else Priority.BEST_EFFORT,
+                        tasks = 8,
+                        each = Resources(3.0, 0.0, 4.0),
+                        expectedS = 15.0,
+                        checkpointS = 2.0,
+                        saveS =
+                            1.0 + seed % 5,
                     )
                 }
             }
@@ -157,8 +224,12 @@
     fun `reports are held back until a new leader has acted`(seed: Long, leaseMs: Long) {
         val s = Stage(seed, leaseMs)
         s.begin()
-        for (at in listOf(-4000L, -800L, -100L)) s.at(START_MS + at) {
-            s.r.cloud.workers.filter { it.present }.forEach { w -> w.holdReport(s.world.between(2500, leaseMs + 12_000)) }
+        for (at in listOf(-4000L, -800L, -100L)) {
+            s.at(START_MS + at) {
+                s.r.cloud.workers.filter { it.present }.forEach { w ->
+                    w.holdReport(s.world.between(2500, leaseMs + 12_000))
+                }
+            }
         }
         s.at(START_MS - 50) { s.cancelNow(2) }
         s.at(START_MS) { crashLeader(s, 4000) }
@@ -169,13 +240,32 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,22000,false")
-    fun `a leader ends while machines with long tasks can't be reached or don't hear the new one`(seed: Long, leaseMs: Long, deaf: Boolean) {
+    fun `a leader ends while machines with long tasks can't be reached or don't hear the new one`(
+        seed: Long,
+        leaseMs: Long,
+        deaf: Boolean,
+    ) {
         val s = Stage(seed, leaseMs)
         s.begin()
         s.at(START_MS - 200) {
             s.busy().forEachIndexed { i, w ->
                 if (i % 2 == 0) return@forEachIndexed
-                if (deaf) deafen(s, w, leaseMs + 9000) else cut(s, w, if (i % 4 == 1) leaseMs - 3000 else leaseMs + 9000, true)
+                if (deaf) {
+                    deafen(s, w, leaseMs + 9000)
+                } else {
+                    cut(
+                        s,
+                        w,
+                        if (i % 4 ==
+                            1
+                        ) {
+                            leaseMs - 3000
+                        } else {
+                            leaseMs + 9000
+                        },
+                        true,
+                    )
+                }
             }
         }
         s.at(START_MS) { crashLeader(s, 5000) }
@@ -190,8 +280,17 @@
         val s = Stage(seed, leaseMs)
         s.r.network.copies = 0.05
         s.begin()
-        for (i in 0L..9L) s.at(START_MS + i * 4000) {
-            s.r.cloud.workers.filter { it.present && s.world.chance(0.5) }.forEach { w -> w.holdReport(s.world.between(1000, leaseMs * 2)) }
+        for (i in 0L..9L) {
+            s.at(START_MS + i * 4000) {
+                s.r.cloud.workers.filter { it.present && s.world.chance(0.5) }.forEach { w ->
+                    w.holdReport(
+                        s.world.between(
+                            1000,
+                            leaseMs * 2,
+                        ),
+                    )
+                }
+            }
         }
         s.at(START_MS + 5000) { s.busy().take(2).forEach { it.reboot() } }
         s.at(START_MS + 7000) { s.cancelNow(2) }
@@ -201,7 +300,10 @@
         s.play(START_MS + 40_000 + leaseMs * 2 + 45_000)
     }
 
-    /** A new leader gets a report of a machine's earlier session, then an old one of this session, then the machine's own. */
+    /**
+     * A new leader gets a report of a machine's earlier session, then an old one of this session, then the machine's
+     * own.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `old reports of two sessions reach a new leader before the machine's own`(seed: Long) {
@@ -218,6 +320,7 @@
         assertTrue(machine.onMachine().isNotEmpty(), "nothing began there again")
         cut(s, machine, 3500, holds = false)
         s.leader()?.crash()
+
         fun onceLed() {
             val leader = s.leader() ?: return s.world.after(20) { onceLed() }
             s.world.after(250) {
