--- a/src/test/kotlin/org/chalkhollow/MeetingsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MeetingsTest.kt
@@ -7,11 +7,13 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Troubles with the state service and among the controllers that meet others; every rule is checked after each step. */
+/**
+ * Troubles with the state service and among the controllers that meet others; every rule is checked after each step.
+ */
 class MeetingsTest {
     /**
-     * The state service refuses the leader alone, and jobs are called off around that moment; then it is out for everybody,
-     * for longer than a cancelled task may live, [offsetMs] after another controller leads.
+     * The state service refuses the leader alone, and jobs are called off around that moment; then it is out for
+     * everybody, for longer than a cancelled task may live, [offsetMs] after another controller leads.
      */
     private fun refusedThenOut(seed: Long, leaseMs: Long, slowMs: Long, offsetMs: Long?): Long {
         val s = Stage(seed, leaseMs)
@@ -23,6 +25,7 @@
         s.world.runUntil(START_MS + 300)
         s.r.state.refuse(checkNotNull(first).label, 12_000)
         var handover = 0L
+
         fun watch() {
             val now = s.leader()
             if (now != null && now !== first) handover = s.world.time else s.world.after(10) { watch() }
@@ -41,7 +44,11 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,0", "2,16000,0", "3,22000,0", "4,22000,300")
-    fun `jobs are called off while a leader is refused alone, and an outage follows the handover`(seed: Long, leaseMs: Long, slowMs: Long) {
+    fun `jobs are called off while a leader is refused alone, and an outage follows the handover`(
+        seed: Long,
+        leaseMs: Long,
+        slowMs: Long,
+    ) {
         val handover = refusedThenOut(seed, leaseMs, slowMs, null)
         assertTrue(handover > 0, "nobody took over")
         val broken = ArrayList<String>()
@@ -57,7 +64,10 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,22000", "140,8000")
-    fun `jobs are called off just before a leader is refused alone, and an outage follows the handover`(seed: Long, leaseMs: Long) {
+    fun `jobs are called off just before a leader is refused alone, and an outage follows the handover`(
+        seed: Long,
+        leaseMs: Long,
+    ) {
         val broken = ArrayList<String>()
         for (offset in 0L..5000L step 50) {
             val s = Stage(seed, leaseMs)
@@ -68,7 +78,13 @@
             s.at(START_MS) { s.leader()?.let { s.r.state.refuse(it.label, 15_000) } }
             s.at(START_MS + offset) { s.r.state.outage(40_000) }
             s.world.runUntil(START_MS + 75_000)
-            if (s.r.rules.violations.isNotEmpty()) broken.add("$offset ms after the refusal: ${s.r.rules.violations.take(2)}")
+            if (s.r.rules.violations
+                    .isNotEmpty()
+            ) {
+                broken.add(
+                    "$offset ms after the refusal: ${s.r.rules.violations.take(2)}",
+                )
+            }
         }
         assertTrue(broken.isEmpty(), broken.joinToString("\n"))
     }
@@ -117,14 +133,16 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
     fun `jobs are called off when the leader is refused, and a second later all are`(seed: Long, leaseMs: Long) {
-        for (lead in listOf(0L, 150L)) for (outAfter in listOf(800L, 1000L, 1300L)) {
-            val s = Stage(seed, leaseMs)
-            s.begin(jobs = 16, overMs = 60_000)
-            s.at(START_MS - lead) { s.cancelNow(5, if (seed % 3 == 0L) 6000 else 0) }
-            s.at(START_MS) { s.leader()?.let { s.r.state.refuse(it.label, 10_000) } }
-            s.at(START_MS + outAfter) { s.r.state.outage(35_000) }
-            s.world.runUntil(START_MS + 80_000)
-            s.holds()
+        for (lead in listOf(0L, 150L)) {
+            for (outAfter in listOf(800L, 1000L, 1300L)) {
+                val s = Stage(seed, leaseMs)
+                s.begin(jobs = 16, overMs = 60_000)
+                s.at(START_MS - lead) { s.cancelNow(5, if (seed % 3 == 0L) 6000 else 0) }
+                s.at(START_MS) { s.leader()?.let { s.r.state.refuse(it.label, 10_000) } }
+                s.at(START_MS + outAfter) { s.r.state.outage(35_000) }
+                s.world.runUntil(START_MS + 80_000)
+                s.holds()
+            }
         }
     }
 
@@ -167,7 +185,10 @@
         s.at(START_MS + 1200) { s.cancel(id) }
         s.at(START_MS + 2200) { s.r.network.held = 0.0 }
         s.at(START_MS + 2500) { s.r.state.outage(40_000) }
-        s.at(START_MS + 32_500) { s.r.cloud.workers.forEach { it.mute(5000) } } // so that what begins is not stopped at once
+        s.at(START_MS + 32_500) {
+            s.r.cloud.workers
+                .forEach { it.mute(5000) }
+        } // so that what begins is not stopped at once
         s.at(START_MS + 42_000) { assertTrue(s.leader() != null, "nobody leads in the outage") }
         s.world.runUntil(START_MS + 70_000)
         s.holds()
@@ -191,7 +212,11 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,16000,true")
-    fun `a leader is cut from the state service and its peers while workers and users reach it`(seed: Long, leaseMs: Long, holds: Boolean) {
+    fun `a leader is cut from the state service and its peers while workers and users reach it`(
+        seed: Long,
+        leaseMs: Long,
+        holds: Boolean,
+    ) {
         val s = Stage(seed, leaseMs)
         s.begin()
         s.at(START_MS) { s.leader()?.let { s.troubles.isolate(it, 32_000, holds) } }
--- a/src/test/kotlin/org/chalkhollow/RandomRunsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RandomRunsTest.kt
@@ -48,7 +48,8 @@
         assertTrue(r.rules.doneCount >= 30, "only ${r.rules.doneCount} jobs were told to be done")
     }
 
-    // 1453 and 1507: a new leader did not count the tasks of a cancelled job that were still on machines against the limit.
+    // 1453 and 1507: a new leader did not count the tasks of a cancelled job that were still on machines against the
+    // limit.
     @ParameterizedTest
     @ValueSource(longs = [1018, 1453, 1507])
     fun `days that once broke a rule`(seed: Long) {
@@ -74,7 +75,17 @@
         val r = Rehearsal(5)
         r.begin(3, 10_000)
         r.world.after(6000) {
-            r.users.submit { it.copy(tasks = 100_000, expectedS = 0.5, types = null, zone = null, together = false, spread = false, spotAllowed = true) }
+            r.users.submit {
+                it.copy(
+                    tasks = 100_000,
+                    expectedS = 0.5,
+                    types = null,
+                    zone = null,
+                    together = false,
+                    spread = false,
+                    spotAllowed = true,
+                )
+            }
         }
         r.world.after(40_000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
         r.world.runUntil(90_000)
@@ -87,7 +98,11 @@
         val r = Rehearsal(9, controllers = 5, capacity = 380, scale = 25)
         r.network.copies = 0.005
         r.begin(20, 40_000, machines = 300)
-        repeat(30) { r.world.after(r.world.between(0, 60_000)) { r.users.submit { it.copy(tasks = it.tasks * 8, together = false) } } }
+        repeat(30) {
+            r.world.after(
+                r.world.between(0, 60_000),
+            ) { r.users.submit { it.copy(tasks = it.tasks * 8, together = false) } }
+        }
         Troubles(r).draw(12, 10_000, 80_000)
         r.world.after(90_000) { r.network.copies = 0.0 }
         r.rules.calmFrom = 130_000
@@ -99,10 +114,19 @@
     }
 
     /** Machines by the hundred that report every 4 s under a lease of 22 s. */
-    private fun large(seed: Long, controllers: Int, machines: Int) = Rehearsal(
-        seed, OperatorSettings(idleReturnS = 300.0), 22_000, 22.0, controllers = controllers, capacity = machines + 50, scale = machines / 12,
-        reportMs = 4000, stateLimits = StateLimits(180.0, 40.0, 8192, 12),
-    )
+    private fun large(seed: Long, controllers: Int, machines: Int) =
+        Rehearsal(
+            seed,
+            OperatorSettings(idleReturnS = 300.0),
+            22_000,
+            22.0,
+            controllers = controllers,
+            capacity = machines + 50,
+            scale =
+                machines / 12,
+            reportMs = 4000,
+            stateLimits = StateLimits(180.0, 40.0, 8192, 12),
+        )
 
     @ParameterizedTest
     @ValueSource(ints = [3, 5])
@@ -111,9 +135,17 @@
         r.network.copies = 0.002
         r.begin(20, 60_000, machines = 800)
         repeat(800) { r.cloud.add(r.types[it % 2], r.zones[it / 2 % 2], true, 0) }
-        repeat(80) { r.world.after(r.world.between(0, 100_000)) { r.users.submit { it.copy(tasks = it.tasks * 16, together = false) } } }
+        repeat(80) {
+            r.world.after(
+                r.world.between(0, 100_000),
+            ) { r.users.submit { it.copy(tasks = it.tasks * 16, together = false) } }
+        }
         val troubles = Troubles(r)
-        for ((i, kind) in listOf(0, 1, 4, 2, 3, 6, 5, 4).withIndex()) r.world.after(12_000L + i * 13_000) { troubles.mass(kind) }
+        for ((i, kind) in listOf(0, 1, 4, 2, 3, 6, 5, 4).withIndex()) {
+            r.world.after(12_000L + i * 13_000) {
+                troubles.mass(kind)
+            }
+        }
         r.world.after(150_000) { r.network.copies = 0.0 }
         r.rules.calmFrom = 190_000
         r.world.runUntil(280_000)
@@ -122,14 +154,31 @@
         assertTrue(r.rules.completions > 5000, "only ${r.rules.completions} tasks were completed")
     }
 
-    /** Thirty long tasks on forty machines, and what happens to them at 25 s; [trouble] says how many must have begun again by [until]. */
+    /**
+     * Thirty long tasks on forty machines, and what happens to them at 25 s; [trouble] says how many must have begun
+     * again by [until].
+     */
     private fun beginAgain(until: Long, trouble: (Rehearsal, WorkerStand) -> Int) {
         val r = large(33, 3, 80)
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
         repeat(40) { r.cloud.add(r.types[0], r.zones[it % 2], true, 0) }
-        r.world.after(8000) { r.users.submit { it.copy(tasks = 30, each = Resources(4.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 300.0, checkpointS = 0.0) } }
+        r.world.after(8000) {
+            r.users.submit {
+                it.copy(
+                    tasks = 30,
+                    each = Resources(4.0, 0.0, 1.0),
+                    types = null,
+                    zone = null,
+                    together = false,
+                    spread = false,
+                    spotAllowed = true,
+                    expectedS = 300.0,
+                    checkpointS = 0.0,
+                )
+            }
+        }
         r.world.runUntil(25_000)
         val again = trouble(r, r.cloud.workers.first { it.onMachine().isNotEmpty() })
         r.world.runUntil(until)
@@ -151,7 +200,11 @@
     @Test
     fun `a zone that is silent for less than a lease loses nothing`() {
         beginAgain(60_000) { r, _ ->
-            for (w in r.cloud.workers.filter { it.zone == r.zones.last() }) for (n in r.nodes) r.network.cut(n.label, w.name, 16_000, true)
+            for (w in r.cloud.workers.filter {
+                it.zone == r.zones.last()
+            }) {
+                for (n in r.nodes) r.network.cut(n.label, w.name, 16_000, true)
+            }
             0
         }
     }
@@ -163,14 +216,27 @@
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 40)
-        r.world.after(8000) { r.users.submit { it.copy(tasks = 30, each = Resources(4.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, expectedS = 300.0) } }
+        r.world.after(8000) {
+            r.users.submit {
+                it.copy(
+                    tasks = 30,
+                    each = Resources(4.0, 0.0, 1.0),
+                    types = null,
+                    zone = null,
+                    together = false,
+                    spread = false,
+                    expectedS = 300.0,
+                )
+            }
+        }
         r.world.after(25_000) { Troubles(r).mass(6) }
         r.world.runUntil(62_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(30, r.rules.starts, "tasks were lost with their machines' leases and begun again")
     }
 
-    // Reports every 4 s come at the pace of a worker that gets no answer; an earlier version took the one for the other.
+    // Reports every 4 s come at the pace of a worker that gets no answer; an earlier version took the one for the
+    // other.
     @ParameterizedTest
     @ValueSource(longs = [2000, 4000, 9000])
     fun `a machine that hears nothing is noticed at any pace of reports, also by a new leader`(reportMs: Long) {
@@ -182,11 +248,23 @@
             repeat(4) { r.cloud.add(r.types[0], "east", true, 0) }
             r.world.runUntil(15_000)
             val deaf = r.cloud.workers.first()
-            // Where others still send it back to the leader, its reports come to the leader about as often as others' do.
+            // Where others still send it back to the leader, its reports come to the leader about as often as others'
+            // do.
             for (n in r.nodes) if (crash || n.leads) r.network.cutOneWay(n.label, deaf.name, 300_000)
             if (crash) r.world.after(3000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
             r.world.runUntil(60_000)
-            r.users.submit { it.copy(id = "j-1", tasks = 13, types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 5.0) }
+            r.users.submit {
+                it.copy(
+                    id = "j-1",
+                    tasks = 13,
+                    types = null,
+                    zone = null,
+                    together = false,
+                    spread = false,
+                    spotAllowed = true,
+                    expectedS = 5.0,
+                )
+            }
             r.world.runUntil(82_000)
             assertEquals(emptyList<String>(), r.rules.violations)
             assertEquals(1, r.rules.doneCount, "a job waits for a machine that hears nothing: ${r.rules.pending()}")
@@ -205,7 +283,18 @@
         val deaf = r.cloud.workers.first()
         for (n in r.nodes) r.network.cutOneWay(n.label, deaf.name, 300_000)
         r.world.runUntil(40_000)
-        r.users.submit { it.copy(id = "j-1", tasks = 13, types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 5.0) }
+        r.users.submit {
+            it.copy(
+                id = "j-1",
+                tasks = 13,
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = true,
+                expectedS = 5.0,
+            )
+        }
         val acceptedBy = r.world.time
         r.world.runUntil(acceptedBy + 25_000)
         assertEquals(emptyList<String>(), r.rules.violations)
@@ -222,7 +311,21 @@
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
         repeat(3) { r.cloud.add(r.types[0], "east", true, 0) }
-        r.world.after(8000) { r.users.submit { it.copy(tasks = 9, each = Resources(2.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 20.0, checkpointS = 0.0) } }
+        r.world.after(8000) {
+            r.users.submit {
+                it.copy(
+                    tasks = 9,
+                    each = Resources(2.0, 0.0, 1.0),
+                    types = null,
+                    zone = null,
+                    together = false,
+                    spread = false,
+                    spotAllowed = true,
+                    expectedS = 20.0,
+                    checkpointS = 0.0,
+                )
+            }
+        }
         r.world.runUntil(18_000)
         val dead = r.cloud.workers.first { it.onMachine().isNotEmpty() }
         r.cloud.kill(dead.name)
@@ -233,8 +336,8 @@
         assertEquals(9, r.rules.completions, "still waiting for a dead machine: ${r.rules.pending()}")
     }
 
-    // A worker that has forgotten an attempt begins it again when a copy of its start comes; seed 5361 of the random runs let a
-    // team exceed its limit that way.
+    // A worker that has forgotten an attempt begins it again when a copy of its start comes; seed 5361 of the random
+    // runs let a team exceed its limit that way.
     @Test
     fun `a copy of a start begins nothing that was stopped, however late it comes`() {
         val r = Rehearsal(22)
@@ -243,7 +346,21 @@
         r.begin(0, 1, machines = 0)
         repeat(3) { r.cloud.add(r.types[0], "east", true, 0) }
         var job = ""
-        r.world.after(8000) { job = r.users.submit { it.copy(tasks = 6, each = Resources(2.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 300.0) } }
+        r.world.after(8000) {
+            job =
+                r.users.submit {
+                    it.copy(
+                        tasks = 6,
+                        each = Resources(2.0, 0.0, 1.0),
+                        types = null,
+                        zone = null,
+                        together = false,
+                        spread = false,
+                        spotAllowed = true,
+                        expectedS = 300.0,
+                    )
+                }
+        }
         r.world.after(16_000) { r.users.cancel(job) }
         for (at in 18_000L..90_000L step 6000) r.world.after(at) { r.cloud.workers.forEach { it.repeatLastStart() } }
         r.world.runUntil(90_000)
@@ -256,7 +373,17 @@
         val r = Rehearsal(8)
         r.begin(0, 1)
         val plain: (JobSpec) -> JobSpec = {
-            it.copy(team = "red", tasks = 20, each = Resources(2.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 300.0)
+            it.copy(
+                team = "red",
+                tasks = 20,
+                each = Resources(2.0, 0.0, 1.0),
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = true,
+                expectedS = 300.0,
+            )
         }
         r.world.after(5000) { r.users.submit(plain) }
         var second = ""
@@ -272,8 +399,8 @@
         assertTrue(r.nodes.filter { !it.leads }.all { it.status()?.leader == leader.label })
     }
 
-    // CPUs were once counted over all machines: what was stopped left too little room for the other, went back to where it had
-    // been, and was stopped again, five times a second.
+    // CPUs were once counted over all machines: what was stopped left too little room for the other, went back to where
+    // it had been, and was stopped again, five times a second.
     @Test
     fun `nothing is stopped where that makes no room for what it is stopped for`() {
         val r = Rehearsal(21, capacity = 4, objectives = listOf(Objective("guarantee", null, 60.0, 0.9)))
@@ -281,9 +408,24 @@
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
         repeat(4) { r.cloud.add(r.types[0], "east", true, 0) }
-        fun job(team: String, count: Int, cpus: Double, memoryGb: Double): (JobSpec) -> JobSpec = {
-            it.copy(team = team, priority = Priority.STANDARD, tasks = count, each = Resources(cpus, 0.0, memoryGb), image = "i", types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 300.0, checkpointS = 0.0)
-        }
+
+        fun job(team: String, count: Int, cpus: Double, memoryGb: Double): (JobSpec) -> JobSpec =
+            {
+                it.copy(
+                    team = team,
+                    priority = Priority.STANDARD,
+                    tasks = count,
+                    each = Resources(cpus, 0.0, memoryGb),
+                    image = "i",
+                    types = null,
+                    zone = null,
+                    together = false,
+                    spread = false,
+                    spotAllowed = true,
+                    expectedS = 300.0,
+                    checkpointS = 0.0,
+                )
+            }
         r.world.after(8000) { r.users.submit(job("blue", 4, 4.0, 40.0)) } // one on each machine
         r.world.after(25_000) { r.users.submit(job("blue", 4, 4.0, 1.0)) }
         r.world.after(27_000) { r.users.submit(job("red", 2, 6.0, 1.0)) }
@@ -296,14 +438,43 @@
     private fun overload(patienceS: Double): Rehearsal {
         val r = Rehearsal(6, OperatorSettings(patienceS = patienceS, idleReturnS = 900.0))
         r.begin(0, 1)
-        for (i in 0 until 800) r.world.after(1000 + i * 800L) {
-            r.users.submit {
-                it.copy(workload = "urgent", team = "red", priority = Priority.HIGH, tasks = 10, each = Resources(4.0, 0.0, 4.0), types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 10.0, dueS = 60.0)
+        for (i in 0 until 800) {
+            r.world.after(1000 + i * 800L) {
+                r.users.submit {
+                    it.copy(
+                        workload = "urgent",
+                        team = "red",
+                        priority = Priority.HIGH,
+                        tasks = 10,
+                        each = Resources(4.0, 0.0, 4.0),
+                        types = null,
+                        zone = null,
+                        together = false,
+                        spread = false,
+                        spotAllowed = true,
+                        expectedS = 10.0,
+                        dueS = 60.0,
+                    )
+                }
             }
         }
         repeat(3) { i ->
             r.world.after(30_000 + i * 1000L) {
-                r.users.submit { it.copy(workload = "wide", team = "red", priority = Priority.BEST_EFFORT, tasks = 12, each = Resources(4.0, 0.0, 4.0), types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 5.0) }
+                r.users.submit {
+                    it.copy(
+                        workload = "wide",
+                        team = "red",
+                        priority = Priority.BEST_EFFORT,
+                        tasks = 12,
+                        each = Resources(4.0, 0.0, 4.0),
+                        types = null,
+                        zone = null,
+                        together = false,
+                        spread = false,
+                        spotAllowed = true,
+                        expectedS = 5.0,
+                    )
+                }
             }
         }
         r.world.runUntil(600_000)
@@ -314,7 +485,12 @@
     @Test
     fun `nothing is put off for ever by more urgent work`() {
         assertEquals(emptyList<String>(), overload(90.0).rules.starved().filter { "wide" in it })
-        assertTrue(overload(1e6).rules.starved().any { "wide" in it }, "the check does not notice work that is put off for ever")
+        assertTrue(
+            overload(1e6).rules.starved().any {
+                "wide" in it
+            },
+            "the check does not notice work that is put off for ever",
+        )
     }
 
     // The checks can fail: each test below breaks one guard and must see a rule broken.
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -16,7 +16,10 @@
 import java.util.Base64
 import java.util.BitSet
 
-/** Days on which the version in production is replaced by this one, a few controllers at a time, and the limits fall after. */
+/**
+ * Days on which the version in production is replaced by this one, a few controllers at a time, and the limits fall
+ * after.
+ */
 class RollingUpgradeTest {
     private val now = StateLimits(80.0, 20.0, 8192, 12)
     private val next = StateLimits(40.0, 12.0, 2048, 6)
@@ -79,23 +82,44 @@
         val upgrade = RollingUpgrade(r, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
         r.begin(6, 100_000, machines = 40)
         var id = ""
-        // Tasks of half a second end sooner than starts can follow, also without an upgrade, so that there is always room.
+        // Tasks of half a second end sooner than starts can follow, also without an upgrade, so that there is always
+        // room.
         r.world.after(6000) {
-            id = r.users.submit { it.copy(tasks = 20_000, team = "red", each = Resources(1.0, 0.0, 0.5), expectedS = 3.0, types = null, zone = null, together = false, spread = false, spotAllowed = true, dueS = null) }
+            id =
+                r.users.submit {
+                    it.copy(
+                        tasks = 20_000,
+                        team = "red",
+                        each = Resources(1.0, 0.0, 0.5),
+                        expectedS = 3.0,
+                        types = null,
+                        zone = null,
+                        together = false,
+                        spread = false,
+                        spotAllowed = true,
+                        dueS = null,
+                    )
+                }
         }
         upgrade.begin(UPGRADE_MS)
         var most = 0
         var checks = 0
         var atUpgrade = 0
+
         fun watch() {
             val record = r.state.stored(JobTable.JOB + id)[JobTable.JOB + id]
             if (record != null && Fields.of(record, id).text("s") == "open") {
                 val written = BitSet()
                 for ((key, value) in r.state.stored(JobTable.PROGRESS + id + "/")) {
                     val from = key.substringAfterLast('/').toInt()
-                    for (i in BitSet.valueOf(Base64.getDecoder().decode(Fields.of(value, key).text("b"))).stream()) written.set(from + i)
+                    for (i in BitSet.valueOf(Base64.getDecoder().decode(Fields.of(value, key).text("b"))).stream()) {
+                        written.set(from + i)
+                    }
                 }
-                assertTrue(written.cardinality() >= most, "${written.cardinality()} of $most completions are left in the records")
+                assertTrue(
+                    written.cardinality() >= most,
+                    "${written.cardinality()} of $most completions are left in the records",
+                )
                 most = written.cardinality()
                 if (r.world.time < UPGRADE_MS) atUpgrade = most
                 checks++
@@ -108,7 +132,10 @@
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(0, r.state.rejections)
         assertTrue(checks > 500 && most > 10_000, "$most completions seen in $checks checks")
-        assertTrue(atUpgrade in 4000..18_000, "$atUpgrade completions were in the records when the first new leader could read them")
+        assertTrue(
+            atUpgrade in 4000..18_000,
+            "$atUpgrade completions were in the records when the first new leader could read them",
+        )
         assertTrue(r.rules.isDone(id), "${r.rules.completions} tasks were completed")
     }
 
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -13,7 +13,10 @@
 
 /** Services when machines or controllers fail: replicas run again elsewhere, or go on, under every rule. */
 class ServiceMovesTest {
-    /** Machines with room for everything, half of them in each zone, and a service of four replicas that runs on them at [READY_MS]. */
+    /**
+     * Machines with room for everything, half of them in each zone, and a service of four replicas that runs on them at
+     * [READY_MS].
+     */
     private class Running(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
         val r = Rehearsal(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, leaseMs / 1000.0, capacity = 20)
         val id: String
@@ -49,8 +52,8 @@
         },
 
         /**
-         * It runs its tasks until its lease is over, and says so in its next report to the leader: every 5 s it gives one up and
-         * turns to the next of three controllers.
+         * It runs its tasks until its lease is over, and says so in its next report to the leader: every 5 s it gives
+         * one up and turns to the next of three controllers.
          */
         DEAF(false, 15_000) {
             override fun strike(r: Rehearsal, w: WorkerStand) = r.nodes.forEach { r.network.cutOneWay(it.label, w.name, 60_000) }
@@ -74,9 +77,9 @@
         };
 
         /**
-         * How long a replica may be down. A report is due every 2 s, give or take a quarter, and what one tells is placed, written
-         * down and started within [REACT_MS]; an image takes 3 s at most. What waits for the lease waits for as long as that is,
-         * and 0.1% for clocks that drift.
+         * How long a replica may be down. A report is due every 2 s, give or take a quarter, and what one tells is
+         * placed, written down and started within [REACT_MS]; an image takes 3 s at most. What waits for the lease
+         * waits for as long as that is, and 0.1% for clocks that drift.
          */
         fun mostDownMs(leaseMs: Long) = (if (waitsForLease) leaseMs + leaseMs / 1000 else reportMs) + REACT_MS + FETCH_MS
 
@@ -134,7 +137,10 @@
         }
     }
 
-    /** Two services, the second [spread] or together, while a machine that runs something dies every [everyMs] for five minutes. */
+    /**
+     * Two services, the second [spread] or together, while a machine that runs something dies every [everyMs] for five
+     * minutes.
+     */
     private fun moves(seed: Long, spread: Boolean, everyMs: Long): Pair<Rehearsal, List<String>> {
         val s = Running(seed, 8000, machines = 8, tasks = 6)
         val r = s.r
@@ -158,7 +164,10 @@
         assertTrue(r.rules.starts > 40, "only ${r.rules.starts} starts")
     }
 
-    /** Each machine dies when what was on the last one runs again, on a machine that perhaps had to be rented and to boot for 9 s. */
+    /**
+     * Each machine dies when what was on the last one runs again, on a machine that perhaps had to be rented and to
+     * boot for 9 s.
+     */
     @ParameterizedTest
     @CsvSource("1,true", "2,true", "3,true", "4,false", "5,false", "6,false")
     fun `no move takes longer than the lease and a new machine`(seed: Long, spread: Boolean) {
--- a/src/test/kotlin/org/chalkhollow/ServicesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicesTest.kt
@@ -29,12 +29,24 @@
         return r
     }
 
-    private fun batch(team: String, tasks: Int, cpus: Double, expectedS: Double): (JobSpec) -> JobSpec = {
-        it.copy(
-            team = team, workload = "batch", priority = Priority.STANDARD, tasks = tasks, each = Resources(cpus, 0.0, 1.0), types = null,
-            zone = null, together = false, spread = false, spotAllowed = true, expectedS = expectedS, checkpointS = 0.0, dueS = null,
-        )
-    }
+    private fun batch(team: String, tasks: Int, cpus: Double, expectedS: Double): (JobSpec) -> JobSpec =
+        {
+            it.copy(
+                team = team,
+                workload = "batch",
+                priority = Priority.STANDARD,
+                tasks = tasks,
+                each = Resources(cpus, 0.0, 1.0),
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = true,
+                expectedS = expectedS,
+                checkpointS = 0.0,
+                dueS = null,
+            )
+        }
 
     private fun holds(r: Rehearsal) {
         assertEquals(emptyList<String>(), r.rules.violations)
@@ -80,7 +92,13 @@
             assertEquals(422, ask(2) { it.copy(tasks = 41, each = Resources(1.0, 0.0, 1.0)) }, "41 of 40 CPUs")
             assertEquals(422, ask(3) { it.copy(tasks = 1, each = Resources(17.0, 0.0, 1.6)) }, "no machine has 17 CPUs")
             assertEquals(422, ask(4) { it.copy(tasks = 1, each = Resources(1.0, 0.0, 65.0)) }, "no machine has 65 GB")
-            assertEquals(422, ask(5) { it.copy(tasks = 1, each = Resources(9.0, 0.0, 1.6), types = listOf("small")) }, "a small machine has 8 CPUs")
+            assertEquals(
+                422,
+                ask(5) {
+                    it.copy(tasks = 1, each = Resources(9.0, 0.0, 1.6), types = listOf("small"))
+                },
+                "a small machine has 8 CPUs",
+            )
             assertEquals(422, ask(6) { it.copy(tasks = 1, team = "green") }, "no such team")
             assertEquals(201, ask(7) { it }, "40 of 40 CPUs")
             assertEquals(200, ask(7) { it }, "a repetition")
@@ -91,14 +109,45 @@
     fun `a service that lacks a field or has an invalid one is malformed, also for a follower`() {
         val r = quiet(6)
         val whole = UserCodec.map(r.users.drawService())
-        val lacking = listOf(
-            "nameId", "workload", "owner", "shape", "urgency", "pieces", "vcpus", "cards", "memoryGb", "bundle", "pullGb",
-            "together", "spread", "standby", "expectedS", "snapshotS", "flushS",
-        ).map { whole - it }
-        val invalid = listOf("shape" to "services", "pieces" to 0, "pieces" to "3", "expectedS" to "long", "urgency" to "urgent", "vcpus" to -1.0)
-            .map { whole + it }
+        val lacking =
+            listOf(
+                "nameId",
+                "workload",
+                "owner",
+                "shape",
+                "urgency",
+                "pieces",
+                "vcpus",
+                "cards",
+                "memoryGb",
+                "bundle",
+                "pullGb",
+                "together",
+                "spread",
+                "standby",
+                "expectedS",
+                "snapshotS",
+                "flushS",
+            ).map { whole - it }
+        val invalid =
+            listOf(
+                "shape" to "services",
+                "pieces" to 0,
+                "pieces" to "3",
+                "expectedS" to "long",
+                "urgency" to "urgent",
+                "vcpus" to -1.0,
+            ).map { whole + it }
         assertTrue(r.nodes.count { it.leads } == 1 && r.nodes.size == 3)
-        for (n in r.nodes) for (map in lacking + invalid) assertEquals(400, answer(r, n, map), "to ${n.label}: ${whole - map.keys} ${map.entries - whole.entries}")
+        for (n in r.nodes) {
+            for (map in lacking + invalid) {
+                assertEquals(
+                    400,
+                    answer(r, n, map),
+                    "to ${n.label}: ${whole - map.keys} ${map.entries - whole.entries}",
+                )
+            }
+        }
         for (n in r.nodes) assertTrue(answer(r, n, whole - "dueS" - "flavours" - "site") in 200..201)
     }
 
@@ -111,13 +160,25 @@
         r.world.runUntil(25_000)
         for (round in 1..8) {
             val index = round % 4
-            val before = r.cloud.workers.flatMap { it.onMachine() }.single { it.index == index }.attempt
+            val before =
+                r.cloud.workers
+                    .flatMap { it.onMachine() }
+                    .single { it.index == index }
+                    .attempt
             assertTrue(r.cloud.workers.any { it.end(id, index, cause) })
             r.world.runUntil(r.world.time + 25_000)
-            val after = r.cloud.workers.flatMap { it.onMachine() }.singleOrNull { it.index == index }?.attempt
-            assertTrue(after != null && after != before, "round $round: replica $index ran as attempt $before, now as $after")
+            val after =
+                r.cloud.workers
+                    .flatMap { it.onMachine() }
+                    .singleOrNull { it.index == index }
+                    ?.attempt
+            assertTrue(
+                after != null && after != before,
+                "round $round: replica $index ran as attempt $before, now as $after",
+            )
         }
-        // Noticed by the next report, half a second later at most, placed, written down, started, and its image fetched.
+        // Noticed by the next report, half a second later at most, placed, written down, started, and its image
+        // fetched.
         val down = r.rules.services.longestDownMs(id, 25_000)
         assertTrue(down <= REACT_MS + FETCH_MS, "down for $down ms")
         assertEquals(listOf("queued", "running"), states(r, id))
@@ -129,15 +190,34 @@
         holds(r)
     }
 
-    /** What fills six machines, or two teams' limits, with tasks of 2 CPUs; the service is of team red, which may use 40 CPUs. */
-    enum class Full(val red: Int, val blue: Int) { MACHINES_BY_OTHERS(4, 20), MACHINES_BY_ITS_TEAM(18, 6), ITS_LIMIT(20, 20) }
+    /**
+     * What fills six machines, or two teams' limits, with tasks of 2 CPUs; the service is of team red, which may use 40
+     * CPUs.
+     */
+    enum class Full(val red: Int, val blue: Int) {
+        MACHINES_BY_OTHERS(4, 20),
+        MACHINES_BY_ITS_TEAM(18, 6),
+        ITS_LIMIT(20, 20),
+    }
 
     @ParameterizedTest
     @EnumSource
     fun `an urgent service begins within 10 s although batch work fills everything`(full: Full) {
         val late = ArrayList<String>()
         for (seed in 1L..3L) {
-            val r = quiet(seed, capacity = if (full == Full.ITS_LIMIT) 10 else 6, machines = if (full == Full.ITS_LIMIT) 10 else 6)
+            val r =
+                quiet(
+                    seed,
+                    capacity =
+                        if (full ==
+                            Full.ITS_LIMIT
+                        ) {
+                            10
+                        } else {
+                            6
+                        },
+                    machines = if (full == Full.ITS_LIMIT) 10 else 6,
+                )
             r.users.submit(batch("red", full.red, 2.0, 300.0))
             r.users.submit(batch("blue", full.blue, 2.0, 300.0))
             r.world.runUntil(25_000)
@@ -158,7 +238,10 @@
         // As urgent as the service, so that it does not give way: 36 of the team's 40 CPUs.
         r.users.submit { batch("red", 18, 2.0, 300.0)(it).copy(priority = Priority.PRODUCTION) }
         r.world.runUntil(25_000)
-        val id = r.users.submitService { it.copy(team = "red", workload = "portal", tasks = 4, each = Resources(2.0, 0.0, 1.0)) }
+        val id =
+            r.users.submitService {
+                it.copy(team = "red", workload = "portal", tasks = 4, each = Resources(2.0, 0.0, 1.0))
+            }
         r.world.runUntil(50_000)
         val service = checkNotNull(r.nodes.single { it.leads }.status()).services.single()
         assertEquals(listOf("portal", 1, 4, 2), listOf(service.name, service.services, service.wanted, service.up))
@@ -169,8 +252,22 @@
     private fun batchDay(seed: Long, services: Int): Rehearsal {
         val r = quiet(seed)
         repeat(services) { r.users.submitService { it.copy(team = "red", tasks = 4) } }
-        for (i in 0L..29L) r.world.after(2000 + i * 4000) {
-            r.users.submit { batch("red", 6, 2.0, 8.0)(it).copy(priority = if (i % 3 == 0L) Priority.HIGH else Priority.STANDARD, dueS = 60.0) }
+        for (i in 0L..29L) {
+            r.world.after(2000 + i * 4000) {
+                r.users.submit {
+                    batch("red", 6, 2.0, 8.0)(it).copy(
+                        priority =
+                            if (i % 3 ==
+                                0L
+                            ) {
+                                Priority.HIGH
+                            } else {
+                                Priority.STANDARD
+                            },
+                        dueS = 60.0,
+                    )
+                }
+            }
         }
         r.rules.calmFrom = 25_000
         r.world.runUntil(260_000)
@@ -193,17 +290,40 @@
     fun `urgent, late and patient batch work goes on beside services`() {
         val r = quiet(6, patienceS = 90.0, machines = 4)
         val services = List(3) { i -> r.users.submitService { it.copy(team = if (i == 0) "red" else "blue") } }
-        for (i in 0 until 500) r.world.after(1000 + i * 800L) {
-            r.users.submit { batch("red", 10, 4.0, 10.0)(it).copy(workload = "urgent", priority = Priority.HIGH, dueS = 60.0) }
+        for (i in 0 until 500) {
+            r.world.after(1000 + i * 800L) {
+                r.users.submit {
+                    batch(
+                        "red",
+                        10,
+                        4.0,
+                        10.0,
+                    )(it).copy(workload = "urgent", priority = Priority.HIGH, dueS = 60.0)
+                }
+            }
         }
         repeat(3) { i ->
-            r.world.after(30_000 + i * 1000L) { r.users.submit { batch("red", 12, 4.0, 5.0)(it).copy(workload = "wide", priority = Priority.BEST_EFFORT) } }
+            r.world.after(30_000 + i * 1000L) {
+                r.users.submit {
+                    batch(
+                        "red",
+                        12,
+                        4.0,
+                        5.0,
+                    )(it).copy(workload = "wide", priority = Priority.BEST_EFFORT)
+                }
+            }
         }
         r.rules.calmFrom = 30_000
         r.world.runUntil(420_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(emptyList<String>(), r.rules.starved().filter { "wide" in it || "portal" in it })
-        for (id in services) assertTrue(r.rules.upShare(id, 15_000) > 0.998, "$id served ${r.rules.upShare(id, 15_000)}")
+        for (id in services) {
+            assertTrue(
+                r.rules.upShare(id, 15_000) > 0.998,
+                "$id served ${r.rules.upShare(id, 15_000)}",
+            )
+        }
     }
 
     @ParameterizedTest
@@ -213,7 +333,11 @@
         r.network.copies = 0.01
         r.begin(30, 150_000)
         val services = ArrayList<String>()
-        repeat(6) { r.world.after(r.world.between(0, 120_000)) { services.add(r.users.submitService { it.copy(spotAllowed = r.world.chance(0.3)) }) } }
+        repeat(6) {
+            r.world.after(r.world.between(0, 120_000)) {
+                services.add(r.users.submitService { it.copy(spotAllowed = r.world.chance(0.3)) })
+            }
+        }
         r.world.after(140_000) { r.users.cancel(services.first()) }
         r.world.after(300_000) { r.users.cancel(services[1]) }
         Troubles(r).draw(14, 10_000, 170_000)
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -29,7 +29,11 @@
     private val limits = StateLimits(80.0, 20.0, 4096, 8)
     private val recorded = Recording.kept(PRODUCTION)
 
-    private fun records(prefix: String) = recorded.filter { it.of == "state" && it.name.startsWith(prefix) }.also { assertTrue(it.isNotEmpty(), "no $prefix") }
+    private fun records(prefix: String) =
+        recorded
+            .filter {
+                it.of == "state" && it.name.startsWith(prefix)
+            }.also { assertTrue(it.isNotEmpty(), "no $prefix") }
 
     private fun row(line: Recording.Line) = Row(line.name, Pack.decode(line.bytes), 1)
 
@@ -38,7 +42,18 @@
     @Test
     fun `production's recording has every kind of record and message`() {
         assertEquals(
-            setOf("job open batch", "job open group", "job open service", "job done ", "job cancelled batch", "prog", "mark", "ch", "fleet/base", "fleet/images"),
+            setOf(
+                "job open batch",
+                "job open group",
+                "job open service",
+                "job done ",
+                "job cancelled batch",
+                "prog",
+                "mark",
+                "ch",
+                "fleet/base",
+                "fleet/images",
+            ),
             recorded.filter { it.of == "state" }.map { Recording.kind(it.name, it.bytes) }.toSet(),
         )
         assertEquals(
@@ -55,7 +70,12 @@
             jobs.loadJob(row(line))
             val f = fields(line)
             val entry = checkNotNull(jobs.find(line.name.removePrefix(JobTable.JOB)))
-            val expected = mapOf("open" to JobState.OPEN, "done" to JobState.DONE, "cancelled" to JobState.CANCELLED).getValue(f.text("s"))
+            val expected =
+                mapOf(
+                    "open" to JobState.OPEN,
+                    "done" to JobState.DONE,
+                    "cancelled" to JobState.CANCELLED,
+                ).getValue(f.text("s"))
             assertEquals(expected, entry.state, line.name)
             if (expected != JobState.OPEN) assertEquals(f.long("n").toInt(), entry.tasks)
             val described = f.map["j"] ?: continue
@@ -70,13 +90,25 @@
         for (line in records(JobTable.PROGRESS)) {
             val (id, from) = line.name.removePrefix(JobTable.PROGRESS).split('/')
             val bits = BitSet.valueOf(Base64.getDecoder().decode(fields(line).text("b")))
-            val job = Pack.decodeMap(records(JobTable.JOB).first { Recording.kind(it.name, it.bytes) == "job open batch" }.bytes)
+            val job =
+                Pack.decodeMap(
+                    records(JobTable.JOB).first { Recording.kind(it.name, it.bytes) == "job open batch" }.bytes,
+                )
             val spec = Fields.of(job.map["j"], "j").map + mapOf("nameId" to id, "pieces" to 100_000)
             val jobs = JobTable(Desk(1), Names(), limits.copy(valueBytes = 1024))
-            jobs.loadJob(Row(JobTable.JOB + id, Pack.decode(Pack.encode(mapOf("s" to "open", "at" to 5L, "j" to spec))), 1))
+            jobs.loadJob(
+                Row(JobTable.JOB + id, Pack.decode(Pack.encode(mapOf("s" to "open", "at" to 5L, "j" to spec))), 1),
+            )
             jobs.loadPage(row(line))
             val done = checkNotNull(jobs.find(id)?.open).done
-            assertEquals(bits.stream().map { it + from.toInt() }.toArray().toList(), done.stream().toArray().toList())
+            assertEquals(
+                bits
+                    .stream()
+                    .map { it + from.toInt() }
+                    .toArray()
+                    .toList(),
+                done.stream().toArray().toList(),
+            )
         }
     }
 
@@ -88,9 +120,11 @@
             assertEquals(LeadRecord(f.text("owner"), f.long("life"), f.long("generation"), f.long("writes")), lead)
             assertArrayEquals(line.bytes, Pack.encode(lead.value()))
         }
-        for (line in records(DispatchLog.MARK)) for (item in fields(line).list("a")) {
-            val ranges = (item as List<*>)[2].toString()
-            assertEquals(ranges, DispatchLog.ranges(DispatchLog.indices(ranges).toIntArray()))
+        for (line in records(DispatchLog.MARK)) {
+            for (item in fields(line).list("a")) {
+                val ranges = (item as List<*>)[2].toString()
+                assertEquals(ranges, DispatchLog.ranges(DispatchLog.indices(ranges).toIntArray()))
+            }
         }
         for (line in records(BaseFleet.KEY)) {
             val base = BaseFleet(Desk(1), limits).also { it.load(row(line)) }
@@ -111,7 +145,17 @@
 
     @Test
     fun `production's own recording is within what it reads`() {
-        for (line in recorded) assertNull(if (line.of == "peer") ProductionForm.frame(line.bytes) else ProductionForm.record(line.name, line.bytes))
+        for (line in recorded) {
+            assertNull(
+                if (line.of ==
+                    "peer"
+                ) {
+                    ProductionForm.frame(line.bytes)
+                } else {
+                    ProductionForm.record(line.name, line.bytes)
+                },
+            )
+        }
     }
 
     @Test
@@ -119,17 +163,19 @@
         val foreign = sortedSetOf<String>()
         var writes = 0
         var frames = 0
-        for (seed in 31L..33L) Recording.day(
-            seed,
-            { key, bytes ->
-                writes++
-                ProductionForm.record(key, bytes)?.let(foreign::add)
-            },
-            { frame ->
-                frames++
-                ProductionForm.frame(frame)?.let(foreign::add)
-            },
-        )
+        for (seed in 31L..33L) {
+            Recording.day(
+                seed,
+                { key, bytes ->
+                    writes++
+                    ProductionForm.record(key, bytes)?.let(foreign::add)
+                },
+                { frame ->
+                    frames++
+                    ProductionForm.frame(frame)?.let(foreign::add)
+                },
+            )
+        }
         assertEquals(emptySet<String>(), foreign)
         assertTrue(writes > 1000 && frames > 1000, "$writes writes, $frames frames")
         assertNull(ProductionForm.frame(Frames.encode(PeerMessage.Hello("b", 1, PeerMessage.VERSION))))
@@ -137,7 +183,8 @@
 
     @Test
     fun `a form that production does not read is found`() {
-        fun foreign(key: String, value: Map<String, Any?>) = assertNotNull(ProductionForm.record(key, Pack.encode(value)), "$key $value")
+        fun foreign(key: String, value: Map<String, Any?>) =
+            assertNotNull(ProductionForm.record(key, Pack.encode(value)), "$key $value")
         val lead = mapOf("owner" to "a", "life" to 1L, "generation" to 1L, "writes" to 0L)
         assertNull(ProductionForm.record("ch/lead", Pack.encode(lead)))
         foreign("ch/lead", lead - "writes")
@@ -153,7 +200,13 @@
         foreign("fleet/images/0", mapOf("images" to listOf("i"), "held" to mapOf("n-1" to "i")))
         val open = records(JobTable.JOB).first { fields(it).text("s") == "open" }
         val spec = Fields.of(fields(open).map["j"], "j").map
-        for (change in listOf("shape" to "stream", "urgency" to "someday", "pieces" to 0L, "colour" to "blue", "flavours" to "g8")) {
+        for (change in listOf(
+            "shape" to "stream",
+            "urgency" to "someday",
+            "pieces" to 0L,
+            "colour" to "blue",
+            "flavours" to "g8",
+        )) {
             foreign(open.name, fields(open).map + ("j" to spec + change))
         }
         assertNotNull(ProductionForm.frame(Frames.encode(PeerMessage.Forward(1, 4, "j-1", ByteArray(0)))))
--- a/src/test/kotlin/org/chalkhollow/compat/ProductionForm.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/ProductionForm.kt
@@ -10,10 +10,10 @@
 import java.util.Base64
 
 /**
- * What the version in production reads, written down by hand from its code and on its own, so that it does not change when
- * the code does: records and their fields, messages and theirs, names of states and kinds. Null for what is within it, else
- * why not. It is stricter than production, which ignores unknown fields: a new field has to be entered here as one of those
- * ([IGNORED]), by somebody who has thought of what becomes of it when production writes the record again.
+ * What the version in production reads, written down by hand from its code and on its own, so that it does not change
+ * when the code does: records and their fields, messages and theirs, names of states and kinds. Null for what is within
+ * it, else why not. It is stricter than production, which ignores unknown fields: a new field has to be entered here as
+ * one of those ([IGNORED]), by somebody who has thought of what becomes of it when production writes the record again.
  */
 object ProductionForm {
     private class Foreign(why: String) : Exception(why)
@@ -25,19 +25,26 @@
     private val urgencies = setOf("production", "high", "standard", "best_effort")
 
     /** Checks a record that is written under [key]. */
-    fun record(key: String, bytes: ByteArray): String? = try {
-        record(key, map(Pack.decode(bytes), key))
-        null
-    } catch (e: Foreign) {
-        "$key: ${e.message}"
-    } catch (e: Malformed) {
-        "$key: ${e.message}"
-    }
+    fun record(key: String, bytes: ByteArray): String? =
+        try {
+            record(key, map(Pack.decode(bytes), key))
+            null
+        } catch (e: Foreign) {
+            "$key: ${e.message}"
+        } catch (e: Malformed) {
+            "$key: ${e.message}"
+        }
 
     private fun record(key: String, f: Map<String, Any?>) {
         val parts = key.split('/')
         when {
-            key == "ch/lead" -> f.only("owner" to ::text, "life" to ::count, "generation" to ::count, "writes" to ::count)
+            key == "ch/lead" ->
+                f.only(
+                    "owner" to ::text,
+                    "life" to ::count,
+                    "generation" to ::count,
+                    "writes" to ::count,
+                )
             parts[0] == "job" && parts.size == 2 -> job(parts[1], f)
             parts[0] == "prog" && parts.size == 3 -> {
                 jobId(parts[1])
@@ -53,7 +60,10 @@
             key == "fleet/base" -> f.only("names" to ::texts)
             parts.take(2) == listOf("fleet", "images") && parts.size == 3 -> {
                 number(parts[2])
-                f.only("images" to ::texts, "held" to { held -> map(held, "held").values.forEach { list(it).forEach(::count) } })
+                f.only(
+                    "images" to ::texts,
+                    "held" to { held -> map(held, "held").values.forEach { list(it).forEach(::count) } },
+                )
             }
             else -> throw Foreign("production knows no such key")
         }
@@ -69,13 +79,32 @@
         }
     }
 
-    private fun description(f: Map<String, Any?>) = f.only(
-        "nameId" to { jobId(text(it)) }, "workload" to ::name, "owner" to ::name, "shape" to { oneOf(it, shapes) }, "urgency" to { oneOf(it, urgencies) },
-        "pieces" to { require(it is Long && it in 1..100_000, "$it tasks") }, "vcpus" to ::amount, "cards" to ::amount, "memoryGb" to ::amount,
-        "bundle?" to ::name, "pullGb?" to ::amount, "flavours?" to { texts(it); require(list(it).size <= 64, "more than 64 types") }, "site?" to ::name,
-        "together" to ::flag, "spread" to ::flag, "standby" to ::flag, "expectedS" to ::amount, "snapshotS" to ::amount, "flushS" to ::amount,
-        "dueS?" to ::amount,
-    )
+    private fun description(f: Map<String, Any?>) =
+        f.only(
+            "nameId" to { jobId(text(it)) },
+            "workload" to ::name,
+            "owner" to ::name,
+            "shape" to { oneOf(it, shapes) },
+            "urgency" to { oneOf(it, urgencies) },
+            "pieces" to { require(it is Long && it in 1..100_000, "$it tasks") },
+            "vcpus" to ::amount,
+            "cards" to ::amount,
+            "memoryGb" to ::amount,
+            "bundle?" to ::name,
+            "pullGb?" to ::amount,
+            "flavours?" to {
+                texts(it)
+                require(list(it).size <= 64, "more than 64 types")
+            },
+            "site?" to ::name,
+            "together" to ::flag,
+            "spread" to ::flag,
+            "standby" to ::flag,
+            "expectedS" to ::amount,
+            "snapshotS" to ::amount,
+            "flushS" to ::amount,
+            "dueS?" to ::amount,
+        )
 
     private val ranges = Regex("""\d+(-\d+)?(,\d+(-\d+)?)*""")
 
@@ -102,18 +131,39 @@
     }
 
     private fun text(v: Any?): String = v as? String ?: throw Foreign("$v is not text")
+
     private fun name(v: Any?) = require(text(v).length in 1..200, "a name of ${text(v).length} letters")
+
     private fun flag(v: Any?) = require(v is Boolean, "$v is not a flag")
+
     private fun count(v: Any?) = require(v is Long && v >= 0, "$v is not a count")
-    private fun amount(v: Any?) = require((v is Double && v.isFinite() && v in 0.0..1e9) || (v is Long && v in 0..1_000_000_000), "$v is not an amount")
+
+    private fun amount(v: Any?) =
+        require(
+            (v is Double && v.isFinite() && v in 0.0..1e9) || (v is Long && v in 0..1_000_000_000),
+            "$v is not an amount",
+        )
+
     private fun list(v: Any?): List<Any?> = v as? List<Any?> ?: throw Foreign("$v is not a list")
+
     private fun texts(v: Any?) = list(v).forEach(::text)
+
     private fun oneOf(v: Any?, names: Set<String>) = require(v in names, "production does not know $v")
-    private fun number(text: String) = require(text.isNotEmpty() && text.length < 19 && text.all { it in '0'..'9' }, "$text is not a number")
+
+    private fun number(text: String) =
+        require(
+            text.isNotEmpty() && text.length < 19 &&
+                text.all {
+                    it in '0'..'9'
+                },
+            "$text is not a number",
+        )
+
     private fun jobId(id: String) = require(Regex("j-[0-9]{1,62}").matches(id), "$id is not a job id")
 
     @Suppress("UNCHECKED_CAST") // Pack decodes maps with text keys only
-    private fun map(v: Any?, what: String): Map<String, Any?> = v as? Map<String, Any?> ?: throw Foreign("$what is not a map")
+    private fun map(v: Any?, what: String): Map<String, Any?> =
+        v as? Map<String, Any?> ?: throw Foreign("$what is not a map")
 
     /** The messages that production knows, with [IGNORED] fields beside its own. */
     @Serializable
@@ -160,12 +210,19 @@
 
     /** Checks a frame that is sent to another controller. */
     @OptIn(ExperimentalSerializationApi::class)
-    fun frame(bytes: ByteArray): String? = try {
-        val message = Cbor.decodeFromByteArray(Message.serializer(), bytes)
-        if (bytes.size > 256 * 1024) "a frame of ${bytes.size} bytes"
-        else if (message is Message.Forward && message.kind !in 1..3) "production answers 503 to a request of kind ${message.kind}"
-        else null
-    } catch (e: SerializationException) {
-        e.message ?: "no message of production's"
-    }
+    fun frame(bytes: ByteArray): String? =
+        try {
+            val message = Cbor.decodeFromByteArray(Message.serializer(), bytes)
+            if (bytes.size > 256 * 1024) {
+                "a frame of ${bytes.size} bytes"
+            } else if (message is Message.Forward &&
+                message.kind !in 1..3
+            ) {
+                "production answers 503 to a request of kind ${message.kind}"
+            } else {
+                null
+            }
+        } catch (e: SerializationException) {
+            e.message ?: "no message of production's"
+        }
 }
--- a/src/test/kotlin/org/chalkhollow/core/AimsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/AimsTest.kt
@@ -11,16 +11,41 @@
 import org.junit.jupiter.api.Test
 
 class AimsTest {
-    private val aims = Aims(
-        listOf(
-            Objective("wait", "urgent", 70.0, 0.99), Objective("wait", "urgent", 4.0, 0.8), Objective("wait", "batch", 150.0, 0.98),
-            Objective("finished", "batch", 300.0, 0.95), Objective("finished", "batch", 200.0, 0.9),
-            Objective("deadline", "urgent", null, 0.9, 1.0), Objective("deadline", "urgent", null, 0.9, 1.5),
-        ),
-    ) { 30_000 }
+    private val aims =
+        Aims(
+            listOf(
+                Objective("wait", "urgent", 70.0, 0.99),
+                Objective("wait", "urgent", 4.0, 0.8),
+                Objective("wait", "batch", 150.0, 0.98),
+                Objective("finished", "batch", 300.0, 0.95),
+                Objective("finished", "batch", 200.0, 0.9),
+                Objective("deadline", "urgent", null, 0.9, 1.0),
+                Objective("deadline", "urgent", null, 0.9, 1.5),
+            ),
+        ) { 30_000 }
 
     private fun job(workload: String, dueS: Double?): OpenJob {
-        val spec = JobSpec("j-1", workload, "t", Shape.ARRAY, Priority.STANDARD, 10, Resources(1.0, 0.0, 1.0), "i", 1.0, null, null, false, false, true, 5.0, 0.0, 0.0, dueS)
+        val spec =
+            JobSpec(
+                "j-1",
+                workload,
+                "t",
+                Shape.ARRAY,
+                Priority.STANDARD,
+                10,
+                Resources(1.0, 0.0, 1.0),
+                "i",
+                1.0,
+                null,
+                null,
+                false,
+                false,
+                true,
+                5.0,
+                0.0,
+                0.0,
+                dueS,
+            )
         return OpenJob(JobEntry(0, 10), spec, 0, -1, null, -1, 0)
     }
 
@@ -40,9 +65,19 @@
     @Test
     fun `when one aim is missed the next one counts`() {
         val batch = job("batch", null)
-        assertEquals(listOf(200_000L, 300_000L, 300_000L), listOf(0L, 195_000L, 400_000L).map { aims.dueWall(batch, it, 10_000) })
+        assertEquals(
+            listOf(200_000L, 300_000L, 300_000L),
+            listOf(0L, 195_000L, 400_000L).map {
+                aims.dueWall(batch, it, 10_000)
+            },
+        )
         val urgent = job("urgent", 20.0)
-        assertEquals(listOf(20_000L, 30_000L, 30_000L), listOf(10_000L, 10_001L, 25_000L).map { aims.dueWall(urgent, it, 10_000) })
+        assertEquals(
+            listOf(20_000L, 30_000L, 30_000L),
+            listOf(10_000L, 10_001L, 25_000L).map {
+                aims.dueWall(urgent, it, 10_000)
+            },
+        )
         assertEquals(Long.MAX_VALUE, aims.dueWall(job("other", null), 0, 1))
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/DoorTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/DoorTest.kt
@@ -229,7 +229,10 @@
     private val bad = submission(malformed("j-000001").first())
     private val asks = listOf(bad, submission(body("j-000001", "owner" to "nobody")), UserAsk.Poll("j-000001"), UserAsk.Withdraw("j-000001"))
 
-    /** A controller that nobody else stands against; [lists]: whether the state service tells it what was written, without which it does not lead. */
+    /**
+     * A controller that nobody else stands against; [lists]: whether the state service tells it what was written,
+     * without which it does not lead.
+     */
     private fun elected(lists: Boolean): Controller {
         val c = Controller(Rehearsal(1).settings, OperatorSettings(), 1, Now(0, 0))
         val pending = ArrayDeque(c.step(Now(0, 0), Input.Tick))
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -163,7 +163,8 @@
     private fun Bench.promised(t: Long, generation: Long) = at(t) { onPeer(0, PeerMessage.PromiseAsk(generation, t, true)) }
         .filterIsInstance<Effect.Send>().map { it.message }.filterIsInstance<PeerMessage.Promise>().single().granted
 
-    // A process that is back in no time may have voted just before; its vote may be used until promiseMs after it was asked for.
+    // A process that is back in no time may have voted just before; its vote may be used until promiseMs after it was
+    // asked for.
     @Test
     fun `a restarted controller promises nothing until it has read a record that its forgotten votes would show in`() {
         val b = Bench(2)
@@ -228,7 +229,8 @@
         assertTrue(alone.deposed, "holds on although its peers are served")
     }
 
-    // Between giving up and a peer's take-over nobody renews the workers' leases; an outage that began there cost all of them.
+    // Between giving up and a peer's take-over nobody renews the workers' leases; an outage that began there cost all
+    // of them.
     @Test
     fun `a leader that is refused alone gives up once a peer could follow at once, or after a while`() {
         fun gaveUpAt(prepared: Boolean): Long {
@@ -298,7 +300,8 @@
         assertEquals(null, c.whenLate(Now(30_000, 30_000), Effect.Direct(1, "127.0.0.1:9", 1, 1, emptyList())))
     }
 
-    // A leader that had yet to read what was cancelled kept it running for as long as an outage lasted that began just then.
+    // A leader that had yet to read what was cancelled kept it running for as long as an outage lasted that began just
+    // then.
     @Test
     fun `nobody stands before having read all that was written, neither with votes nor without`() {
         for (reads in listOf(false, true)) {
--- a/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
@@ -11,9 +11,9 @@
 import org.chalkhollow.wire.Row
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import org.junit.jupiter.api.Test
 import java.util.Base64
 import java.util.BitSet
 import java.util.SplittableRandom
@@ -25,10 +25,27 @@
 
     private fun limits(valueBytes: Int) = StateLimits(80.0, 20.0, valueBytes, 12)
 
-    private fun spec(tasks: Int, types: List<String>? = null) = JobSpec(
-        "j-000001", "w", "red", Shape.ARRAY, Priority.HIGH, tasks, Resources(1.0, 0.0, 1.0), "img", 1.0, types, null,
-        together = false, spread = false, spotAllowed = true, expectedS = 5.0, checkpointS = 0.0, saveS = 0.0, dueS = null,
-    )
+    private fun spec(tasks: Int, types: List<String>? = null) =
+        JobSpec(
+            "j-000001",
+            "w",
+            "red",
+            Shape.ARRAY,
+            Priority.HIGH,
+            tasks,
+            Resources(1.0, 0.0, 1.0),
+            "img",
+            1.0,
+            types,
+            null,
+            together = false,
+            spread = false,
+            spotAllowed = true,
+            expectedS = 5.0,
+            checkpointS = 0.0,
+            saveS = 0.0,
+            dueS = null,
+        )
 
     /** A leader's jobs under limits of its own, writing into and loaded from [store]. */
     private inner class Leader(private val valueBytes: Int, loaded: Boolean = true) {
@@ -55,7 +72,9 @@
         fun apply(write: Write) {
             for (c in write.changes) {
                 val packed = c.value?.let(Pack::encode)
-                if (packed == null) store.remove(c.key) else {
+                if (packed == null) {
+                    store.remove(c.key)
+                } else {
                     assertTrue(packed.size <= valueBytes)
                     store[c.key] = Pack.decode(packed)
                 }
@@ -92,7 +111,13 @@
         return all
     }
 
-    private fun some(tasks: Int, seed: Long): List<Int> = SplittableRandom(seed).let { r -> (0 until tasks).filter { r.nextInt(3) == 0 } }
+    private fun some(tasks: Int, seed: Long): List<Int> =
+        SplittableRandom(seed).let { r ->
+            (0 until tasks).filter {
+                r.nextInt(3) ==
+                    0
+            }
+        }
 
     @ParameterizedTest
     @CsvSource("8192,4096", "8192,1024", "8192,6144", "4096,8192", "1024,8192", "8192,3000", "12288,8192")
@@ -165,7 +190,14 @@
         val small = Fields.of(cancelled(job, 1024).map["j"], "j")
         assertEquals("red", small.text("owner"))
         assertTrue(!small.has("flavours") && small.has("bundle"))
-        assertEquals("red", Leader(1024, loaded = false).jobs.marked("j-000001")?.spec?.team)
+        assertEquals(
+            "red",
+            Leader(1024, loaded = false)
+                .jobs
+                .marked("j-000001")
+                ?.spec
+                ?.team,
+        )
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
@@ -19,22 +19,54 @@
     private val settlement = Settlement(desk, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
 
     private fun job(id: String): OpenJob {
-        val spec = JobSpec(id, "w", "t", Shape.ARRAY, Priority.STANDARD, 10, Resources(1.0, 0.0, 1.0), "i", 1.0, null, null, false, false, true, 5.0, 0.0, 0.0, null)
+        val spec =
+            JobSpec(
+                id,
+                "w",
+                "t",
+                Shape.ARRAY,
+                Priority.STANDARD,
+                10,
+                Resources(1.0, 0.0, 1.0),
+                "i",
+                1.0,
+                null,
+                null,
+                false,
+                false,
+                true,
+                5.0,
+                0.0,
+                0.0,
+                null,
+            )
         jobs.accept(spec, refused = {}) {}
         jobs.nextUrgent(StateLog.Room(10, 10_000))?.onDurable?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
 
-    // Job, index and number were once mixed into one number: index 0 with number n + 31 and index 1 with number n came out the
-    // same, so the completion of the one was taken for the other's, and a job was said to be done that was not.
+    // Job, index and number were once mixed into one number: index 0 with number n + 31 and index 1 with number n came
+    // out the same, so the completion of the one was taken for the other's, and a job was said to be done that was not.
     @Test
     fun `a completion counts for the attempt that it names and no other`() {
         val job = job("j-1")
-        val m = Machine(0, "n-1").also { it.state = Machine.State.UP; it.session = 1; it.seq = 1 }
+        val m =
+            Machine(0, "n-1").also {
+                it.state = Machine.State.UP
+                it.session = 1
+                it.seq = 1
+            }
         val numbers = listOf(131L, 100L, 69L)
         numbers.forEachIndexed { index, n -> settlement.reserve(job, index, n, m, null).phase = Attempt.Phase.SENT }
-        fun task(index: Int, phase: TaskReport.Phase, cause: ExitCause?) = TaskReport("j-1", index, numbers[index], phase, cause)
-        val tasks = listOf(task(0, TaskReport.Phase.RUNNING, null), task(1, TaskReport.Phase.EXITED, ExitCause.DONE), task(2, TaskReport.Phase.RUNNING, null))
+
+        fun task(index: Int, phase: TaskReport.Phase, cause: ExitCause?) =
+            TaskReport("j-1", index, numbers[index], phase, cause)
+        val tasks =
+            listOf(
+                task(0, TaskReport.Phase.RUNNING, null),
+                task(1, TaskReport.Phase.EXITED, ExitCause.DONE),
+                task(2, TaskReport.Phase.RUNNING, null),
+            )
         settlement.reconcile(m, WorkerReport("n-1", "n-1", "x", "z", false, 1, 2, 1, null, tasks), beat = true)
         assertEquals("{1}", job.done.toString())
         assertEquals(2, job.running)
--- a/src/test/kotlin/org/chalkhollow/core/StateLogTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/StateLogTest.kt
@@ -30,14 +30,23 @@
         init {
             log.source { room ->
                 val write = queue.firstOrNull()
-                if (write == null || room.ops < 1 || write.changes.sumOf { Sizes.of(it) } > room.bytes) null else queue.removeFirst()
+                if (write == null || room.ops < 1 ||
+                    write.changes.sumOf { Sizes.of(it) } > room.bytes
+                ) {
+                    null
+                } else {
+                    queue.removeFirst()
+                }
             }
             play(0, 0)
         }
 
         override fun prepare(stamp: Long) = Unit
+
         override fun prepared(stamp: Long) = true
+
         override fun unprepare() = Unit
+
         override fun onElected(generation: Long, stamp: Long, writes: Long, basis: Long) =
             log.start(LeadRecord("m", 77, generation, writes), stamp)
 
@@ -47,17 +56,20 @@
         }
 
         fun write(key: String, value: String = "v") {
-            queue.add(Write(listOf(Change(key, mapOf("x" to value))), onRefused = { refused.add(key) }) { durable.add(key) })
+            queue.add(
+                Write(listOf(Change(key, mapOf("x" to value))), onRefused = { refused.add(key) }) { durable.add(key) },
+            )
         }
 
-        private fun answer(e: Effect.State): StateReply = when (val op = e.op) {
-            is StateOp.Read -> lead?.let { StateReply.Found(it) } ?: StateReply.Missing
-            is StateOp.List -> StateReply.Unavailable
-            is StateOp.Commit -> {
-                commits.add(op)
-                rule(op).also { if (it is StateReply.Committed) apply(op, it.revision) }
+        private fun answer(e: Effect.State): StateReply =
+            when (val op = e.op) {
+                is StateOp.Read -> lead?.let { StateReply.Found(it) } ?: StateReply.Missing
+                is StateOp.List -> StateReply.Unavailable
+                is StateOp.Commit -> {
+                    commits.add(op)
+                    rule(op).also { if (it is StateReply.Committed) apply(op, it.revision) }
+                }
             }
-        }
 
         fun apply(op: StateOp.Commit, revision: Long) {
             lead = Row(LeadRecord.KEY, op.changes.first().value, revision)
@@ -79,8 +91,13 @@
         /** As the service does with smaller limits than the log knows of. */
         fun limits(valueChars: Int, ops: Int) {
             rule = { op ->
-                if (op.changes.size > ops || op.changes.any { (it.value?.get("x") as? String).orEmpty().length > valueChars }) StateReply.Rejected("too large")
-                else StateReply.Committed(++stamp)
+                if (op.changes.size > ops ||
+                    op.changes.any { (it.value?.get("x") as? String).orEmpty().length > valueChars }
+                ) {
+                    StateReply.Rejected("too large")
+                } else {
+                    StateReply.Committed(++stamp)
+                }
             }
         }
     }
@@ -113,6 +130,7 @@
     fun `a write that its source gives again and again leaves room for the others and for renewals`() {
         val b = Bench()
         b.limits(100, 12)
+
         fun large() {
             b.queue.add(Write(listOf(Change("large", mapOf("x" to "v".repeat(200)))), onRefused = ::large) {})
         }
@@ -132,9 +150,13 @@
             repeat(3) { b.write("k$it") }
             var sent = 0
             b.rule = { op ->
-                if (op.changes.size == 1 || sent > 1) StateReply.Committed(++b.stamp)
-                else if (sent++ == 0) StateReply.NoResponse.also { if (executed) b.apply(op, ++b.stamp) }
-                else StateReply.Rejected("too many")
+                if (op.changes.size == 1 || sent > 1) {
+                    StateReply.Committed(++b.stamp)
+                } else if (sent++ == 0) {
+                    StateReply.NoResponse.also { if (executed) b.apply(op, ++b.stamp) }
+                } else {
+                    StateReply.Rejected("too many")
+                }
             }
             b.play(1020, 2000)
             assertEquals(listOf("k0", "k1", "k2"), b.durable, "executed: $executed")
@@ -216,7 +238,11 @@
 
     @Test
     fun `nothing put together exceeds the limits of changes, conditions and bytes`() {
-        for (limits in listOf(StateLimits(80.0, 40.0, 8192, 12), StateLimits(20.0, 8.0, 1024, 3), StateLimits(40.0, 200.0, 4096, 100))) {
+        for (limits in listOf(
+            StateLimits(80.0, 40.0, 8192, 12),
+            StateLimits(20.0, 8.0, 1024, 3),
+            StateLimits(40.0, 200.0, 4096, 100),
+        )) {
             val b = Bench(limits)
             repeat(100) { b.write("k$it", "v".repeat(if (it % 3 == 0) limits.valueBytes - 64 else 5)) }
             b.play(0, 60_000)
--- a/src/test/kotlin/org/chalkhollow/mesh/PeerListenerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/mesh/PeerListenerTest.kt
@@ -78,11 +78,20 @@
     @Test
     fun `a greeting tells the version, which is 0 for those that did not know of it`() {
         val greetings = ArrayList<Pair<Int, Int>>()
-        val frames = listOf(PeerMessage.Hello("b", 1), PeerMessage.Hello("a", 2, PeerMessage.VERSION), PeerMessage.Hello("stranger", 3, 9)).map(Frames::encode)
+        val frames =
+            listOf(
+                PeerMessage.Hello("b", 1),
+                PeerMessage.Hello("a", 2, PeerMessage.VERSION),
+                PeerMessage.Hello("stranger", 3, 9),
+            ).map(Frames::encode)
         val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(f.size).array() + f }
         runBlocking {
             try {
-                PeerListener(listOf("a", "b"), dropped, { peer, h -> greetings.add(peer to h.version) }) { _, _ -> }.hear(ByteReadChannel(bytes))
+                PeerListener(
+                    listOf("a", "b"),
+                    dropped,
+                    { peer, h -> greetings.add(peer to h.version) },
+                ) { _, _ -> }.hear(ByteReadChannel(bytes))
             } catch (e: EOFException) {
                 // The connection ended.
             }
@@ -110,13 +119,24 @@
     @Test
     fun `no bytes make the reading of a frame fail`() {
         val random = SplittableRandom(11)
-        val samples = listOf(
-            hello, release, later(Later.Gossip(listOf("x"), emptyMap())), Frames.encode(PeerMessage.Forward(1, 1, "j-1", ByteArray(20))),
-            Frames.encode(PeerMessage.Promise(1, 2, true, false, 3)),
-        )
+        val samples =
+            listOf(
+                hello,
+                release,
+                later(Later.Gossip(listOf("x"), emptyMap())),
+                Frames.encode(PeerMessage.Forward(1, 1, "j-1", ByteArray(20))),
+                Frames.encode(PeerMessage.Promise(1, 2, true, false, 3)),
+            )
         var malformed = 0
         repeat(20_000) { i ->
-            val bytes = if (i % 4 == 0) ByteArray(random.nextInt(1, 60)).also(random::nextBytes) else samples[random.nextInt(samples.size)].clone()
+            val bytes =
+                if (i % 4 ==
+                    0
+                ) {
+                    ByteArray(random.nextInt(1, 60)).also(random::nextBytes)
+                } else {
+                    samples[random.nextInt(samples.size)].clone()
+                }
             repeat(random.nextInt(1, 4)) { bytes[random.nextInt(bytes.size)] = random.nextInt(256).toByte() }
             if (Frames.read(bytes) is Frame.Malformed) malformed++
         }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/NodeStand.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/NodeStand.kt
@@ -14,7 +14,12 @@
 import org.chalkhollow.wire.ReportReader
 
 /** One controller process: the real state machine, with a clock of its own, that can be killed and started again. */
-class NodeStand(private val rehearsal: Rehearsal, val label: String, private var settings: PlatformSettings, private val options: OperatorSettings) {
+class NodeStand(
+    private val rehearsal: Rehearsal,
+    val label: String,
+    private var settings: PlatformSettings,
+    private val options: OperatorSettings,
+) {
     private val world = rehearsal.world
     private val drift = 1.0 + world.random.nextDouble() * 0.0005
     private val offset = world.between(0, 1_000_000)
@@ -47,7 +52,16 @@
 
     /** Hears who calls, as with every new connection. */
     fun greet(from: Int, label: String, version: Int) {
-        if (alive) feed(Input.Peer(from, checkNotNull(Frames.decode(Frames.encode(PeerMessage.Hello(label, 1, version))) as? PeerMessage.Hello)))
+        if (alive) {
+            feed(
+                Input.Peer(
+                    from,
+                    checkNotNull(
+                        Frames.decode(Frames.encode(PeerMessage.Hello(label, 1, version))) as? PeerMessage.Hello,
+                    ),
+                ),
+            )
+        }
     }
 
     fun start() {
@@ -89,26 +103,29 @@
     private fun feed(input: Input) {
         val effects = controller?.step(now(), input) ?: return
         val inLife = life
+
         fun back(make: () -> Input) {
             if (life == inLife) feed(make())
         }
-        for (e in effects) when (e) {
-            is Effect.Answer -> calls.remove(e.call)?.invoke(e)
-            is Effect.State -> rehearsal.state.call(label, e.op) { r -> back { Input.State(e.ticket, r) } }
-            is Effect.Cloud -> rehearsal.cloud.call(label, e.op) { r -> back { Input.Cloud(e.ticket, r) } }
-            is Effect.Direct -> rehearsal.direct(label, e) { r -> back { Input.Direct(e.ticket, r) } }
-            is Effect.Send -> {
-                val to = rehearsal.peerOf(label, e.peer)
-                val frame = Frames.encode(e.message)
-                rehearsal.onFrame(frame)
-                rehearsal.network.send(label, to.label) { to.peer(rehearsal.indexAt(to.label, label), frame) }
-            }
-            is Effect.Timer -> {
-                val timer = ++timers
-                world.after(e.at - now().steady + world.between(0, 3)) { if (timer == timers) back { Input.Tick } }
+        for (e in effects) {
+            when (e) {
+                is Effect.Answer -> calls.remove(e.call)?.invoke(e)
+                is Effect.State -> rehearsal.state.call(label, e.op) { r -> back { Input.State(e.ticket, r) } }
+                is Effect.Cloud -> rehearsal.cloud.call(label, e.op) { r -> back { Input.Cloud(e.ticket, r) } }
+                is Effect.Direct -> rehearsal.direct(label, e) { r -> back { Input.Direct(e.ticket, r) } }
+                is Effect.Send -> {
+                    val to = rehearsal.peerOf(label, e.peer)
+                    val frame = Frames.encode(e.message)
+                    rehearsal.onFrame(frame)
+                    rehearsal.network.send(label, to.label) { to.peer(rehearsal.indexAt(to.label, label), frame) }
+                }
+                is Effect.Timer -> {
+                    val timer = ++timers
+                    world.after(e.at - now().steady + world.between(0, 3)) { if (timer == timers) back { Input.Tick } }
+                }
+                is Effect.Sample -> Unit
+                is Effect.Note -> if (rehearsal.verbose) println("${world.time} $label ${e.text}")
             }
-            is Effect.Sample -> Unit
-            is Effect.Note -> if (rehearsal.verbose) println("${world.time} $label ${e.text}")
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Rehearsal.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/Rehearsal.kt
@@ -42,15 +42,31 @@
     val zones = listOf("east", "west")
     val limits = listOf("red", "blue").map { Team(it, 16.0 * scale, 40.0 * scale, 0.0, 0.0) }
     val cancelMs = 25_000L
-    val types = listOf(
-        MachineType("small", Resources(8.0, 0.0, 64.0), 1.0, 20.0, 0.5, 0.2, 5.0, zones),
-        MachineType("large", Resources(16.0, 0.0, 64.0), 1.0, 20.0, 1.2, 0.5, 6.0, zones),
-    )
+    val types =
+        listOf(
+            MachineType("small", Resources(8.0, 0.0, 64.0), 1.0, 20.0, 0.5, 0.2, 5.0, zones),
+            MachineType("large", Resources(16.0, 0.0, 64.0), 1.0, 20.0, 1.2, 0.5, 6.0, zones),
+        )
     private val labels = List(controllers) { "abcde"[it].toString() }
     val settings = settingsOf("a", toldLeaseS, toldLimitFactor)
     val state = StateStand(world, network, settings.stateLimits)
-    val cloud = CloudStand(world, network, types, types + listOfNotNull(phantomType), capacity) { name, type, zone, spot -> WorkerStand(this, name, type, zone, spot, leaseMs) }
-    val nodes = labels.map { NodeStand(this, it, settingsOf(it, toldLeaseS, toldLimitFactor), oddOptions?.takeIf { _ -> it == "b" } ?: options) }
+    val cloud =
+        CloudStand(
+            world,
+            network,
+            types,
+            types + listOfNotNull(phantomType),
+            capacity,
+        ) { name, type, zone, spot -> WorkerStand(this, name, type, zone, spot, leaseMs) }
+    val nodes =
+        labels.map {
+            NodeStand(
+                this,
+                it,
+                settingsOf(it, toldLeaseS, toldLimitFactor),
+                oddOptions?.takeIf { _ -> it == "b" } ?: options,
+            )
+        }
     val users = Users(this)
     val rules = Rules(this)
 
@@ -62,22 +78,43 @@
 
     /** The settings of [label] when the state service is to have the limits [next]. */
     fun settingsWith(label: String, next: StateLimits): PlatformSettings =
-        settingsOf(label, settings.leaseS, 1.0).let { it.copy(stateLimits = stateLimits.within(next), stateLimitsNow = stateLimits) }
+        settingsOf(label, settings.leaseS, 1.0).let {
+            it.copy(stateLimits = stateLimits.within(next), stateLimitsNow = stateLimits)
+        }
 
-    private fun settingsOf(label: String, leaseS: Double, factor: Double) = PlatformSettings(
-        label = label, location = "east", clientListen = Address("127.0.0.1", 1), meshAddress = Address("127.0.0.1", 2),
-        peers = labels.filter { it != label }.map { Peer(it, Address("127.0.0.1", 3)) },
-        state = Address("127.0.0.1", 4), cloud = Address("127.0.0.1", 5),
-        teams = limits.map { it.copy(cpusMax = it.cpusMax * factor) }, objectives = objectives, reportS = reportMs / 1000.0, leaseS = leaseS, cancelS = 25.0,
-        stateLimits = stateLimits, cloudRps = 3.0, listLagS = 3.0, maxConnections = 100, skewMs = 25.0,
-    )
+    private fun settingsOf(label: String, leaseS: Double, factor: Double) =
+        PlatformSettings(
+            label = label,
+            location = "east",
+            clientListen = Address("127.0.0.1", 1),
+            meshAddress = Address("127.0.0.1", 2),
+            peers = labels.filter { it != label }.map { Peer(it, Address("127.0.0.1", 3)) },
+            state = Address("127.0.0.1", 4),
+            cloud = Address("127.0.0.1", 5),
+            teams = limits.map { it.copy(cpusMax = it.cpusMax * factor) },
+            objectives = objectives,
+            reportS =
+                reportMs / 1000.0,
+            leaseS = leaseS,
+            cancelS = 25.0,
+            stateLimits = stateLimits,
+            cloudRps = 3.0,
+            listLagS = 3.0,
+            maxConnections = 100,
+            skewMs = 25.0,
+        )
 
-    fun peerOf(label: String, index: Int): NodeStand = nodes.first { it.label == labels.filter { l -> l != label }[index] }
+    fun peerOf(label: String, index: Int): NodeStand =
+        nodes.first {
+            it.label ==
+                labels.filter { l -> l != label }[index]
+        }
 
     fun indexAt(label: String, of: String): Int = labels.filter { it != label }.indexOf(of)
 
     fun direct(node: String, e: Effect.Direct, reply: (DirectReply) -> Unit) {
         var settled = false
+
         fun settle(r: DirectReply) {
             if (!settled) {
                 settled = true
@@ -101,8 +138,8 @@
     }
 
     /**
-     * Starts everything, the controllers after [firstMs]; [jobs] jobs arrive over [overMs]. Machines that the cloud lists when the
-     * controllers begin, 3 s after they were added, are the operator's own, and stay.
+     * Starts everything, the controllers after [firstMs]; [jobs] jobs arrive over [overMs]. Machines that the cloud
+     * lists when the controllers begin, 3 s after they were added, are the operator's own, and stay.
      */
     fun begin(jobs: Int, overMs: Long, machines: Int = 4, firstMs: Long = 0) {
         repeat(machines) { cloud.add(types[0], zones[it % 2], false, 0) }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/RollingUpgrade.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/RollingUpgrade.kt
@@ -3,11 +3,16 @@
 import org.chalkhollow.settings.StateLimits
 
 /**
- * Controllers that begin as the version in production, which keeps within the old limits, are killed [atOnce] at a time and
- * come back keeping within [next]; one that dies before its turn comes back as it was. Some time after the last, the state
- * service has the limits [then].
+ * Controllers that begin as the version in production, which keeps within the old limits, are killed [atOnce] at a time
+ * and come back keeping within [next]; one that dies before its turn comes back as it was. Some time after the last,
+ * the state service has the limits [then].
  */
-class RollingUpgrade(private val r: Rehearsal, private val next: StateLimits, private val atOnce: Int, private val then: StateLimits = next) {
+class RollingUpgrade(
+    private val r: Rehearsal,
+    private val next: StateLimits,
+    private val atOnce: Int,
+    private val then: StateLimits = next,
+) {
     private val world = r.world
 
     /** When all controllers ran the new version, and when the limits were lowered. */
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Rules.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/Rules.kt
@@ -29,9 +29,10 @@
     val doneCount: Int get() = finalTold.values.count { it == "done" }
 
     /** Accepted jobs whose end nobody was told yet. */
-    fun pending(): List<String> = acceptedIds.filter { it !in finalTold }.sorted().map { id ->
-        "$id: ${done[id]?.size ?: 0} of ${rehearsal.users.spec(id)?.tasks} tasks, ${rehearsal.users.spec(id)}"
-    }
+    fun pending(): List<String> =
+        acceptedIds.filter { it !in finalTold }.sorted().map { id ->
+            "$id: ${done[id]?.size ?: 0} of ${rehearsal.users.spec(id)?.tasks} tasks, ${rehearsal.users.spec(id)}"
+        }
 
     fun broken(rule: String, what: String) {
         if (violations.size < 20) violations.add("$rule at ${world.time}: $what")
@@ -42,16 +43,32 @@
         begunAt.putIfAbsent(task.job, world.time)
         begun.getOrPut(task.job) { HashSet() }.add(task.index)
         val cancelled = cancelledAt[task.job]
-        if (cancelled != null && task.sentAt > cancelled) broken("ran_cancelled", "${task.name} was told to start after its user was told that it is cancelled")
+        if (cancelled != null &&
+            task.sentAt > cancelled
+        ) {
+            broken("ran_cancelled", "${task.name} was told to start after its user was told that it is cancelled")
+        }
         for (w in rehearsal.cloud.workers) {
-            if (w !== on && w.onMachine().any { it.name == task.name }) broken("ran_twice", "${task.name} on ${on.name} and ${w.name}")
+            if (w !== on &&
+                w.onMachine().any { it.name == task.name }
+            ) {
+                broken("ran_twice", "${task.name} on ${on.name} and ${w.name}")
+            }
+        }
+        if (spec.types != null &&
+            on.type.name !in spec.types
+        ) {
+            broken("wrong_place", "${task.name} on type ${on.type.name}")
         }
-        if (spec.types != null && on.type.name !in spec.types) broken("wrong_place", "${task.name} on type ${on.type.name}")
         if (spec.zone != null && spec.zone != on.zone) broken("wrong_place", "${task.name} in ${on.zone}")
         if (on.spot && !spec.spotAllowed) broken("wrong_place", "${task.name} on a spot machine")
         val zones = rehearsal.cloud.workers.flatMap { w -> w.onMachine().filter { it.job == spec.id }.map { w.zone } }
         if (spec.together && zones.toSet().size > 1) broken("wrong_place", "${spec.id} is in two zones")
-        if (spec.spread && zones.count { it == on.zone } > (spec.tasks + 1) / 2) broken("wrong_place", "${spec.id} is not spread")
+        if (spec.spread &&
+            zones.count { it == on.zone } > (spec.tasks + 1) / 2
+        ) {
+            broken("wrong_place", "${spec.id} is not spread")
+        }
     }
 
     fun completed(task: WorkerStand.Task) {
@@ -67,11 +84,12 @@
 
     /** Accepted jobs that were complete by their deadline, counted from their acceptance. */
     val onTimeCount: Int
-        get() = acceptedIds.count { id ->
-            val dueS = rehearsal.users.spec(id)?.dueS
-            val end = endedAt[id]
-            dueS != null && end != null && end - acceptedAt.getValue(id) <= dueS * 1000
-        }
+        get() =
+            acceptedIds.count { id ->
+                val dueS = rehearsal.users.spec(id)?.dueS
+                val end = endedAt[id]
+                dueS != null && end != null && end - acceptedAt.getValue(id) <= dueS * 1000
+            }
 
     /** Whether all other tasks of its job are done. */
     fun isLast(task: WorkerStand.Task): Boolean {
@@ -96,15 +114,28 @@
     fun accepted(id: String): Boolean {
         acceptedAt.putIfAbsent(id, world.time)
         val first = acceptedIds.add(id)
-        if (first) rehearsal.users.spec(id)?.takeIf { it.shape == Shape.SERVICE }?.let(services::accepted)
+        if (first) {
+            rehearsal.users
+                .spec(id)
+                ?.takeIf { it.shape == Shape.SERVICE }
+                ?.let(services::accepted)
+        }
         return first
     }
 
     /** Whether [id] is accepted, and neither over nor called off by its user. */
     fun isOpen(id: String): Boolean = id in acceptedIds && id !in finalTold && id !in wanted
 
-    /** The share of the replica time of service [id] that was served, from [afterMs] after its acceptance until it was called off. */
-    fun upShare(id: String, afterMs: Long): Double = services.share(id, acceptedAt.getValue(id) + afterMs, wantedAt[id] ?: world.time)
+    /**
+     * The share of the replica time of service [id] that was served, from [afterMs] after its acceptance until it was
+     * called off.
+     */
+    fun upShare(id: String, afterMs: Long): Double =
+        services.share(
+            id,
+            acceptedAt.getValue(id) + afterMs,
+            wantedAt[id] ?: world.time,
+        )
 
     fun refused(id: String, status: Int) {
         if (id in acceptedIds) broken("forgotten", "$id was accepted and is now answered with $status")
@@ -112,7 +143,11 @@
 
     /** A user gets word, given at [saidAt], that [id] is unknown; before its acceptance was told that was right. */
     fun notFound(id: String, saidAt: Long) {
-        if (id in acceptedIds && saidAt > (acceptedAt[id] ?: 0)) broken("forgotten", "$id was accepted and is now unknown")
+        if (id in acceptedIds &&
+            saidAt > (acceptedAt[id] ?: 0)
+        ) {
+            broken("forgotten", "$id was accepted and is now unknown")
+        }
     }
 
     fun asksToCancel(id: String) {
@@ -120,15 +155,25 @@
         if (wanted.add(id)) wantedAt[id] = world.time
     }
 
-    /** A user is told [status] in answer to what it asked at [askedAt]; only what was asked after an end was told can go back. */
+    /**
+     * A user is told [status] in answer to what it asked at [askedAt]; only what was asked after an end was told can go
+     * back.
+     */
     fun told(id: String, status: String, askedAt: Long) {
         val before = finalTold[id]
         if (before != null && before != status && askedAt <= (finalToldAt[id] ?: 0L)) return
         if (before != null && before != status) broken("went_back", "$id was $before and is now $status")
         if (status == "done") {
             val tasks = rehearsal.users.spec(id)?.tasks ?: 0
-            if (rehearsal.users.spec(id)?.shape == Shape.SERVICE) broken("not_done", "$id is a service, which is never done")
-            else if ((done[id]?.size ?: 0) < tasks) broken("not_done", "$id has ${done[id]?.size ?: 0} of $tasks tasks done")
+            if (rehearsal.users.spec(id)?.shape ==
+                Shape.SERVICE
+            ) {
+                broken("not_done", "$id is a service, which is never done")
+            } else if ((done[id]?.size ?: 0) <
+                tasks
+            ) {
+                broken("not_done", "$id has ${done[id]?.size ?: 0} of $tasks tasks done")
+            }
             finalTold[id] = status
             finalToldAt.putIfAbsent(id, world.time)
         }
@@ -161,7 +206,11 @@
             if (id in finalTold) continue
             if (id in wanted) {
                 val since = maxOf(calmFrom, wantedAt[id] ?: 0)
-                if (world.time - since > UNANSWERED_MS) broken("forgotten", "$id: its cancellation was not answered since $since")
+                if (world.time - since >
+                    UNANSWERED_MS
+                ) {
+                    broken("forgotten", "$id: its cancellation was not answered since $since")
+                }
                 continue
             }
             val since = maxOf(calmFrom, acceptedAt[id] ?: 0, answeredAt[id] ?: 0)
@@ -180,9 +229,19 @@
         }
     }
 
-    /** Once all troubles are over, no task waits for long while a machine that fits has room and its team is under its limit. */
+    /**
+     * Once all troubles are over, no task waits for long while a machine that fits has room and its team is under its
+     * limit.
+     */
     private fun checkWaiting() {
-        val placed = rehearsal.cloud.workers.filter { it.present }.flatMap { w -> w.tasks.values.filter { it.phase != TaskReport.Phase.EXITED }.map { it to w } }
+        val placed =
+            rehearsal.cloud.workers.filter { it.present }.flatMap { w ->
+                w.tasks.values
+                    .filter {
+                        it.phase !=
+                            TaskReport.Phase.EXITED
+                    }.map { it to w }
+            }
         val byJob = placed.groupBy { it.first.job }
         val used = HashMap<String, Double>()
         for ((t, _) in placed) rehearsal.users.spec(t.job)?.let { used.merge(it.team, it.each.cpus, Double::plus) }
@@ -191,15 +250,20 @@
             val spec = rehearsal.users.spec(id)
             val here = byJob[id] ?: emptyList()
             val ended = done[id] ?: emptySet()
-            val waits = spec != null && id !in finalTold && id !in wanted &&
-                (0 until spec.tasks).any { i -> i !in ended && here.none { it.first.index == i } } && couldBegin(spec, here, used, usable)
+            val waits =
+                spec != null && id !in finalTold && id !in wanted &&
+                    (0 until spec.tasks).any { i -> i !in ended && here.none { it.first.index == i } } &&
+                    couldBegin(spec, here, used, usable)
             if (!waits) {
                 waitingSince.remove(id)
                 continue
             }
             val since = waitingSince.getOrPut(id) { world.time }
             if (world.time - since > WAITING_MS) {
-                broken("left_waiting", "$id: a machine that fits has had room since $since: $spec, ${here.size} of its tasks are on machines, ${ended.size} done")
+                broken(
+                    "left_waiting",
+                    "$id: a machine that fits has had room since $since: $spec, ${here.size} of its tasks are on machines, ${ended.size} done",
+                )
                 waitingSince[id] = world.time
             }
         }
@@ -223,10 +287,20 @@
         }
     }
 
-    /** To be called when a day is over: what was put off for good, by class, by team, and among a class's largest jobs. */
+    /**
+     * To be called when a day is over: what was put off for good, by class, by team, and among a class's largest jobs.
+     */
     fun starved(): List<String> {
         val jobs = acceptedIds.filter { it !in wanted }.mapNotNull { rehearsal.users.spec(it) }
-        fun served(some: List<JobSpec>) = some.count { ((if (it.shape == Shape.SERVICE) begun else done)[it.id]?.size ?: 0) == it.tasks }
+
+        fun served(some: List<JobSpec>) =
+            some.count {
+                (
+                    (if (it.shape == Shape.SERVICE) begun else done)[it.id]?.size
+                        ?: 0
+                ) ==
+                    it.tasks
+            }
         val out = ArrayList<String>()
         val groups = jobs.groupBy { "class " + it.workload } + jobs.groupBy { "team " + it.team }
         for ((name, some) in groups) if (served(some) * 2 < some.size) out.add("$name: ${served(some)} of ${some.size}")
@@ -265,7 +339,11 @@
                 val spec = rehearsal.users.spec(t.job) ?: continue
                 usage.merge(spec.team, spec.each.cpus, Double::plus)
                 val since = cancelledAt[t.job]
-                if (since != null && world.time - since > rehearsal.cancelMs) broken("ran_cancelled", "${t.name} on ${w.name}")
+                if (since != null &&
+                    world.time - since > rehearsal.cancelMs
+                ) {
+                    broken("ran_cancelled", "${t.name} on ${w.name}")
+                }
             }
         }
         for (team in rehearsal.limits) {
--- a/src/test/kotlin/org/chalkhollow/rehearsal/ServiceRules.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/ServiceRules.kt
@@ -3,7 +3,10 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.wire.TaskReport
 
-/** What is counted of services, whose tasks (replicas) run until they are withdrawn: when each ran, and which is down for too long. */
+/**
+ * What is counted of services, whose tasks (replicas) run until they are withdrawn: when each ran, and which is down
+ * for too long.
+ */
 class ServiceRules(private val rehearsal: Rehearsal) {
     private val world = rehearsal.world
     private val services = ArrayList<JobSpec>()
@@ -22,15 +25,21 @@
     fun sample() {
         if (services.isEmpty() || world.time < sampledAt + SAMPLE_MS) return
         sampledAt = world.time
-        val running = rehearsal.cloud.workers.filter { !it.hanging }.flatMap { it.onMachine() }
-            .filter { it.phase == TaskReport.Phase.RUNNING }.mapTo(HashSet()) { it.name }
-        for (spec in services) for (name in names(spec)) {
-            val since = upSince[name]
-            if (name in running) {
-                if (since == null) upSince[name] = world.time
-            } else if (since != null) {
-                upSince.remove(name)
-                spans.getOrPut(name) { ArrayList() }.add(since..world.time)
+        val running =
+            rehearsal.cloud.workers
+                .filter { !it.hanging }
+                .flatMap { it.onMachine() }
+                .filter { it.phase == TaskReport.Phase.RUNNING }
+                .mapTo(HashSet()) { it.name }
+        for (spec in services) {
+            for (name in names(spec)) {
+                val since = upSince[name]
+                if (name in running) {
+                    if (since == null) upSince[name] = world.time
+                } else if (since != null) {
+                    upSince.remove(name)
+                    spans.getOrPut(name) { ArrayList() }.add(since..world.time)
+                }
             }
         }
     }
@@ -66,17 +75,19 @@
     }
 
     /** The longest time from [fromMs] on for which one replica of [id] did not run, up to now. */
-    fun longestDownMs(id: String, fromMs: Long): Long = names(specOf(id)).maxOf { n ->
-        var last = fromMs
-        var longest = 0L
-        for (span in ran(n)) {
-            longest = maxOf(longest, span.first - last)
-            last = maxOf(last, span.last)
+    fun longestDownMs(id: String, fromMs: Long): Long =
+        names(specOf(id)).maxOf { n ->
+            var last = fromMs
+            var longest = 0L
+            for (span in ran(n)) {
+                longest = maxOf(longest, span.first - last)
+                last = maxOf(last, span.last)
+            }
+            maxOf(longest, world.time - last)
         }
-        maxOf(longest, world.time - last)
-    }
 
-    private fun ran(name: String): List<LongRange> = (spans[name] ?: emptyList()) + listOfNotNull(upSince[name]?.let { it..world.time })
+    private fun ran(name: String): List<LongRange> =
+        (spans[name] ?: emptyList()) + listOfNotNull(upSince[name]?.let { it..world.time })
 
     private fun specOf(id: String): JobSpec = services.first { it.id == id }
 
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Stage.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/Stage.kt
@@ -5,9 +5,12 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** A day on which troubles meet on purpose: work under way when they begin at [START_MS], and what must hold at its end. */
+/**
+ * A day on which troubles meet on purpose: work under way when they begin at [START_MS], and what must hold at its end.
+ */
 class Stage(seed: Long, leaseMs: Long = 16_000, verbose: Boolean = false, controllers: Int = 3) {
-    val r = Rehearsal(seed, leaseMs = leaseMs, toldLeaseS = leaseMs / 1000.0, controllers = controllers, verbose = verbose)
+    val r =
+        Rehearsal(seed, leaseMs = leaseMs, toldLeaseS = leaseMs / 1000.0, controllers = controllers, verbose = verbose)
     val troubles = Troubles(r)
     val world get() = r.world
 
@@ -41,14 +44,43 @@
     /** Short jobs that go on arriving, and [long] ones that run from before the troubles. */
     fun begin(jobs: Int = 24, long: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
         r.begin(jobs, overMs, machines = 6)
-        repeat(long) { i -> at(6000L + i * 300) { this.long.add(r.users.submit { change(plain(it, if (i % 2 == 0) "red" else "blue")) }) } }
+        repeat(long) { i ->
+            at(6000L + i * 300) {
+                this.long.add(
+                    r.users.submit {
+                        change(
+                            plain(
+                                it,
+                                if (i % 2 ==
+                                    0
+                                ) {
+                                    "red"
+                                } else {
+                                    "blue"
+                                },
+                            ),
+                        )
+                    },
+                )
+            }
+        }
     }
 
     /** A job of three small tasks that may run anywhere, for one to four minutes. */
-    fun plain(spec: JobSpec, team: String = spec.team): JobSpec = spec.copy(
-        team = team, workload = "long", tasks = 3, each = Resources(2.0, 0.0, 2.0), types = null, zone = null,
-        together = false, spread = false, spotAllowed = true, expectedS = 150.0, dueS = null,
-    )
+    fun plain(spec: JobSpec, team: String = spec.team): JobSpec =
+        spec.copy(
+            team = team,
+            workload = "long",
+            tasks = 3,
+            each = Resources(2.0, 0.0, 2.0),
+            types = null,
+            zone = null,
+            together = false,
+            spread = false,
+            spotAllowed = true,
+            expectedS = 150.0,
+            dueS = null,
+        )
 
     /** Plays the day; its troubles are over at [calmMs]. */
     fun play(calmMs: Long, servesAll: Boolean = true) {
--- a/src/test/kotlin/org/chalkhollow/rehearsal/StateStand.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/StateStand.kt
@@ -21,7 +21,10 @@
     var ignoresConditions = false
     val size: Int get() = keys.size
 
-    /** Limits that hold from now on, in the way of the real service: what is beyond them is refused and not a fault of the test. */
+    /**
+     * Limits that hold from now on, in the way of the real service: what is beyond them is refused and not a fault of
+     * the test.
+     */
     var lowered: StateLimits? = null
         set(value) {
             field = value
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/Users.kt
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Submits a drawn service after [change], and returns its id; it is polled for ever. With [sentAs], a sabotage for tests of
-     * the checks, the controllers are sent something else than its user wants.
+     * Submits a drawn service after [change], and returns its id; it is polled for ever. With [sentAs], a sabotage for
+     * tests of the checks, the controllers are sent something else than its user wants.
      */
     fun submitService(sentAs: (JobSpec) -> JobSpec = { it }, change: (JobSpec) -> JobSpec = { it }): String {
         val spec = change(drawService())
@@ -50,16 +50,29 @@
         return spec.id
     }
 
-    fun drawService(): JobSpec = draw().copy(
-        workload = "portal", shape = Shape.SERVICE, priority = Priority.PRODUCTION, tasks = world.random.nextInt(2, 5),
-        each = Resources(1.0, 0.0, 1.6), types = null, zone = null, together = false, spread = true, spotAllowed = false,
-        expectedS = 0.0, checkpointS = 0.0, saveS = 0.0, dueS = null,
-    )
+    fun drawService(): JobSpec =
+        draw().copy(
+            workload = "portal",
+            shape = Shape.SERVICE,
+            priority = Priority.PRODUCTION,
+            tasks = world.random.nextInt(2, 5),
+            each = Resources(1.0, 0.0, 1.6),
+            types = null,
+            zone = null,
+            together = false,
+            spread = true,
+            spotAllowed = false,
+            expectedS = 0.0,
+            checkpointS = 0.0,
+            saveS = 0.0,
+            dueS = null,
+        )
 
     /** Sends the body [raw] to [node] as a submission, and says which status it got, 0 for no answer. */
     fun submitRaw(raw: ByteArray, node: NodeStand, then: (Int) -> Unit) {
         val ask = UserAsk.ofSubmission(raw) ?: return then(400) // what the front does with a body without an id
         var settled = false
+
         fun settle(status: Int) {
             if (settled) return
             settled = true
@@ -74,12 +87,24 @@
         val zone = if (world.chance(0.1)) rehearsal.zones[world.random.nextInt(2)] else null
         val checkpoint = if (world.chance(0.3)) 2.0 else 0.0
         return JobSpec(
-            id = id, workload = "w" + world.random.nextInt(3), team = rehearsal.settings.teams[world.random.nextInt(2)].name,
-            shape = Shape.ARRAY, priority = Priority.entries[world.random.nextInt(4)], tasks = world.random.nextInt(1, 14),
-            each = Resources(world.random.nextInt(1, 5).toDouble(), 0.0, 4.0), image = "img-" + world.random.nextInt(3), imageGb = 1.0,
-            types = if (world.chance(0.1)) listOf(rehearsal.types[world.random.nextInt(2)].name) else null, zone = zone,
-            together = zone == null && world.chance(0.15), spread = world.chance(0.15), spotAllowed = world.chance(0.7),
-            expectedS = 1.0 + world.random.nextInt(15), checkpointS = checkpoint, saveS = 1.0, dueS = if (world.chance(0.5)) 60.0 else null,
+            id = id,
+            workload = "w" + world.random.nextInt(3),
+            team = rehearsal.settings.teams[world.random.nextInt(2)].name,
+            shape = Shape.ARRAY,
+            priority = Priority.entries[world.random.nextInt(4)],
+            tasks = world.random.nextInt(1, 14),
+            each = Resources(world.random.nextInt(1, 5).toDouble(), 0.0, 4.0),
+            image = "img-" + world.random.nextInt(3),
+            imageGb = 1.0,
+            types = if (world.chance(0.1)) listOf(rehearsal.types[world.random.nextInt(2)].name) else null,
+            zone = zone,
+            together = zone == null && world.chance(0.15),
+            spread = world.chance(0.15),
+            spotAllowed = world.chance(0.7),
+            expectedS = 1.0 + world.random.nextInt(15),
+            checkpointS = checkpoint,
+            saveS = 1.0,
+            dueS = if (world.chance(0.5)) 60.0 else null,
         )
     }
 
@@ -88,6 +113,7 @@
 
     private fun call(ask: UserAsk, waitMs: Long, then: (Effect.Answer?) -> Unit) {
         var settled = false
+
         fun settle(a: Effect.Answer?) {
             if (!settled) {
                 settled = true
@@ -97,15 +123,20 @@
         world.after(waitMs) { settle(null) }
         val node = rehearsal.nodes[world.random.nextInt(rehearsal.nodes.size)]
         rehearsal.network.send(USERS, node.label) {
-            val heard = node.user(ask) { a ->
-                val said = world.time
-                rehearsal.network.send(node.label, USERS) {
-                    saidAt = said
-                    settle(a)
+            val heard =
+                node.user(ask) { a ->
+                    val said = world.time
+                    rehearsal.network.send(node.label, USERS) {
+                        saidAt = said
+                        settle(a)
+                    }
                 }
-            }
             if (!heard) settle(null)
-            if (ask !is UserAsk.Poll) rehearsal.network.copyAfter()?.let { late -> world.after(late) { node.user(ask) {} } }
+            if (ask !is UserAsk.Poll) {
+                rehearsal.network.copyAfter()?.let { late ->
+                    world.after(late) { node.user(ask) {} }
+                }
+            }
         }
     }
 
@@ -133,8 +164,11 @@
             if (a?.status == 200) rehearsal.rules.answered(id)
             val status = told(id, a, askedAt)
             if (!again) return@call
-            if (status != "done" && status != "aborted") world.after(5000) { poll(id) }
-            else if (world.chance(0.5)) world.after(world.between(5000, 60_000)) { poll(id) }
+            if (status != "done" && status != "aborted") {
+                world.after(5000) { poll(id) }
+            } else if (world.chance(0.5)) {
+                world.after(world.between(5000, 60_000)) { poll(id) }
+            }
         }
     }
 
@@ -145,7 +179,8 @@
         val askedAt = world.time
         call(UserAsk.Withdraw(id), 5000) { a ->
             val status = told(id, a, askedAt)
-            // A job whose acceptance is still under way is not known yet: the request is repeated until it is answered with 200.
+            // A job whose acceptance is still under way is not known yet: the request is repeated until it is answered
+            // with 200.
             if (status == null && tries < 100) world.after(1000) { withdraw(id, tries + 1) }
         }
     }
@@ -168,13 +203,32 @@
         world.after(world.between(0, 300)) { repeat(id) }
     }
 
-    /** Calls off [count] jobs that run and have long to go, within a fifth of a second; up to eight of their machines hang for [hangMs]. */
+    /**
+     * Calls off [count] jobs that run and have long to go, within a fifth of a second; up to eight of their machines
+     * hang for [hangMs].
+     */
     fun cancelNow(count: Int, hangMs: Long = 0): List<String> {
-        val running = rehearsal.cloud.workers.flatMap { w -> w.onMachine().filter { it.endsAt - world.time > 40_000 }.map { it.job to w } }
-        val ids = running.map { it.first }.distinct().filter { !rehearsal.rules.isFinal(it) }.take(count)
+        val running =
+            rehearsal.cloud.workers.flatMap { w ->
+                w.onMachine().filter { it.endsAt - world.time > 40_000 }.map {
+                    it.job to
+                        w
+                }
+            }
+        val ids =
+            running
+                .map { it.first }
+                .distinct()
+                .filter { !rehearsal.rules.isFinal(it) }
+                .take(count)
         for (id in ids) world.after(world.between(0, 200)) { cancel(id) }
         if (hangMs > 0) {
-            val machines = running.filter { it.first in ids }.map { it.second }.distinct().take(8)
+            val machines =
+                running
+                    .filter { it.first in ids }
+                    .map { it.second }
+                    .distinct()
+                    .take(8)
             for (w in machines) world.after(world.between(0, 300)) { w.hang(hangMs) }
         }
         return ids
@@ -185,17 +239,22 @@
         submit(specs[id] ?: return, 1)
     }
 
-    /** For [forMs]: repeats unfinished jobs, cancels done ones, asks about any, and sends some that fit no machine or lack a field. */
+    /**
+     * For [forMs]: repeats unfinished jobs, cancels done ones, asks about any, and sends some that fit no machine or
+     * lack a field.
+     */
     fun odd(forMs: Long) {
-        for (at in 0L until forMs step 700) world.after(at) {
-            val known = specs.keys.sorted()
-            val id = known.getOrNull(world.random.nextInt(maxOf(1, known.size)))
-            when (world.random.nextInt(5)) {
-                0 -> submitUnfit()
-                1 -> submitLacking()
-                2 -> id?.let(::repeat)
-                3 -> known.firstOrNull { rehearsal.rules.isDone(it) && world.chance(0.2) }?.let(::cancel)
-                else -> id?.let { poll(it, again = false) }
+        for (at in 0L until forMs step 700) {
+            world.after(at) {
+                val known = specs.keys.sorted()
+                val id = known.getOrNull(world.random.nextInt(maxOf(1, known.size)))
+                when (world.random.nextInt(5)) {
+                    0 -> submitUnfit()
+                    1 -> submitLacking()
+                    2 -> id?.let(::repeat)
+                    3 -> known.firstOrNull { rehearsal.rules.isDone(it) && world.chance(0.2) }?.let(::cancel)
+                    else -> id?.let { poll(it, again = false) }
+                }
             }
         }
     }
@@ -204,27 +263,50 @@
     fun submitUnfit() {
         val spec = draw().copy(each = Resources(17.0 + world.random.nextInt(50), 0.0, 4.0), types = null, zone = null)
         val raw = Pack.encode(UserCodec.map(spec))
-        call(UserAsk.Submit(UserCodec.job(raw), raw), 5000) { a -> rehearsal.rules.answeredUnfit(spec.id, a?.status ?: 0) }
+        call(
+            UserAsk.Submit(UserCodec.job(raw), raw),
+            5000,
+        ) { a -> rehearsal.rules.answeredUnfit(spec.id, a?.status ?: 0) }
     }
 
     /** A job without one of its fields; it must not pass the door. */
     private fun submitLacking() {
         val spec = draw()
         val map = UserCodec.map(spec)
-        val needed = listOf("workload", "owner", "shape", "urgency", "pieces", "vcpus", "cards", "memoryGb", "expectedS", "snapshotS", "flushS")
+        val needed =
+            listOf(
+                "workload",
+                "owner",
+                "shape",
+                "urgency",
+                "pieces",
+                "vcpus",
+                "cards",
+                "memoryGb",
+                "expectedS",
+                "snapshotS",
+                "flushS",
+            )
         val lacks = needed[world.random.nextInt(needed.size)]
         val raw = Pack.encode(map - lacks)
-        val parsed = try {
-            UserCodec.job(raw)
-        } catch (e: Malformed) {
-            return
-        }
+        val parsed =
+            try {
+                UserCodec.job(raw)
+            } catch (e: Malformed) {
+                return
+            }
         rehearsal.rules.broken("accepted_unfit", "${parsed.id} without $lacks was read as a job")
     }
 
     fun askUnknown() {
         val id = "j-9" + world.random.nextInt(1_000_000)
-        call(UserAsk.Poll(id), 2000) { a -> if (a?.status == 200 && id !in specs) rehearsal.rules.broken("invented", "$id was answered with 200") }
+        call(UserAsk.Poll(id), 2000) { a ->
+            if (a?.status == 200 &&
+                id !in specs
+            ) {
+                rehearsal.rules.broken("invented", "$id was answered with 200")
+            }
+        }
     }
 
     private fun told(id: String, a: Effect.Answer?, askedAt: Long): String? {
--- a/src/test/kotlin/org/chalkhollow/rehearsal/WorkerStand.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/WorkerStand.kt
@@ -78,7 +78,9 @@
 
     /** Up, awake, well, not to be taken, and answered lately: a machine that work can be given to. */
     val usable: Boolean
-        get() = present && !hanging && !sick && noticeAt == 0L && world.time >= muteUntil && world.time - leaseFrom < rehearsal.reportMs * 2 + 1000
+        get() =
+            present && !hanging && !sick && noticeAt == 0L && world.time >= muteUntil &&
+                world.time - leaseFrom < rehearsal.reportMs * 2 + 1000
 
     val hanging: Boolean get() = world.time < hangUntil
 
@@ -107,7 +109,15 @@
         seq++
         val notice = if (noticeAt > 0) (noticeAt - world.time) / 1000.0 else null
         return WorkerReport(
-            name, name, type.name, zone, spot, session, seq, token, notice,
+            name,
+            name,
+            type.name,
+            zone,
+            spot,
+            session,
+            seq,
+            token,
+            notice,
             tasks.values.map { TaskReport(it.job, it.index, it.attempt, it.phase, it.cause) },
         )
     }
@@ -123,15 +133,29 @@
         reportDueAt = world.time
     }
 
-    private fun wire(r: WorkerReport): ByteArray = Pack.encode(
-        mapOf(
-            "host" to r.machine, "address" to r.address, "flavour" to r.type, "site" to r.zone, "standby" to r.spot,
-            "tenure" to r.session, "tally" to r.seq, "mandate" to r.token, "warningS" to r.noticeS,
-            "pieces" to r.tasks.map { t ->
-                mapOf("piece" to "${t.jobId}/${t.index}", "try" to t.attempt, "status" to PHASES.getValue(t.phase), "cause" to t.cause?.let { CAUSES.getValue(it) })
-            },
-        ),
-    )
+    private fun wire(r: WorkerReport): ByteArray =
+        Pack.encode(
+            mapOf(
+                "host" to r.machine,
+                "address" to r.address,
+                "flavour" to r.type,
+                "site" to r.zone,
+                "standby" to r.spot,
+                "tenure" to r.session,
+                "tally" to r.seq,
+                "mandate" to r.token,
+                "warningS" to r.noticeS,
+                "pieces" to
+                    r.tasks.map { t ->
+                        mapOf(
+                            "piece" to "${t.jobId}/${t.index}",
+                            "try" to t.attempt,
+                            "status" to PHASES.getValue(t.phase),
+                            "cause" to t.cause?.let { CAUSES.getValue(it) },
+                        )
+                    },
+            ),
+        )
 
     /** A copy of a report turns up late, at whichever controller; nobody waits for the answer. */
     private fun copyLater(report: WorkerReport) {
@@ -142,7 +166,9 @@
         }
     }
 
-    /** Holds the reports of now back and delivers them [afterMs] later to whoever leads then, though others came before. */
+    /**
+     * Holds the reports of now back and delivers them [afterMs] later to whoever leads then, though others came before.
+     */
     fun holdReport(afterMs: Long) {
         val body = wire(snapshot())
         world.after(afterMs) { (rehearsal.nodes.firstOrNull { it.leads } ?: rehearsal.nodes.first()).report(body) {} }
@@ -185,6 +211,7 @@
         inFlight = true
         val node = rehearsal.nodes[target]
         var settled = false
+
         fun settle(run: () -> Unit) {
             if (settled || dead) return
             settled = true
@@ -193,12 +220,13 @@
         }
         world.after(4000) { settle(::nextNode) }
         rehearsal.network.send(name, node.label) {
-            val heard = node.report(wire(report)) { answer ->
-                val answeredAt = world.time
-                rehearsal.network.send(node.label, name) {
-                    if (!hanging) settle { answered(answer, report, sentAt, answeredAt) }
+            val heard =
+                node.report(wire(report)) { answer ->
+                    val answeredAt = world.time
+                    rehearsal.network.send(node.label, name) {
+                        if (!hanging) settle { answered(answer, report, sentAt, answeredAt) }
+                    }
                 }
-            }
             if (!heard) rehearsal.network.send(node.label, name) { settle(::nextNode) }
         }
     }
@@ -243,9 +271,11 @@
     fun direct(e: Effect.Direct, sentAt: Long, reply: (DirectReply) -> Unit) {
         if (!present) return
         if (e.commands.any { it is Command.Start }) lastStart = e
-        if (e !in repeated) rehearsal.network.copyAfter()?.let { late ->
-            repeated.add(e)
-            world.after(late) { direct(e, sentAt) {} }
+        if (e !in repeated) {
+            rehearsal.network.copyAfter()?.let { late ->
+                repeated.add(e)
+                world.after(late) { direct(e, sentAt) {} }
+            }
         }
         if (hanging) {
             world.after(hangUntil - world.time + 1) { direct(e, sentAt, reply) }
@@ -270,7 +300,10 @@
         changed()
     }
 
-    /** A running task that has checkpoints saves first if it is given the time; one that saves is ended by a stop without any. */
+    /**
+     * A running task that has checkpoints saves first if it is given the time; one that saves is ended by a stop
+     * without any.
+     */
     private fun stop(task: Task, graceS: Double, key: String) {
         val spec = rehearsal.users.spec(task.job)
         when {
@@ -296,16 +329,28 @@
         }
     }
 
-    /** Whether fetching, running and saving tasks leave room for a task of [spec]; with [stopsLower], those of lower priority do not count. */
+    /**
+     * Whether fetching, running and saving tasks leave room for a task of [spec]; with [stopsLower], those of lower
+     * priority do not count.
+     */
     fun hasRoomFor(spec: JobSpec, stopsLower: Boolean = false): Boolean {
-        val here = tasks.values.filter { it.phase != TaskReport.Phase.EXITED }.mapNotNull { rehearsal.users.spec(it.job) }
-            .filter { !stopsLower || it.priority <= spec.priority }
+        val here =
+            tasks.values
+                .filter { it.phase != TaskReport.Phase.EXITED }
+                .mapNotNull { rehearsal.users.spec(it.job) }
+                .filter { !stopsLower || it.priority <= spec.priority }
         return here.sumOf { it.each.cpus } + spec.each.cpus <= type.room.cpus + 1e-6 &&
             here.sumOf { it.each.memoryGb } + spec.each.memoryGb <= type.room.memoryGb + 1e-6
     }
 
     private fun usedCpus(): Double =
-        tasks.values.filter { it.phase != TaskReport.Phase.EXITED }.sumOf { rehearsal.users.spec(it.job)?.each?.cpus ?: 0.0 }
+        tasks.values.filter { it.phase != TaskReport.Phase.EXITED }.sumOf {
+            rehearsal.users
+                .spec(it.job)
+                ?.each
+                ?.cpus
+                ?: 0.0
+        }
 
     private fun begin(task: Task, spec: JobSpec, key: String) {
         task.phase = TaskReport.Phase.RUNNING
@@ -335,7 +380,10 @@
 
     /** Replica [index] of service [job] ends by itself here; false if it does not run here. */
     fun end(job: String, index: Int, cause: ExitCause): Boolean {
-        val task = tasks.values.firstOrNull { it.job == job && it.index == index && it.phase == TaskReport.Phase.RUNNING }
+        val task =
+            tasks.values.firstOrNull {
+                it.job == job && it.index == index && it.phase == TaskReport.Phase.RUNNING
+            }
         if (task == null || !present || hanging) return false
         exit(task, cause)
         return true
@@ -345,8 +393,9 @@
     private fun at(task: Task, ms: Long, key: String, run: () -> Unit) {
         world.after(ms) {
             if (dead || tasks[key] !== task || task.phase == TaskReport.Phase.EXITED) return@after
-            if (hanging) at(task, hangUntil - world.time + 1, key, run)
-            else {
+            if (hanging) {
+                at(task, hangUntil - world.time + 1, key, run)
+            } else {
                 expire()
                 if (tasks[key] === task) run()
             }
@@ -361,16 +410,31 @@
 
     /** Tasks that count as being on this machine. */
     fun onMachine(): List<Task> =
-        if (!present) emptyList() else tasks.values.filter { it.phase == TaskReport.Phase.RUNNING || it.phase == TaskReport.Phase.SAVING }
+        if (!present) {
+            emptyList()
+        } else {
+            tasks.values.filter {
+                it.phase == TaskReport.Phase.RUNNING ||
+                    it.phase == TaskReport.Phase.SAVING
+            }
+        }
 
     private companion object {
-        val PHASES = mapOf(
-            TaskReport.Phase.FETCHING to "pulling", TaskReport.Phase.RUNNING to "running",
-            TaskReport.Phase.SAVING to "saving", TaskReport.Phase.EXITED to "exited",
-        )
-        val CAUSES = mapOf(
-            ExitCause.DONE to "done", ExitCause.HALTED to "halted", ExitCause.ERROR to "error",
-            ExitCause.FULL to "full", ExitCause.BUSY to "busy", ExitCause.NO_SUCH to "no_such",
-        )
+        val PHASES =
+            mapOf(
+                TaskReport.Phase.FETCHING to "pulling",
+                TaskReport.Phase.RUNNING to "running",
+                TaskReport.Phase.SAVING to "saving",
+                TaskReport.Phase.EXITED to "exited",
+            )
+        val CAUSES =
+            mapOf(
+                ExitCause.DONE to "done",
+                ExitCause.HALTED to "halted",
+                ExitCause.ERROR to "error",
+                ExitCause.FULL to "full",
+                ExitCause.BUSY to "busy",
+                ExitCause.NO_SUCH to "no_such",
+            )
     }
 }
--- a/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
@@ -44,9 +44,18 @@
     @Test
     fun `the limits kept within are the smaller of those of now and of next`() {
         val now = StateLimits(80.0, 20.0, 8192, 12)
-        fun limits(json: String) = PlatformSettings.parse(next(json), "s.json").also { assertEquals(now, it.stateLimitsNow) }.stateLimits
+
+        fun limits(json: String) =
+            PlatformSettings
+                .parse(next(json), "s.json")
+                .also {
+                    assertEquals(now, it.stateLimitsNow)
+                }.stateLimits
         assertEquals(StateLimits(40.0, 10.0, 4096, 6), limits("""{"rps":40,"write_rps":10,"value_kb":4,"txn_ops":6}"""))
-        assertEquals(now.copy(writeRps = 10.0), limits("""{"write_rps":10,"value_kb":16,"rps":81,"txn_ops":100,"colour":"blue"}"""))
+        assertEquals(
+            now.copy(writeRps = 10.0),
+            limits("""{"write_rps":10,"value_kb":16,"rps":81,"txn_ops":100,"colour":"blue"}"""),
+        )
         assertEquals(now.copy(valueBytes = 1536), limits("""{"value_kb":1.5}"""))
         for (none in listOf("{}", "null", """{"rps":null}""")) assertEquals(now, limits(none))
         assertEquals(now, PlatformSettings.parse(good, "s.json").stateLimits)
@@ -55,9 +64,13 @@
     @Test
     fun `nonsense in next is complained of in one line that names the field`() {
         for ((json, field) in listOf(
-            "7" to "facts.state.next", "[]" to "facts.state.next", "\"soon\"" to "facts.state.next",
-            """{"rps":"x"}""" to "facts.state.next.rps", """{"write_rps":0}""" to "facts.state.next.write_rps",
-            """{"value_kb":-4}""" to "facts.state.next.value_kb", """{"txn_ops":{}}""" to "facts.state.next.txn_ops",
+            "7" to "facts.state.next",
+            "[]" to "facts.state.next",
+            "\"soon\"" to "facts.state.next",
+            """{"rps":"x"}""" to "facts.state.next.rps",
+            """{"write_rps":0}""" to "facts.state.next.write_rps",
+            """{"value_kb":-4}""" to "facts.state.next.value_kb",
+            """{"txn_ops":{}}""" to "facts.state.next.txn_ops",
             """{"txn_ops":2}""" to "facts.state.next.txn_ops",
         )) {
             val line = complaint(next(json))
@@ -67,7 +80,9 @@
     }
 
     @Test
-    fun `the limits of next are checked by --check also`(@TempDir folder: Path) {
+    fun `the limits of next are checked by --check also`(
+        @TempDir folder: Path,
+    ) {
         val file = Files.writeString(folder.resolve("s.json"), next("""{"value_kb":"small"}"""))
         val error = assertThrows(CliktError::class.java) { Chalkhollow().parse(listOf("--config", "$file", "--check")) }
         assertTrue("field facts.state.next.value_kb is not a number" in error.message.orEmpty(), error.message)
@@ -87,7 +102,11 @@
 
     @Test
     fun `the example file states the defaults`() {
-        val example = OperatorText.load(java.nio.file.Path.of("docs/operator-settings.example.txtpb"))
+        val example =
+            OperatorText.load(
+                java.nio.file.Path
+                    .of("docs/operator-settings.example.txtpb"),
+            )
         assertEquals(OperatorSettings(), example)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
@@ -6,12 +6,29 @@
 import org.junit.jupiter.api.Test
 
 class CodecTest {
-    private val good: Map<String, Any?> = mapOf(
-        "nameId" to "j-000412", "workload" to "train", "owner" to "vision", "shape" to "batch", "urgency" to "high", "pieces" to 16,
-        "vcpus" to 8.0, "cards" to 1.0, "memoryGb" to 64.0, "bundle" to "img-07", "pullGb" to 6.2, "flavours" to listOf("g8"),
-        "site" to null, "together" to true, "spread" to false, "standby" to true, "expectedS" to 240.0, "snapshotS" to 30.0,
-        "flushS" to 4.0, "dueS" to 900.0,
-    )
+    private val good: Map<String, Any?> =
+        mapOf(
+            "nameId" to "j-000412",
+            "workload" to "train",
+            "owner" to "vision",
+            "shape" to "batch",
+            "urgency" to "high",
+            "pieces" to 16,
+            "vcpus" to 8.0,
+            "cards" to 1.0,
+            "memoryGb" to 64.0,
+            "bundle" to "img-07",
+            "pullGb" to 6.2,
+            "flavours" to listOf("g8"),
+            "site" to null,
+            "together" to true,
+            "spread" to false,
+            "standby" to true,
+            "expectedS" to 240.0,
+            "snapshotS" to 30.0,
+            "flushS" to 4.0,
+            "dueS" to 900.0,
+        )
 
     private fun read(map: Map<String, Any?>) = UserCodec.job(Pack.encode(map))
 
@@ -33,24 +50,53 @@
 
     @Test
     fun `what is missing or invalid is malformed, field by field`() {
-        val bad = listOf(
-            "nameId" to "412", "nameId" to "j-", "nameId" to "j-4x", "nameId" to 7, "shape" to "heap", "urgency" to "now",
-            "pieces" to 0, "pieces" to -1, "pieces" to 100_001, "pieces" to 1.5, "vcpus" to Double.NaN, "vcpus" to -1.0,
-            "vcpus" to "8", "memoryGb" to Double.POSITIVE_INFINITY, "flavours" to "g8", "flavours" to listOf(1), "site" to 3,
-            "together" to 1, "expectedS" to null, "owner" to "x".repeat(500), "dueS" to -5.0,
-        )
-        for ((field, value) in bad) assertThrows(Malformed::class.java, { read(good + (field to value)) }, "$field = $value")
+        val bad =
+            listOf(
+                "nameId" to "412",
+                "nameId" to "j-",
+                "nameId" to "j-4x",
+                "nameId" to 7,
+                "shape" to "heap",
+                "urgency" to "now",
+                "pieces" to 0,
+                "pieces" to -1,
+                "pieces" to 100_001,
+                "pieces" to 1.5,
+                "vcpus" to Double.NaN,
+                "vcpus" to -1.0,
+                "vcpus" to "8",
+                "memoryGb" to Double.POSITIVE_INFINITY,
+                "flavours" to "g8",
+                "flavours" to listOf(1),
+                "site" to 3,
+                "together" to 1,
+                "expectedS" to null,
+                "owner" to "x".repeat(500),
+                "dueS" to -5.0,
+            )
+        for ((field, value) in bad) {
+            assertThrows(
+                Malformed::class.java,
+                { read(good + (field to value)) },
+                "$field = $value",
+            )
+        }
     }
 
     @Test
     fun `every field is required but the three that may be null or omitted, in every shape`() {
         val optional = setOf("flavours", "site", "dueS")
-        for (shape in listOf("batch", "group", "service")) for (field in good.keys) {
-            val job = good + ("shape" to shape)
-            val without = listOf(job + (field to null)) + if (field == "shape") emptyList() else listOf(job - field)
-            for (map in without) {
-                if (field in optional) assertEquals("j-000412", read(map).id)
-                else assertThrows(Malformed::class.java, { read(map) }, "$shape without $field")
+        for (shape in listOf("batch", "group", "service")) {
+            for (field in good.keys) {
+                val job = good + ("shape" to shape)
+                val without = listOf(job + (field to null)) + if (field == "shape") emptyList() else listOf(job - field)
+                for (map in without) {
+                    if (field in optional) {
+                        assertEquals("j-000412", read(map).id)
+                    } else {
+                        assertThrows(Malformed::class.java, { read(map) }, "$shape without $field")
+                    }
+                }
             }
         }
         assertThrows(Malformed::class.java) { read(good - "shape") }
@@ -67,7 +113,16 @@
 
     @Test
     fun `bytes that are no map of MessagePack are malformed, not errors of another kind`() {
-        val junk = listOf(byteArrayOf(), byteArrayOf(0xc1.toByte()), byteArrayOf(1), ByteArray(60) { 0x91.toByte() }, byteArrayOf(0x81.toByte(), 0xa1.toByte()))
+        val junk =
+            listOf(
+                byteArrayOf(),
+                byteArrayOf(0xc1.toByte()),
+                byteArrayOf(1),
+                ByteArray(60) {
+                    0x91.toByte()
+                },
+                byteArrayOf(0x81.toByte(), 0xa1.toByte()),
+            )
         for (bytes in junk) assertThrows(Malformed::class.java) { Pack.decodeMap(bytes) }
         val random = java.util.SplittableRandom(5)
         repeat(2000) {
@@ -82,10 +137,18 @@
 
     @Test
     fun `a report names task and attempt, and a cause nobody knows counts as an error`() {
-        val report = mapOf(
-            "host" to "n-1", "address" to "a:1", "flavour" to "t", "site" to "z", "standby" to false, "tenure" to 2, "tally" to 9,
-            "mandate" to 4, "pieces" to listOf(mapOf("piece" to "j-1/7", "try" to 3, "status" to "exited", "cause" to "novel")),
-        )
+        val report =
+            mapOf(
+                "host" to "n-1",
+                "address" to "a:1",
+                "flavour" to "t",
+                "site" to "z",
+                "standby" to false,
+                "tenure" to 2,
+                "tally" to 9,
+                "mandate" to 4,
+                "pieces" to listOf(mapOf("piece" to "j-1/7", "try" to 3, "status" to "exited", "cause" to "novel")),
+            )
         val task = WorkerCodec.report(Pack.encode(report)).tasks.single()
         assertEquals(TaskReport("j-1", 7, 3, TaskReport.Phase.EXITED, ExitCause.ERROR), task)
         assertThrows(Malformed::class.java) { WorkerCodec.report(Pack.encode(report - "tenure")) }
