--- a/src/main/kotlin/org/chalkhollow/StatusCommand.kt
+++ b/src/main/kotlin/org/chalkhollow/StatusCommand.kt
@@ -16,7 +16,11 @@
 
 /** Asks a running controller how things stand. */
 class StatusCommand : CoreCliktCommand(name = "status") {
-    private val address by option("--address", metavar = "HOST:PORT", help = "where the controller listens for users").required()
+    private val address by option(
+        "--address",
+        metavar = "HOST:PORT",
+        help = "where the controller listens for users",
+    ).required()
     private val job by option("--job", metavar = "ID", help = "one job, and why its tasks wait; the leader knows")
     private val json by option("--json", help = "print JSON").flag()
 
@@ -24,10 +28,18 @@
 
     override fun run() {
         val id = job
-        val text = fetch(if (id == null) "/ops/status" else "/ops/jobs/$id") ?: throw CliktError("$address does not know ${id ?: "of this"}", statusCode = UNKNOWN)
+        val text =
+            fetch(if (id == null) "/ops/status" else "/ops/jobs/$id")
+                ?: throw CliktError("$address does not know ${id ?: "of this"}", statusCode = UNKNOWN)
         if (json) return echo(text)
         try {
-            if (id == null) show(LENIENT.decodeFromString(StatusView.serializer(), text)) else show(LENIENT.decodeFromString(JobView.serializer(), text))
+            if (id ==
+                null
+            ) {
+                show(LENIENT.decodeFromString(StatusView.serializer(), text))
+            } else {
+                show(LENIENT.decodeFromString(JobView.serializer(), text))
+            }
         } catch (e: SerializationException) {
             throw CliktError("$address is no controller of this version", statusCode = UNREACHABLE)
         }
@@ -50,8 +62,11 @@
     }
 
     private fun show(s: StatusView) {
-        echo("${s.label}: ${if (s.leads) "leads" else "follows ${s.leader ?: "nobody it has heard of lately"}"}, generation ${s.generation}")
-        if (s.controllers.isNotEmpty()) echo("versions: " + s.controllers.joinToString { "${it.label} ${it.version ?: "not known"}" })
+        val role = if (s.leads) "leads" else "follows ${s.leader ?: "nobody it has heard of lately"}"
+        echo("${s.label}: $role, generation ${s.generation}")
+        if (s.controllers.isNotEmpty()) {
+            echo("versions: " + s.controllers.joinToString { "${it.label} ${it.version ?: "not known"}" })
+        }
         if (!s.allNew) {
             val newest = s.controllers.maxOfOrNull { it.version ?: 0 } ?: 0
             val waits = s.controllers.filter { (it.version ?: -1) < newest }.map { it.label }
@@ -60,7 +75,10 @@
         if (!s.leads) return
         if (!s.ready) return echo("still rebuilding its view")
         echo("jobs: ${s.jobsOpen} open of ${s.jobsKnown} known")
-        for (c in s.classes) echo("  ${c.name}: ${c.jobs} open, ${c.tasksLive} tasks on machines, ${c.tasksReady} waiting, oldest ${c.oldestS} s")
+        for (c in s.classes) {
+            val tasks = "${c.tasksLive} tasks on machines, ${c.tasksReady} waiting"
+            echo("  ${c.name}: ${c.jobs} open, $tasks, oldest ${c.oldestS} s")
+        }
         for (v in s.services) {
             echo("  ${v.name}: ${v.services} services, ${v.up} of ${v.wanted} replicas up")
             for (reason in v.down) echo("    $reason")
--- a/src/main/kotlin/org/chalkhollow/core/StatusView.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StatusView.kt
@@ -43,4 +43,12 @@
 
 /** One open job, and why tasks of it wait. */
 @Serializable
-data class JobView(val id: String, val state: String, val tasks: Int, val done: Int, val running: Int, val live: Int, val waitsFor: List<String>)
+data class JobView(
+    val id: String,
+    val state: String,
+    val tasks: Int,
+    val done: Int,
+    val running: Int,
+    val live: Int,
+    val waitsFor: List<String>,
+)
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -23,22 +23,24 @@
 
     suspend fun run(op: StateOp): StateReply {
         if (!budget.tryAcquire()) return StateReply.Unavailable
-        val result = when (op) {
-            is StateOp.Read -> link.request(HttpMethod.Get, "/keys/" + op.key, null, TIMEOUT_MS)
-            is StateOp.List -> link.request(HttpMethod.Get, listPath(op), null, TIMEOUT_MS * 2)
-            is StateOp.Commit -> {
-                val body = Pack.encode(ServiceCodec.commit(op.conditions, op.changes))
-                link.request(HttpMethod.Post, "/commit", body, TIMEOUT_MS)
+        val result =
+            when (op) {
+                is StateOp.Read -> link.request(HttpMethod.Get, "/keys/" + op.key, null, TIMEOUT_MS)
+                is StateOp.List -> link.request(HttpMethod.Get, listPath(op), null, TIMEOUT_MS * 2)
+                is StateOp.Commit -> {
+                    val body = Pack.encode(ServiceCodec.commit(op.conditions, op.changes))
+                    link.request(HttpMethod.Post, "/commit", body, TIMEOUT_MS)
+                }
             }
-        }
         return when (result) {
             HttpResult.NotSent -> StateReply.Unavailable
             HttpResult.NoResponse -> StateReply.NoResponse
-            is HttpResult.Answered -> try {
-                decode(op, result)
-            } catch (e: Malformed) {
-                StateReply.NoResponse
-            }
+            is HttpResult.Answered ->
+                try {
+                    decode(op, result)
+                } catch (e: Malformed) {
+                    StateReply.NoResponse
+                }
         }
     }
 
@@ -47,19 +49,20 @@
         return "/keys?under=" + op.prefix.encodeURLParameter() + after + "&page=$PAGE"
     }
 
-    private fun decode(op: StateOp, r: HttpResult.Answered): StateReply = when {
-        r.status == 429 || r.status == 503 -> StateReply.Unavailable
-        r.status == 404 && op is StateOp.Read -> StateReply.Missing
-        r.status == 409 && op is StateOp.Commit -> StateReply.Conflict(ServiceCodec.failedKeys(r.body))
-        r.status == 400 -> StateReply.Rejected(text(r.body))
-        r.status != 200 -> StateReply.NoResponse
-        op is StateOp.Read -> {
-            val f = Pack.decodeMap(r.body)
-            StateReply.Found(Row(op.key, f.map["value"], f.long("stamp")))
+    private fun decode(op: StateOp, r: HttpResult.Answered): StateReply =
+        when {
+            r.status == 429 || r.status == 503 -> StateReply.Unavailable
+            r.status == 404 && op is StateOp.Read -> StateReply.Missing
+            r.status == 409 && op is StateOp.Commit -> StateReply.Conflict(ServiceCodec.failedKeys(r.body))
+            r.status == 400 -> StateReply.Rejected(text(r.body))
+            r.status != 200 -> StateReply.NoResponse
+            op is StateOp.Read -> {
+                val f = Pack.decodeMap(r.body)
+                StateReply.Found(Row(op.key, f.map["value"], f.long("stamp")))
+            }
+            op is StateOp.List -> StateReply.Page(ServiceCodec.rows(r.body))
+            else -> StateReply.Committed(ServiceCodec.revision(r.body))
         }
-        op is StateOp.List -> StateReply.Page(ServiceCodec.rows(r.body))
-        else -> StateReply.Committed(ServiceCodec.revision(r.body))
-    }
 
     private companion object {
         const val TIMEOUT_MS = 1500L
@@ -67,54 +70,65 @@
     }
 }
 
-private fun text(body: ByteArray): String = try {
-    Pack.decode(body).toString().take(200)
-} catch (e: Malformed) {
-    "no reason given"
-}
+private fun text(body: ByteArray): String =
+    try {
+        Pack.decode(body).toString().take(200)
+    } catch (e: Malformed) {
+        "no reason given"
+    }
 
 /** The cloud; the core spends its rate budget, see `Fleet`. */
 class CloudClient(private val link: HttpLink) {
     suspend fun run(op: CloudOp): CloudReply {
-        val result = when (op) {
-            CloudOp.Catalog -> link.request(HttpMethod.Get, "/catalog", null, TIMEOUT_MS)
-            is CloudOp.Machines -> {
-                val after = op.after?.let { "since=" + it.encodeURLParameter() + "&" } ?: ""
-                link.request(HttpMethod.Get, "/machines?" + after + "page=$PAGE", null, TIMEOUT_MS)
-            }
-            is CloudOp.Rent -> {
-                val body = Pack.encode(ServiceCodec.rent(op.request, op.type, op.zone, op.spot, op.count))
-                link.request(HttpMethod.Post, "/machines", body, TIMEOUT_MS)
+        val result =
+            when (op) {
+                CloudOp.Catalog -> link.request(HttpMethod.Get, "/catalog", null, TIMEOUT_MS)
+                is CloudOp.Machines -> {
+                    val after = op.after?.let { "since=" + it.encodeURLParameter() + "&" } ?: ""
+                    link.request(HttpMethod.Get, "/machines?" + after + "page=$PAGE", null, TIMEOUT_MS)
+                }
+                is CloudOp.Rent -> {
+                    val body = Pack.encode(ServiceCodec.rent(op.request, op.type, op.zone, op.spot, op.count))
+                    link.request(HttpMethod.Post, "/machines", body, TIMEOUT_MS)
+                }
+                is CloudOp.Delete ->
+                    link.request(
+                        HttpMethod.Post,
+                        "/machines/delete",
+                        Pack.encode(ServiceCodec.delete(op.names)),
+                        TIMEOUT_MS,
+                    )
             }
-            is CloudOp.Delete -> link.request(HttpMethod.Post, "/machines/delete", Pack.encode(ServiceCodec.delete(op.names)), TIMEOUT_MS)
-        }
         return when (result) {
             HttpResult.NotSent -> CloudReply.Unavailable
             HttpResult.NoResponse -> CloudReply.NoResponse
-            is HttpResult.Answered -> try {
-                decode(op, result)
-            } catch (e: Malformed) {
-                CloudReply.NoResponse
-            }
+            is HttpResult.Answered ->
+                try {
+                    decode(op, result)
+                } catch (e: Malformed) {
+                    CloudReply.NoResponse
+                }
         }
     }
 
-    private fun decode(op: CloudOp, r: HttpResult.Answered): CloudReply = when {
-        r.status == 503 && op is CloudOp.Rent && reason(r.body) == "no capacity" -> CloudReply.NoCapacity
-        r.status == 429 || r.status == 503 -> CloudReply.Unavailable
-        r.status == 400 -> CloudReply.Rejected(text(r.body))
-        r.status != 200 -> CloudReply.NoResponse
-        op is CloudOp.Catalog -> CloudReply.CatalogIs(ServiceCodec.catalog(r.body))
-        op is CloudOp.Machines -> CloudReply.MachinesAre(ServiceCodec.machines(r.body))
-        op is CloudOp.Rent -> CloudReply.Rented(ServiceCodec.rented(r.body))
-        else -> CloudReply.Deleted
-    }
+    private fun decode(op: CloudOp, r: HttpResult.Answered): CloudReply =
+        when {
+            r.status == 503 && op is CloudOp.Rent && reason(r.body) == "no capacity" -> CloudReply.NoCapacity
+            r.status == 429 || r.status == 503 -> CloudReply.Unavailable
+            r.status == 400 -> CloudReply.Rejected(text(r.body))
+            r.status != 200 -> CloudReply.NoResponse
+            op is CloudOp.Catalog -> CloudReply.CatalogIs(ServiceCodec.catalog(r.body))
+            op is CloudOp.Machines -> CloudReply.MachinesAre(ServiceCodec.machines(r.body))
+            op is CloudOp.Rent -> CloudReply.Rented(ServiceCodec.rented(r.body))
+            else -> CloudReply.Deleted
+        }
 
-    private fun reason(body: ByteArray): String? = try {
-        Fields.of(Pack.decode(body), "body").textOrNull("error")
-    } catch (e: Malformed) {
-        null
-    }
+    private fun reason(body: ByteArray): String? =
+        try {
+            Fields.of(Pack.decode(body), "body").textOrNull("error")
+        } catch (e: Malformed) {
+            null
+        }
 
     private companion object {
         const val TIMEOUT_MS = 4000L
@@ -130,16 +144,17 @@
         return when (val result = link.request(HttpMethod.Post, "/orders", body, TIMEOUT_MS)) {
             HttpResult.NotSent -> DirectReply.NotSent
             HttpResult.NoResponse -> DirectReply.NoResponse
-            is HttpResult.Answered -> try {
-                when (result.status) {
-                    200 -> DirectReply.Executed(WorkerCodec.report(result.body))
-                    409 -> DirectReply.Refused(WorkerCodec.report(result.body))
-                    400 -> DirectReply.NotSent
-                    else -> DirectReply.NoResponse
+            is HttpResult.Answered ->
+                try {
+                    when (result.status) {
+                        200 -> DirectReply.Executed(WorkerCodec.report(result.body))
+                        409 -> DirectReply.Refused(WorkerCodec.report(result.body))
+                        400 -> DirectReply.NotSent
+                        else -> DirectReply.NoResponse
+                    }
+                } catch (e: Malformed) {
+                    DirectReply.NoResponse
                 }
-            } catch (e: Malformed) {
-                DirectReply.NoResponse
-            }
         }
     }
 
--- a/src/test/kotlin/org/chalkhollow/MeetingChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MeetingChecksTest.kt
@@ -24,7 +24,21 @@
             val r = Rehearsal(3, OperatorSettings(idleReturnS = 900.0), toldLimitFactor = factor)
             quiet(r)
             r.begin(0, 1)
-            r.world.after(8000) { r.users.submit { it.copy(team = "red", tasks = 8, each = Resources(2.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, spotAllowed = true, expectedS = 400.0) } }
+            r.world.after(8000) {
+                r.users.submit {
+                    it.copy(
+                        team = "red",
+                        tasks = 8,
+                        each = Resources(2.0, 0.0, 1.0),
+                        types = null,
+                        zone = null,
+                        together = false,
+                        spread = false,
+                        spotAllowed = true,
+                        expectedS = 400.0,
+                    )
+                }
+            }
             r.rules.calmFrom = 20_000
             r.world.runUntil(150_000)
             return rules(r)
@@ -57,7 +71,9 @@
         s.world.runUntil(24_000)
         assertEquals(1, s.r.rules.cancelledCount)
         assertEquals(emptySet<String>(), rules(s.r))
-        val machine = s.r.cloud.workers.first { it.present }
+        val machine =
+            s.r.cloud.workers
+                .first { it.present }
         machine.mute(5000) // or the leader would stop the task before it has its image
         machine.startUnasked(s.long.first())
         s.world.runUntil(28_500)
@@ -79,7 +95,10 @@
             }
             seen.addAll(rules(s.r))
         }
-        assertTrue(seen.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "ran_cancelled") }, "only $seen")
+        assertTrue(
+            seen.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "ran_cancelled") },
+            "only $seen",
+        )
     }
 
     @Test
@@ -91,6 +110,10 @@
         s.at(25_000) { s.cancel(s.long.first()) }
         s.r.rules.calmFrom = 30_000
         s.world.runUntil(110_000)
-        assertTrue(s.r.rules.violations.any { "its cancellation was not answered" in it }, "only ${s.r.rules.violations}")
+        assertTrue(
+            s.r.rules.violations
+                .any { "its cancellation was not answered" in it },
+            "only ${s.r.rules.violations}",
+        )
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -48,29 +48,48 @@
         val well = played(56_000) { it }
         assertEquals(emptySet<String>(), well.rules)
         assertEquals(emptyList<String>(), well.r.rules.starved())
-        assertEquals(4, well.r.rules.services.up(well.id))
+        assertEquals(
+            4,
+            well.r.rules.services
+                .up(well.id),
+        )
         assertEquals(1.0, well.r.rules.upShare(well.id, 6000), 1e-9)
         val poor = played(56_000) { it.copy(tasks = 3) }
         assertEquals(setOf("replica_down"), poor.rules)
-        assertTrue(poor.r.rules.starved().any { "portal" in it }, "only ${poor.r.rules.starved()}")
-        assertEquals(3, poor.r.rules.services.up(poor.id))
+        assertTrue(
+            poor.r.rules
+                .starved()
+                .any { "portal" in it },
+            "only ${poor.r.rules.starved()}",
+        )
+        assertEquals(
+            3,
+            poor.r.rules.services
+                .up(poor.id),
+        )
         assertEquals(0.75, poor.r.rules.upShare(poor.id, 6000), 1e-9)
     }
 
     @Test
     fun `a service in the wrong zones is noticed`() {
         assertEquals(setOf("wrong_place"), played(20_000) { it.copy(spread = false) }.rules)
-        assertEquals(setOf("wrong_place"), played(20_000, { it.copy(together = false, spread = true) }) { it.copy(together = true, spread = false) }.rules)
+        assertEquals(
+            setOf("wrong_place"),
+            played(20_000, {
+                it.copy(together = false, spread = true)
+            }) { it.copy(together = true, spread = false) }.rules,
+        )
     }
 
     @Test
     fun `a service beyond its team's limit is noticed`() {
-        val seen = listOf(1.0, 2.0).map { factor ->
-            val r = started(Rehearsal(4, OperatorSettings(idleReturnS = 900.0), toldLimitFactor = factor))
-            repeat(2) { r.users.submitService { it.copy(team = "red", tasks = 24, spread = false) } }
-            r.world.runUntil(40_000)
-            r.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
-        }
+        val seen =
+            listOf(1.0, 2.0).map { factor ->
+                val r = started(Rehearsal(4, OperatorSettings(idleReturnS = 900.0), toldLimitFactor = factor))
+                repeat(2) { r.users.submitService { it.copy(team = "red", tasks = 24, spread = false) } }
+                r.world.runUntil(40_000)
+                r.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
+            }
         assertEquals(listOf(emptySet(), setOf("quota")), seen)
     }
 
@@ -84,7 +103,12 @@
             for (n in r.nodes) r.network.cut(n.label, w.name, 60_000, true)
             if (withdrawn) r.users.cancel(id)
             r.world.runUntil(60_000)
-            assertEquals(setOf(if (withdrawn) "ran_cancelled" else "ran_twice"), r.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') })
+            assertEquals(
+                setOf(if (withdrawn) "ran_cancelled" else "ran_twice"),
+                r.rules.violations.mapTo(HashSet()) {
+                    it.substringBefore(' ')
+                },
+            )
         }
     }
 
@@ -109,12 +133,25 @@
     @Test
     fun `a machine that hangs serves nothing, however short`() {
         val p = played(20_000) { it }
-        val w = p.r.cloud.workers.first { it.onMachine().isNotEmpty() }
+        val w =
+            p.r.cloud.workers
+                .first { it.onMachine().isNotEmpty() }
         val replicas = w.onMachine().size
         w.hang(4000)
         p.r.world.runUntil(30_000)
-        assertEquals(4000.0, p.r.rules.services.longestDownMs(p.id, 20_000).toDouble(), 200.0)
-        assertEquals(1 - 0.1 * replicas, p.r.rules.services.share(p.id, 20_000, 30_000), 0.01)
+        assertEquals(
+            4000.0,
+            p.r.rules.services
+                .longestDownMs(p.id, 20_000)
+                .toDouble(),
+            200.0,
+        )
+        assertEquals(
+            1 - 0.1 * replicas,
+            p.r.rules.services
+                .share(p.id, 20_000, 30_000),
+            0.01,
+        )
         assertEquals(4, p.r.rules.starts)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -25,10 +25,34 @@
         val r = calm(capacity = 3)
         r.world.runUntil(8000)
         // One long task on each machine, so that none idles and is exchanged for another.
-        r.users.submit { it.copy(id = "j-2", tasks = 3, each = Resources(2.0, 0.0, 40.0), types = null, zone = null, together = false, spread = false, spotAllowed = false, expectedS = 400.0) }
+        r.users.submit {
+            it.copy(
+                id = "j-2",
+                tasks = 3,
+                each = Resources(2.0, 0.0, 40.0),
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = false,
+                expectedS = 400.0,
+            )
+        }
         r.world.runUntil(40_000)
         r.cloud.workers.forEach { it.sick = true }
-        r.users.submit { it.copy(id = "j-1", tasks = 6, each = Resources(2.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, spotAllowed = false, expectedS = 4.0) }
+        r.users.submit {
+            it.copy(
+                id = "j-1",
+                tasks = 6,
+                each = Resources(2.0, 0.0, 1.0),
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = false,
+                expectedS = 4.0,
+            )
+        }
         r.world.runUntil(52_000)
         r.cloud.workers.forEach { it.sick = false }
         r.world.runUntil(140_000)
@@ -41,12 +65,37 @@
     fun `room that is kept for urgent work is not kept from a job that waits long`() {
         val r = calm(capacity = 2, objectives = listOf(Objective("wait", "urgent", 3.0, 0.9)))
         r.world.runUntil(8000)
-        r.users.submit { it.copy(id = "j-1", workload = "urgent", team = "red", tasks = 4, each = Resources(4.0, 0.0, 1.0), types = null, zone = null, together = false, spread = false, spotAllowed = false, expectedS = 3.0) }
+        r.users.submit {
+            it.copy(
+                id = "j-1",
+                workload = "urgent",
+                team = "red",
+                tasks = 4,
+                each = Resources(4.0, 0.0, 1.0),
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = false,
+                expectedS = 3.0,
+            )
+        }
         r.world.runUntil(20_000)
         r.users.submit {
             it.copy(
-                id = "j-2", workload = "other", team = "blue", priority = Priority.STANDARD, tasks = 6, each = Resources(4.0, 0.0, 1.0), types = null, zone = null,
-                together = false, spread = false, spotAllowed = false, expectedS = 3.0, dueS = null,
+                id = "j-2",
+                workload = "other",
+                team = "blue",
+                priority = Priority.STANDARD,
+                tasks = 6,
+                each = Resources(4.0, 0.0, 1.0),
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = false,
+                expectedS = 3.0,
+                dueS = null,
             )
         }
         r.world.runUntil(110_000)
@@ -64,8 +113,19 @@
         assertEquals(4, r.rules.services.up(service))
         r.users.submit {
             it.copy(
-                id = "j-2", workload = "other", team = "blue", priority = Priority.STANDARD, tasks = 3, each = Resources(2.0, 0.0, 1.0), types = null, zone = null,
-                together = false, spread = false, spotAllowed = false, expectedS = 3.0, dueS = null,
+                id = "j-2",
+                workload = "other",
+                team = "blue",
+                priority = Priority.STANDARD,
+                tasks = 3,
+                each = Resources(2.0, 0.0, 1.0),
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = false,
+                expectedS = 3.0,
+                dueS = null,
             )
         }
         r.rules.calmFrom = 25_000
--- a/src/test/kotlin/org/chalkhollow/rehearsal/CloudStand.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/CloudStand.kt
@@ -26,6 +26,7 @@
 
     fun call(node: String, op: CloudOp, reply: (CloudReply) -> Unit) {
         var answered = false
+
         fun answer(r: CloudReply) {
             if (!answered) {
                 answered = true
@@ -34,21 +35,26 @@
         }
         world.after(TIMEOUT_MS) { answer(CloudReply.NoResponse) }
         network.send(node, NAME) {
-            if (op is CloudOp.Rent || op is CloudOp.Delete) network.copyAfter()?.let { late -> world.after(late) { execute(op) } }
+            if (op is CloudOp.Rent ||
+                op is CloudOp.Delete
+            ) {
+                network.copyAfter()?.let { late -> world.after(late) { execute(op) } }
+            }
             val result = execute(op)
             network.send(NAME, node) { answer(result) }
         }
     }
 
-    private fun execute(op: CloudOp): CloudReply = when (op) {
-        CloudOp.Catalog -> CloudReply.CatalogIs(catalog)
-        is CloudOp.Machines -> CloudReply.MachinesAre(list())
-        is CloudOp.Rent -> rent(op)
-        is CloudOp.Delete -> {
-            op.names.forEach { machines.remove(it)?.worker?.gone() }
-            CloudReply.Deleted
+    private fun execute(op: CloudOp): CloudReply =
+        when (op) {
+            CloudOp.Catalog -> CloudReply.CatalogIs(catalog)
+            is CloudOp.Machines -> CloudReply.MachinesAre(list())
+            is CloudOp.Rent -> rent(op)
+            is CloudOp.Delete -> {
+                op.names.forEach { machines.remove(it)?.worker?.gone() }
+                CloudReply.Deleted
+            }
         }
-    }
 
     private fun rent(op: CloudOp.Rent): CloudReply {
         bookings[op.request]?.let { (before, names) ->
@@ -74,17 +80,27 @@
         return name
     }
 
-    private fun list(): ListedPage = ListedPage(
-        machines.entries.filter { world.time - it.value.at > LAG_MS }.map { (name, r) ->
-            val status = when {
-                r.failed -> ListedMachine.Status.FAILED
-                world.time >= r.upAt -> ListedMachine.Status.RUNNING
-                else -> ListedMachine.Status.STARTING
-            }
-            ListedMachine(name, name, r.worker.type.name, r.worker.zone, r.worker.spot, status, (world.time - r.at) / 1000.0)
-        },
-        false,
-    )
+    private fun list(): ListedPage =
+        ListedPage(
+            machines.entries.filter { world.time - it.value.at > LAG_MS }.map { (name, r) ->
+                val status =
+                    when {
+                        r.failed -> ListedMachine.Status.FAILED
+                        world.time >= r.upAt -> ListedMachine.Status.RUNNING
+                        else -> ListedMachine.Status.STARTING
+                    }
+                ListedMachine(
+                    name,
+                    name,
+                    r.worker.type.name,
+                    r.worker.zone,
+                    r.worker.spot,
+                    status,
+                    (world.time - r.at) / 1000.0,
+                )
+            },
+            false,
+        )
 
     /** A machine dies: it stays in the list, for a while as running. */
     fun kill(name: String) {
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Troubles.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/Troubles.kt
@@ -11,7 +11,18 @@
     private fun one() {
         if (r.verbose) println("${world.time} -- trouble")
         val node = r.nodes[world.random.nextInt(r.nodes.size)]
-        val worker = r.cloud.workers.filter { it.present }.let { if (it.isEmpty()) null else it[world.random.nextInt(it.size)] }
+        val worker =
+            r.cloud.workers.filter { it.present }.let {
+                if (it.isEmpty()) {
+                    null
+                } else {
+                    it[
+                        world.random.nextInt(
+                            it.size,
+                        ),
+                    ]
+                }
+            }
         when (world.random.nextInt(KINDS)) {
             0 -> crash(node, world.between(5000, 9000))
             1 -> crash(node, world.between(50, 500))
@@ -19,43 +30,75 @@
             3 -> r.nodes.forEach { crash(it, world.between(3000, 9000)) }
             4 -> r.state.outage(world.between(2000, 25_000))
             5 -> r.state.refuse(node.label, world.between(3000, 20_000))
-            6 -> r.nodes.filter { it !== node }.forEach { r.network.cut(node.label, it.label, world.between(3000, 20_000), world.chance(0.5)) }
-            7 -> worker?.let { w -> r.nodes.forEach { r.network.cut(it.label, w.name, world.between(3000, 30_000), world.chance(0.6)) } }
+            6 ->
+                r.nodes
+                    .filter {
+                        it !== node
+                    }.forEach { r.network.cut(node.label, it.label, world.between(3000, 20_000), world.chance(0.5)) }
+            7 ->
+                worker?.let { w ->
+                    r.nodes.forEach { r.network.cut(it.label, w.name, world.between(3000, 30_000), world.chance(0.6)) }
+                }
             8 -> worker?.hang(world.between(1000, 15_000))
             9 -> worker?.let { r.cloud.kill(it.name) }
-            10 -> worker?.let { w ->
-                w.sick = true
-                world.after(20_000) { w.sick = false }
-            }
-            11 -> worker?.let { w -> r.nodes.forEach { r.network.cutOneWay(it.label, w.name, world.between(5000, 40_000)) } }
+            10 ->
+                worker?.let { w ->
+                    w.sick = true
+                    world.after(20_000) { w.sick = false }
+                }
+            11 ->
+                worker?.let { w ->
+                    r.nodes.forEach { r.network.cutOneWay(it.label, w.name, world.between(5000, 40_000)) }
+                }
             12 -> isolate(node, world.between(3000, 30_000), world.chance(0.5))
             13 -> r.nodes.filter { it.leads || world.chance(0.3) }.forEach { flap(it, 1 + world.random.nextInt(4)) }
             14 -> worker?.reboot()
-            else -> r.network.cut(node.label, if (world.chance(0.5)) StateStand.NAME else CloudStand.NAME, world.between(2000, 15_000), world.chance(0.5))
+            else ->
+                r.network.cut(
+                    node.label,
+                    if (world.chance(0.5)) StateStand.NAME else CloudStand.NAME,
+                    world.between(2000, 15_000),
+                    world.chance(0.5),
+                )
         }
     }
 
     /** What strikes many at once: a share of the machines dies, hangs or is taken, or a zone falls away. */
     fun mass(kind: Int) {
         val up = r.cloud.workers.filter { it.present }
+
         fun some(share: Int) = up.filter { world.random.nextInt(share) == 0 }
         when (kind) {
             0 -> some(15).forEach { r.cloud.kill(it.name) }
             1 -> some(12).forEach { it.hang(world.between(10_000, 35_000)) }
-            2 -> up.filter { it.spot && world.chance(0.5) }.forEach { w -> world.after(world.between(0, 5000)) { r.cloud.kill(w.name) } }
+            2 ->
+                up.filter { it.spot && world.chance(0.5) }.forEach { w ->
+                    world.after(world.between(0, 5000)) { r.cloud.kill(w.name) }
+                }
             3 -> cutZone(r.zones.last(), 47_000)
             4 -> r.nodes.forEach { crash(it, world.between(200, 8000)) }
             5 -> r.nodes.forEachIndexed { i, n -> world.after(i * 12_000L) { crash(n, 8000) } }
-            6 -> r.nodes.filter { it.leads }.forEach { n -> up.forEach { r.network.cut(n.label, it.name, 37_000, true) } }
+            6 ->
+                r.nodes.filter { it.leads }.forEach { n ->
+                    up.forEach { r.network.cut(n.label, it.name, 37_000, true) }
+                }
             else -> throw IllegalArgumentException("kind $kind")
         }
     }
 
     /** Everything in [zone] goes on among itself; what it says to the rest is held back. */
     fun cutZone(zone: String, forMs: Long) {
-        val inside = r.nodes.filterIndexed { i, _ -> i % 2 == 1 }.map { it.label } + r.cloud.workers.filter { it.zone == zone }.map { it.name }
-        val outside = r.nodes.filterIndexed { i, _ -> i % 2 == 0 }.map { it.label } + r.cloud.workers.filter { it.zone != zone }.map { it.name } +
-            listOf(StateStand.NAME, CloudStand.NAME, Users.USERS)
+        val inside =
+            r.nodes.filterIndexed { i, _ -> i % 2 == 1 }.map { it.label } +
+                r.cloud.workers
+                    .filter { it.zone == zone }
+                    .map { it.name }
+        val outside =
+            r.nodes.filterIndexed { i, _ -> i % 2 == 0 }.map { it.label } +
+                r.cloud.workers
+                    .filter { it.zone != zone }
+                    .map { it.name } +
+                listOf(StateStand.NAME, CloudStand.NAME, Users.USERS)
         for (a in inside) for (b in outside) r.network.cut(a, b, forMs, true)
     }
 
--- a/src/test/kotlin/org/chalkhollow/rehearsal/World.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/World.kt
@@ -69,6 +69,7 @@
 
     /** How long a direct command or its answer is held up now; mostly not at all. */
     fun holdUp(): Long = if (held > 0 && world.chance(held)) world.between(heldMs.first, heldMs.last) else 0
+
     var heldMs = 2000L..9000L
 
     /** Whether a message is to be delivered once more, and when. */
@@ -76,8 +77,9 @@
 
     /** Delivers [run] at [to], or not. */
     fun send(from: String, to: String, run: () -> Unit) {
-        val cut = (cuts[setOf(from, to)] ?: oneWay[from to to])?.takeIf { it.until > world.time }
-            ?: oneWay[from to to]?.takeIf { it.until > world.time }
+        val cut =
+            (cuts[setOf(from, to)] ?: oneWay[from to to])?.takeIf { it.until > world.time }
+                ?: oneWay[from to to]?.takeIf { it.until > world.time }
         if (cut != null) {
             if (cut.holds) world.after(cut.until - world.time + world.between(1, 50), run)
             return
