--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/EffectDigest.kt
@@ -0,0 +1,66 @@
+package org.chalkhollow.rehearsal
+
+import org.chalkhollow.core.CloudOp
+import org.chalkhollow.core.Effect
+import org.chalkhollow.core.StateOp
+import org.chalkhollow.mesh.Frames
+import org.chalkhollow.wire.Pack
+import org.chalkhollow.wire.ServiceCodec
+import org.chalkhollow.wire.WorkerCodec
+import java.security.MessageDigest
+
+/**
+ * A digest of every effect of every controller, in order and with its moment, so that a change of structure can be
+ * shown to change no effect. Effects count by the bytes that they send, not by the names of their types; the text of
+ * log lines does not count.
+ */
+class EffectDigest {
+    private val digest = MessageDigest.getInstance("SHA-256")
+
+    /** How many effects there were. */
+    var count = 0L
+        private set
+
+    fun add(time: Long, label: String, effect: Effect) {
+        if (effect is Effect.Note) return
+        count++
+        digest.update("$time $label ".toByteArray())
+        when (effect) {
+            is Effect.Answer -> add("answer ${effect.call} ${effect.status} ${effect.retryAfterS}", effect.body)
+            is Effect.State -> add("state ${effect.ticket}", stateOp(effect.op))
+            is Effect.Cloud -> add("cloud ${effect.ticket} ${cloudOp(effect.op)}", null)
+            is Effect.Direct ->
+                add(
+                    "direct ${effect.ticket} ${effect.address}",
+                    Pack.encode(WorkerCodec.direct(effect.token, effect.session, effect.commands)),
+                )
+            is Effect.Send -> add("send ${effect.peer}", Frames.encode(effect.message))
+            is Effect.Timer -> add("timer ${effect.at}", null)
+            is Effect.Sample -> add("sample ${effect.kind} ${effect.ms}", null)
+            is Effect.Note -> Unit
+        }
+    }
+
+    /** The digest so far, in hexadecimal digits. */
+    fun hex(): String = (digest.clone() as MessageDigest).digest().joinToString("") { "%02x".format(it) }
+
+    private fun add(text: String, bytes: ByteArray?) {
+        digest.update("$text ${bytes?.size ?: -1}\n".toByteArray())
+        if (bytes != null) digest.update(bytes)
+    }
+
+    private fun stateOp(op: StateOp): ByteArray =
+        when (op) {
+            is StateOp.Read -> "read ${op.key}".toByteArray()
+            is StateOp.List -> "list ${op.prefix} ${op.after}".toByteArray()
+            is StateOp.Commit -> Pack.encode(ServiceCodec.commit(op.conditions, op.changes))
+        }
+
+    private fun cloudOp(op: CloudOp): String =
+        when (op) {
+            CloudOp.Catalog -> "catalog"
+            is CloudOp.Machines -> "machines ${op.after}"
+            is CloudOp.Rent -> "rent ${op.request} ${op.type} ${op.zone} ${op.spot} ${op.count}"
+            is CloudOp.Delete -> "delete ${op.names}"
+        }
+}
--- a/src/test/kotlin/org/chalkhollow/rehearsal/NodeStand.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/NodeStand.kt
@@ -108,6 +108,7 @@
             if (life == inLife) feed(make())
         }
         for (e in effects) {
+            rehearsal.onEffect(world.time, label, e)
             when (e) {
                 is Effect.Answer -> calls.remove(e.call)?.invoke(e)
                 is Effect.State -> rehearsal.state.call(label, e.op) { r -> back { Input.State(e.ticket, r) } }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Rehearsal.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/Rehearsal.kt
@@ -73,6 +73,9 @@
     /** Told of every start of a controller. */
     var onStart: (NodeStand) -> Unit = {}
 
+    /** Told of every effect of a controller: when, whose, and which. */
+    var onEffect: (Long, String, Effect) -> Unit = { _, _, _ -> }
+
     /** Told of every frame between controllers. */
     var onFrame: (ByteArray) -> Unit = {}
 
