--- a/src/main/kotlin/org/chalkhollow/core/Survey.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CandidateSnapshot.kt
@@ -9,7 +9,11 @@
  * leadership record, so what was read after the record had some stamp is all there is for as long as it keeps that
  * stamp; and a take-over is conditional on it.
  */
-class Survey(private val desk: Desk, private val prefixes: List<String>, private val onComplete: () -> Unit) {
+class CandidateSnapshot(
+    private val context: CoreContext,
+    private val prefixes: List<String>,
+    private val onComplete: () -> Unit,
+) {
     private class Reading(val stamp: Long, val begunAt: Long) {
         val rows = ArrayList<Row>()
         var done = false
@@ -22,7 +26,7 @@
     /** Begins anew unless it is reading for this [stamp] already. */
     fun begin(stamp: Long) {
         if (reading?.stamp == stamp) return
-        val r = Reading(stamp, desk.steady)
+        val r = Reading(stamp, context.steady)
         reading = r
         read(r, 0, null)
     }
@@ -44,23 +48,23 @@
     }
 
     /** How long ago this reading was begun. */
-    val ageMs: Long get() = reading?.let { desk.steady - it.begunAt } ?: 0L
+    val ageMs: Long get() = reading?.let { context.steady - it.begunAt } ?: 0L
 
     /** Asks again for what was not answered. */
     fun tick() {
         val r = reading ?: return
         val retry = r.retry ?: return
-        if (desk.steady < r.retryAt) return
+        if (context.steady < r.retryAt) return
         r.retry = null
         retry()
     }
 
     private fun read(r: Reading, prefix: Int, after: String?) {
-        desk.state(StateOp.List(prefixes[prefix], after)) { reply ->
+        context.state(StateOp.List(prefixes[prefix], after)) { reply ->
             if (reading !== r) return@state
             if (reply !is StateReply.Page) {
                 r.retry = { read(r, prefix, after) }
-                r.retryAt = desk.steady + RETRY_MS
+                r.retryAt = context.steady + RETRY_MS
                 return@state
             }
             r.rows.addAll(reply.rows.rows)
--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Command
@@ -21,21 +21,21 @@
     /** When this process began, by the steady clock; an earlier life of this controller had ended by then. */
     begunAt: Long = start.steady,
 ) : Leadership.Events {
-    private val desk = Desk(incarnation).also { it.now = start }
+    private val context = CoreContext(incarnation).also { it.now = start }
     private val names = Names().apply { settings.teams.forEach { teams.intern(it.name) } }
     private val peerLabels = settings.peers.map { it.label }
-    private val leadership = Leadership(desk, settings.label, peerLabels, incarnation, options, start.steady, begunAt, this)
-    private val survey = Survey(desk, listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, BaseFleet.PREFIX)) { leadership.onPrepared() }
-    private val log = StateLog(desk, settings.stateLimits, options, leadership)
-    private val jobs = JobTable(desk, names, settings.stateLimits)
+    private val leadership = Leadership(context, settings.label, peerLabels, incarnation, options, start.steady, begunAt, this)
+    private val snapshot = CandidateSnapshot(context, listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, PreProvisionedMachines.PREFIX)) { leadership.onPrepared() }
+    private val log = StateLog(context, settings.stateLimits, options, leadership)
+    private val jobs = JobTable(context, names, settings.stateLimits)
     private val quotas = Quotas(settings.teams)
-    private val settlement = Settlement(desk, jobs, quotas) { leadership.generation }
-    private val base = BaseFleet(desk, settings.stateLimits)
-    private val fleet = Fleet(desk, names, settings, options, settings.label, base)
-    private val images = ImageMemory(desk, names, settings.stateLimits, fleet)
-    private val dispatch = DispatchLog(desk, settings.stateLimits, settlement, fleet)
-    private val placement = Placement(desk, jobs, quotas, settlement, fleet, options, Aims(settings.objectives, fleet::leastBootMs))
-    private val door = Door(desk, leadership, log, jobs, quotas, fleet, names)
+    private val settlement = Settlement(context, jobs, quotas) { leadership.generation }
+    private val preProvisioned = PreProvisionedMachines(context, settings.stateLimits)
+    private val fleet = Fleet(context, names, settings, options, settings.label, preProvisioned)
+    private val images = ImageMemory(context, names, settings.stateLimits, fleet)
+    private val dispatch = DispatchLog(context, settings.stateLimits, settlement, fleet)
+    private val placement = Placement(context, jobs, quotas, settlement, fleet, options, ServiceLevelObjectives(settings.objectives, fleet::leastBootMs))
+    private val requestHandler = RequestHandler(context, leadership, log, jobs, quotas, fleet, names)
     private val incarnationId = incarnation
     private var loaded = false
     private var term = 0
@@ -51,35 +51,35 @@
         fleet.onGone = settlement::machineGone
         fleet.onNewSession = settlement::newSession
         fleet.reserve = placement::reserve
-        jobs.onDone = door::finished
+        jobs.onDone = requestHandler::finished
         jobs.onCancelled = ::onCancelled
         log.source(jobs::nextUrgent)
         log.source(::place)
         log.source { room -> jobs.nextCompletion(room, settlement::recorded) }
-        log.source(base::next)
+        log.source(preProvisioned::next)
         log.source(images::next)
         log.source(dispatch::nextTrash)
         log.source(jobs::nextTrash)
     }
 
     private val versions = Versions(settings.label, peerLabels)
-    private val overview =
-        Overview(desk, settings.label, peerLabels, settings.teams, leadership, jobs, quotas, fleet, placement, names, log, versions)
+    private val statusReport =
+        StatusReport(context, settings.label, peerLabels, settings.teams, leadership, jobs, quotas, fleet, placement, names, log, versions)
 
     /** For operators; changes nothing. */
     fun status(now: Now): StatusView {
-        desk.now = now
-        return overview.status(loaded)
+        context.now = now
+        return statusReport.status(loaded)
     }
 
     /** For operators: one job, or null when this controller does not know of it. */
     fun jobStatus(now: Now, id: String): JobView? {
-        desk.now = now
-        return overview.job(id)
+        context.now = now
+        return statusReport.job(id)
     }
 
     /** For gauges. */
-    val view: View get() = View(leadership.entitled(), leadership.generation, jobs.open.size, jobs.size, fleet.machines.size, versions.all, overview.replicas())
+    val view: View get() = View(leadership.entitled(), leadership.generation, jobs.open.size, jobs.size, fleet.machines.size, versions.all, statusReport.replicas())
 
     /** Numbers for gauges, and which version each controller runs as far as known. */
     data class View(
@@ -95,31 +95,31 @@
 
     /** Whether this controller is entitled to act for all at this moment. */
     fun leads(now: Now): Boolean {
-        desk.now = now
+        context.now = now
         return leadership.entitled()
     }
 
     /** Whether users may be sent here: this controller leads, or has lately heard from who does. */
     fun takesRequests(now: Now): Boolean {
-        desk.now = now
+        context.now = now
         return leadership.inTouch(UP_MS)
     }
 
     /** Takes one input and returns what is to be done about it. */
     fun step(now: Now, input: Input): List<Effect> {
-        desk.now = now
+        context.now = now
         when (input) {
             Input.Tick -> tick()
-            is Input.User -> door.ask(input.call, input.ask)
+            is Input.User -> requestHandler.ask(input.call, input.ask)
             is Input.Report -> onReport(input.call, input.report)
-            is Input.State -> desk.reply(input)
-            is Input.Cloud -> desk.reply(input)
-            is Input.Direct -> desk.reply(input)
+            is Input.State -> context.reply(input)
+            is Input.Cloud -> context.reply(input)
+            is Input.Direct -> context.reply(input)
             is Input.Peer -> onPeer(input)
         }
         if (leadership.role == Leadership.Role.LEADER) log.pump()
         ledAtStep = leadership.entitled()
-        return desk.drain()
+        return context.drain()
     }
 
     private var ledAtStep = false
@@ -130,7 +130,7 @@
      * Writes need no such check, their conditions hold or do not.
      */
     fun whenLate(now: Now, effect: Effect): Effect? {
-        desk.now = now
+        context.now = now
         if (!ledAtStep || leadership.entitled()) return effect
         return when {
             effect is Effect.Answer && effect.status < 500 -> Effect.Answer(effect.call, 503, null, 1)
@@ -143,21 +143,21 @@
 
     private fun tick() {
         leadership.tick()
-        door.tick()
-        survey.tick()
+        requestHandler.tick()
+        snapshot.tick()
         val leading = leadership.role == Leadership.Role.LEADER && loaded
         if (leading && leadership.entitled()) {
             fleet.lapse()
         }
-        if (desk.steady >= fleetAt || leading && fleet.moreNow) {
-            fleetAt = desk.steady + FLEET_MS
+        if (context.steady >= fleetAt || leading && fleet.moreNow) {
+            fleetAt = context.steady + FLEET_MS
             if (leading && leadership.entitled()) {
                 raiseGenerationIfNeeded()
                 askDoubtful()
             }
             fleet.tick(leading && leadership.entitled(), placement.unplaced, mayRent())
         }
-        desk.emit(Effect.Timer(desk.steady + if (leadership.role == Leadership.Role.FOLLOWER) FOLLOWER_TICK_MS else TICK_MS))
+        context.emit(Effect.Timer(context.steady + if (leadership.role == Leadership.Role.FOLLOWER) FOLLOWER_TICK_MS else TICK_MS))
     }
 
     /**
@@ -165,13 +165,14 @@
      * once those that were there before have reported, or when there are none, what is missing is asked for at once.
      */
     private fun mayRent(): Boolean =
-        base.known && (desk.steady - leadAt > settings.reportS * 2000 || base.first && fleet.heardFromListed())
+        preProvisioned.known &&
+            (context.steady - leadAt > settings.reportS * 2000 || preProvisioned.first && fleet.heardFromListed())
 
     private fun onPeer(input: Input.Peer) {
         when (val m = input.message) {
             is PeerMessage.Hello -> versions.greeted(input.from, m)
-            is PeerMessage.Forward -> door.onForward(input.from, m)
-            is PeerMessage.Forwarded -> door.onForwarded(m)
+            is PeerMessage.Forward -> requestHandler.onForward(input.from, m)
+            is PeerMessage.Forwarded -> requestHandler.onForwarded(m)
             else -> leadership.onPeer(input.from, m)
         }
     }
@@ -180,37 +181,37 @@
 
     private var leadAt = 0L
 
-    override fun prepare(stamp: Long) = survey.begin(stamp)
+    override fun prepare(stamp: Long) = snapshot.begin(stamp)
 
-    override fun prepared(stamp: Long): Boolean = survey.complete(stamp)
+    override fun prepared(stamp: Long): Boolean = snapshot.complete(stamp)
 
-    override fun unprepare() = survey.drop()
+    override fun unprepare() = snapshot.drop()
 
     override fun onElected(generation: Long, stamp: Long, writes: Long, basis: Long) {
         term++
-        leadAt = desk.steady
+        leadAt = context.steady
         jobs.clear()
         quotas.clear()
         settlement.clear()
-        base.start(generation)
+        preProvisioned.start(generation)
         fleet.start(generation)
         images.start()
         dispatch.start(generation)
         log.start(LeadRecord(settings.label, incarnationId, generation, writes), stamp)
-        desk.emit(Effect.Sample("takeover", survey.ageMs))
-        survey.take(basis).forEach(::take)
+        context.emit(Effect.Sample("takeover", snapshot.ageMs))
+        snapshot.take(basis).forEach(::take)
         jobs.afterLoad()
         loaded = true
         leadership.ready = true
-        door.open = true
-        desk.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), ${fleet.machines.sumOf { it.attempts.size }} attempts in doubt")
+        requestHandler.open = true
+        context.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), ${fleet.machines.sumOf { it.attempts.size }} attempts in doubt")
     }
 
     override fun onDeposed() {
         term++
         loaded = false
         log.stop()
-        door.close()
+        requestHandler.close()
     }
 
     private fun take(row: Row) {
@@ -218,26 +219,26 @@
             when {
                 row.key.startsWith(JobTable.JOB) -> jobs.loadJob(row)
                 row.key.startsWith(JobTable.PROGRESS) -> jobs.loadPage(row)
-                row.key == BaseFleet.KEY -> base.load(row)
+                row.key == PreProvisionedMachines.KEY -> preProvisioned.load(row)
                 row.key.startsWith(ImageMemory.KEY) -> images.load(row)
                 else -> dispatch.load(row, jobs)
             }
             log.seen(row.key, row.stamp)
         } catch (e: Malformed) {
-            desk.emit(Effect.Note(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
+            context.emit(Effect.Note(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
         }
     }
 
     /** One placement round as part of the next transaction: its marker is written before any start is sent. */
     private fun place(room: StateLog.Room): Write? {
-        if (!loaded || room.ops < 1 || desk.steady < roundAt || log.stalled()) return null
+        if (!loaded || room.ops < 1 || context.steady < roundAt || log.stalled()) return null
         // Rounds cost processor time, of which there is little: without a change they wait for the clock.
-        if (desk.changes == changesPlaced && desk.steady < roundAt + IDLE_ROUND_MS) return null
-        changesPlaced = desk.changes
-        roundAt = desk.steady + ROUND_MS
+        if (context.changes == changesPlaced && context.steady < roundAt + IDLE_ROUND_MS) return null
+        changesPlaced = context.changes
+        roundAt = context.steady + ROUND_MS
         val allocations = placement.round()
         for (m in placement.preempted) sendDirectly(m)
-        if (allocations.isNotEmpty()) desk.changed() // what did not fit into this transaction comes with the next
+        if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
         return dispatch.mark(allocations, room)
     }
 
@@ -251,15 +252,15 @@
     // Workers
 
     private fun onReport(call: Int, report: WorkerReport) {
-        leadership.reach.note(desk.steady)
+        leadership.reportTraffic.note(context.steady)
         if (!leadership.entitled()) {
             val leader = leadership.reachableLeader()
-            if (leader >= 0) desk.answer(call, 421, WorkerCodec.redirect(peerLabels[leader])) else desk.answer(call, 503)
+            if (leader >= 0) context.answer(call, 421, WorkerCodec.redirect(peerLabels[leader])) else context.answer(call, 503)
             return
         }
         val m = fleet.observe(report)
         if (m == null || m.shunned) {
-            desk.answer(call, 503)
+            context.answer(call, 503)
             return
         }
         if (report.seq > m.beatSeq) {
@@ -268,7 +269,7 @@
             // alive. The reply to a direct command does not count here, since a report sent after it may come before
             // it.
             m.beatSeq = report.seq
-            m.answeredAt = desk.steady
+            m.answeredAt = context.steady
         }
         val newer = report.seq > m.seq
         if (newer) {
@@ -276,7 +277,7 @@
             images.recall(m)
             settlement.reconcile(m, report, beat = true)
         }
-        desk.answer(call, 200, WorkerCodec.commands(leadership.generation, settlement.commands(m, startsAllowed = newer)))
+        context.answer(call, 200, WorkerCodec.commands(leadership.generation, settlement.commands(m, startsAllowed = newer)))
     }
 
     /**
@@ -285,22 +286,22 @@
      */
     private fun sendDirectly(m: Machine) {
         if (!leadership.entitled() || m.directBusy || m.address.isEmpty() || m.session == 0L) return
-        if (!m.hears || desk.steady - m.reportedAt > settings.reportS * 2000) return
+        if (!m.reachable || context.steady - m.reportedAt > settings.reportS * 2000) return
         val starts = m.attempts.filter { it.phase == Attempt.Phase.MARKED && !it.job.cancelling && !it.job.cancelled }
         val stops = m.attempts.filter { (it.stopping || it.job.cancelled) && it.onMachine && it.stopSentAt == 0L }
         if (starts.isEmpty() && stops.isEmpty()) return
-        for (a in stops) a.stopSentAt = desk.steady // once; answers to reports repeat it
+        for (a in stops) a.stopSentAt = context.steady // once; answers to reports repeat it
         for (a in starts) {
             a.phase = Attempt.Phase.SENT
             a.directPending = true
             a.sentDirectly = true
         }
         m.directBusy = true
-        m.askedAt = desk.steady
+        m.askedAt = context.steady
         val inTerm = term
         val session = m.session
         val commands = stops.map(settlement::stop) + starts.map { Command.Start(it.job.spec.id, it.index, it.number) }
-        desk.direct({ Effect.Direct(it, m.address, leadership.generation, session, commands) }) { reply ->
+        context.direct({ Effect.Direct(it, m.address, leadership.generation, session, commands) }) { reply ->
             if (term == inTerm) onDirect(m, session, starts, reply)
         }
     }
@@ -314,7 +315,7 @@
             left--
             val inTerm = term
             val session = m.session
-            desk.direct({ Effect.Direct(it, m.address, leadership.generation, session, emptyList()) }) { reply ->
+            context.direct({ Effect.Direct(it, m.address, leadership.generation, session, emptyList()) }) { reply ->
                 if (term == inTerm && m.session == session && reply is DirectReply.Executed) fleet.reached(m)
             }
         }
@@ -346,7 +347,7 @@
      * the generation is raised: no worker that has seen the new token obeys the old one.
      */
     private fun raiseGenerationIfNeeded() {
-        val t = desk.steady
+        val t = context.steady
         if (dispatch.exhausted) return leadership.depose("attempt numbers are used up")
         if (log.slow() || t - generationRaisedAt < RAISE_MS) return shunStuck(t)
         val stuck = fleet.machines.any { m ->
@@ -371,7 +372,7 @@
         for (m in fleet.machines) {
             if (m.shunned || m.attempts.none { it.directPending && t - it.since > STUCK_MS && it.phase == Attempt.Phase.SENT && it.job.cancelled }) continue
             if (m.state != Machine.State.UP) continue
-            desk.info("${m.name} may yet begin what was cancelled, and is left to its lease")
+            context.info("${m.name} may yet begin what was cancelled, and is left to its lease")
             m.shunned = true
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/Desk.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CoreContext.kt
@@ -7,7 +7,7 @@
 /**
  * What the owners within a controller share: the moment, the effects so far, tickets for replies, and a seeded random.
  */
-class Desk(seed: Long) {
+class CoreContext(seed: Long) {
     var now = Now(0, 0)
     val random = SplittableRandom(seed)
     private var effects = ArrayList<Effect>()
--- a/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
@@ -14,7 +14,7 @@
  * any of them is started; a marker is removed once all of its attempts are settled.
  */
 class DispatchLog(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val limits: StateLimits,
     private val settlement: Settlement,
     private val fleet: Fleet,
--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -9,12 +9,12 @@
 
 /** Owns the machines: what is up, what to rent, what to return, what to drain. */
 class Fleet(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val names: Names,
     private val settings: PlatformSettings,
     private val options: OperatorSettings,
     private val label: String,
-    private val base: BaseFleet,
+    private val preProvisioned: PreProvisionedMachines,
 ) {
     private val byName = HashMap<String, Machine>()
     private val gone = HashSet<String>()
@@ -34,7 +34,7 @@
     private val leaseMs = (settings.leaseS * 1000).toLong()
 
     /** A machine that reports but hears nothing for this long is returned: it can run nothing, and costs. */
-    private val deafMs = maxOf(leaseMs * 3, 30_000L)
+    private val unreachableMs = maxOf(leaseMs * 3, 30_000L)
 
     /**
      * All teams together may use this much, and half again for the room that tasks leave over; what is beyond it would
@@ -42,7 +42,7 @@
      */
     private val mostCpus = settings.teams.sumOf { it.cpusMax } * 1.5
     private val mostMachines = if (options.maxMachines == 0) Int.MAX_VALUE else options.maxMachines
-    private val hearing = Hearing(desk, settings.reportS, settings.leaseS)
+    private val reachability = MachineReachability(context, settings.reportS, settings.leaseS)
     private var generation = 0L
     private var takenOverAt = 0L
     private var requests = 0L
@@ -73,7 +73,7 @@
         byName.clear()
         gone.clear()
         generation = newGeneration
-        takenOverAt = desk.steady
+        takenOverAt = context.steady
         requests = 0
         pendingRent = null
         changeBusy = false
@@ -86,7 +86,7 @@
     fun known(name: String): Machine =
         byName.getOrPut(name) {
             Machine(names.machines.intern(name), name).also {
-                it.bornAt = desk.steady
+                it.bornAt = context.steady
                 it.answeredAt = takenOverAt // an earlier leader may have answered it until we took over
             }
         }
@@ -156,48 +156,49 @@
             m.images.clear()
             m.held.clear()
         }
-        hearing.reported(
+        reachability.reported(
             m,
             freshSession,
             tellsToken = m.token < generation && report.token >= generation,
             atToken =
                 report.token >= generation,
         )
-        if (m.state != Machine.State.UP || m.token < generation && report.token >= generation) desk.changed()
+        if (m.state != Machine.State.UP || m.token < generation && report.token >= generation) context.changed()
         m.state = Machine.State.UP
-        m.reportedAt = desk.steady
+        m.reportedAt = context.steady
         m.token = maxOf(m.token, report.token)
         val notice = report.noticeS
-        m.noticeAt = if (notice == null) Machine.NEVER else desk.steady + (notice * 1000).toLong()
+        m.noticeAt = if (notice == null) Machine.NEVER else context.steady + (notice * 1000).toLong()
         if (notice != null) windDown(m)
         return m
     }
 
     /** It carried out what we sent it directly: our commands reach it. */
-    fun reached(m: Machine) = hearing.proved(m)
+    fun reached(m: Machine) = reachability.proved(m)
 
     /** Whether it is not certain that [m] hears us, so that it is to be asked directly; true once in a while. */
     fun toBeAsked(m: Machine): Boolean =
-        m.state == Machine.State.UP && m.token >= generation && desk.steady - m.reportedAt < leaseMs && hearing.ask(m)
+        m.state == Machine.State.UP && m.token >= generation &&
+            context.steady - m.reportedAt < leaseMs && reachability.ask(m)
 
     /**
      * The cloud will take the machine: what can save its progress does so now, and what will certainly not be over by
      * then begins elsewhere at once, since it would be lost here and known to be lost only when the lease has lapsed.
      */
     private fun windDown(m: Machine) {
-        val leftS = (m.noticeAt - desk.steady) / 1000.0
+        val leftS = (m.noticeAt - context.steady) / 1000.0
         for (a in m.attempts) {
             if (!a.onMachine || a.stopping) continue
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
-            if (saves || a.job.service || !a.inherited && a.leastLeftS(desk.steady) > leftS) a.stopping = true
+            if (saves || a.job.service || !a.inherited && a.leastLeftS(context.steady) > leftS) a.stopping = true
         }
     }
 
     /** Machines that take new tasks: up, heard from at our token, neither draining nor about to be taken. */
     fun placeable(): List<Machine> =
         byName.values.filter { m ->
-            m.state == Machine.State.UP && m.hears && !m.draining && !m.shunned && m.noticeAt == Machine.NEVER &&
-                !m.retiring && desk.steady >= m.fullUntil && desk.steady - m.reportedAt < leaseMs / 2 &&
+            m.state == Machine.State.UP && m.reachable && !m.draining && !m.shunned && m.noticeAt == Machine.NEVER &&
+                !m.retiring && context.steady >= m.fullUntil && context.steady - m.reportedAt < leaseMs / 2 &&
                 types.getOrNull(m.type) != null
         }
 
@@ -207,7 +208,7 @@
 
     /** Ends leases that have certainly lapsed. */
     fun lapse() {
-        val t = desk.steady
+        val t = context.steady
         for (m in byName.values) {
             if (m.state != Machine.State.UP && m.attempts.isEmpty()) continue
             if (t < m.answeredAt + leaseMs + leaseMs / 500 + LAPSE_MARGIN_MS) continue
@@ -215,7 +216,7 @@
                 onGone(m) // asked to be deleted with tasks on it, and whether it is gone is not known yet
                 continue
             }
-            desk.info("the lease of ${m.name} has lapsed")
+            context.info("the lease of ${m.name} has lapsed")
             m.state = Machine.State.LOST
             m.lostAt = t
             m.lapsedSession = maxOf(m.session, m.lapsedSession)
@@ -226,7 +227,7 @@
     fun tick(leading: Boolean, unplaced: List<Placement.Unplaced>, mayRent: Boolean) {
         refill()
         moreNow = false
-        val t = desk.steady
+        val t = context.steady
         if (!catalogBusy && (catalogAt == Machine.NEVER || leading && t - catalogAt > CATALOG_MS) &&
             spend()
         ) {
@@ -247,10 +248,10 @@
 
     private fun readCatalog() {
         catalogBusy = true
-        desk.cloud(CloudOp.Catalog) { reply ->
+        context.cloud(CloudOp.Catalog) { reply ->
             catalogBusy = false
             if (reply is CloudReply.CatalogIs) {
-                catalogAt = desk.steady
+                catalogAt = context.steady
                 catalogKnown = true
                 for (type in reply.types) {
                     val index = names.types.intern(type.name)
@@ -265,11 +266,11 @@
     private fun readList(after: String?, found: HashSet<String>) {
         listBusy = true
         val inGeneration = generation
-        desk.cloud(CloudOp.Machines(after)) { reply ->
+        context.cloud(CloudOp.Machines(after)) { reply ->
             if (inGeneration != generation) return@cloud
             listBusy = false
             if (reply !is CloudReply.MachinesAre) {
-                listAt = desk.steady - LIST_MS / 2
+                listAt = context.steady - LIST_MS / 2
                 return@cloud
             }
             for (m in reply.page.machines) {
@@ -283,8 +284,8 @@
             if (reply.page.more && last != null) {
                 readList(last, found)
             } else {
-                listAt = desk.steady
-                base.onList(found)
+                listAt = context.steady
+                preProvisioned.onList(found)
                 dropUnlisted(found)
             }
         }
@@ -294,12 +295,12 @@
         if (l.name in gone) return
         val m = known(l.name)
         if (m.state == Machine.State.DELETING) return
-        m.listedAt = desk.steady
+        m.listedAt = context.steady
         if (m.type < 0) {
             m.type = names.types.intern(l.type)
             m.zone = names.zones.intern(l.zone)
             m.spot = l.spot
-            m.bornAt = desk.steady - (l.ageS * 1000).toLong()
+            m.bornAt = context.steady - (l.ageS * 1000).toLong()
         }
         if (l.address.isNotEmpty()) m.address = l.address
         m.failed = l.status == ListedMachine.Status.FAILED
@@ -308,7 +309,7 @@
 
     /** A machine that was listed and no longer is, and does not report, has gone. */
     private fun dropUnlisted(found: Set<String>) {
-        val t = desk.steady
+        val t = context.steady
         val patience = (settings.listLagS * 2000).toLong() + LIST_MS * 2
         for (m in ArrayList(byName.values)) {
             if (m.name in found || m.state == Machine.State.UP || m.state == Machine.State.DELETING) continue
@@ -326,7 +327,7 @@
 
     /** Deletes what failed, never came up, was lost or idles; true if a request was sent. */
     private fun returnMachines(unplaced: List<Placement.Unplaced>): Boolean {
-        val t = desk.steady
+        val t = context.steady
         val out = silent(t)
         for (m in byName.values) {
             if (m.state == Machine.State.DELETING || m in out) continue
@@ -337,7 +338,7 @@
             }
             if (m.failedJobs.size >= SICK_JOBS && !m.draining) {
                 m.draining = true
-                desk.info("${m.name} fails every task and is set aside")
+                context.info("${m.name} fails every task and is set aside")
             }
             if (useless(m, t)) out.add(m)
         }
@@ -367,10 +368,10 @@
         for (m in byName.values) {
             if (m.state != Machine.State.UP) continue
             up.merge(m.zone, 1, Int::plus)
-            if (hearing.overdue(m)) overdue.merge(m.zone, 1, Int::plus)
+            if (reachability.overdue(m)) overdue.merge(m.zone, 1, Int::plus)
             if (m.noticeAt != Machine.NEVER && t > m.noticeAt + TAKEN_MS) {
                 out.add(m)
-            } else if (m.busy && hearing.silent(m)) {
+            } else if (m.busy && reachability.silent(m)) {
                 silent.add(m)
             }
         }
@@ -390,7 +391,7 @@
      * at a time those stop taking tasks, run dry and go; as soon as anything waits they are back in use.
      */
     private fun retire(waits: Boolean) {
-        val t = desk.steady
+        val t = context.steady
         if (waits) {
             waitedAt = t
             for (m in byName.values) m.retiring = false
@@ -402,7 +403,7 @@
                 .filter { m ->
                     val type = types.getOrNull(m.type) ?: return@filter false
                     // A replica never ends, so a machine that has one would never run dry.
-                    m.name !in base.names && m.attempts.none { it.job.service } &&
+                    m.name !in preProvisioned.names && m.attempts.none { it.job.service } &&
                         priceOf(m.type, m.spot) > minOf(type.price, type.spotPrice)
                 }.map { it to it.room(types).cpus }
                 .sortedByDescending { it.second }
@@ -425,8 +426,8 @@
             m.state == Machine.State.BOOTING ->
                 m.attempts.isEmpty() && t - m.bornAt > bootMs * 4 + BOOT_SLACK_MS &&
                     t - takenOverAt > leaseMs * 2
-            m.state == Machine.State.UP && m.deafSince != Machine.NEVER && t - m.deafSince > deafMs &&
-                t - takenOverAt > deafMs -> true
+            m.state == Machine.State.UP && m.unreachableSince != Machine.NEVER &&
+                t - m.unreachableSince > unreachableMs && t - takenOverAt > unreachableMs -> true
             m.draining -> !m.busy
             m.retiring && m.state == Machine.State.UP -> m.vacant
             m.noticeAt != Machine.NEVER -> m.vacant
@@ -441,7 +442,8 @@
     private fun idle(t: Long, stuck: Boolean): List<Machine> {
         val idle =
             byName.values.filter {
-                it.state == Machine.State.UP && it.idleSince != Machine.NEVER && !it.draining && it.name !in base.names
+                it.state == Machine.State.UP && it.idleSince != Machine.NEVER && !it.draining &&
+                    it.name !in preProvisioned.names
             }
         val long = idle.filter { t - it.idleSince > idleAllowedMs(it) }.sortedByDescending { priceOf(it.type, it.spot) }
         var standby =
@@ -449,7 +451,7 @@
                 0.0
             } else {
                 options.standbyShare *
-                    byName.values.filter { it.name in base.names }.sumOf { priceOf(it.type, it.spot) }
+                    byName.values.filter { it.name in preProvisioned.names }.sumOf { priceOf(it.type, it.spot) }
             }
         val out = ArrayList<Machine>()
         for (m in long.reversed()) {
@@ -462,7 +464,7 @@
     private fun couldTake(m: Machine, job: OpenJob): Boolean {
         val type = types.getOrNull(m.type) ?: return false
         return allows(job, m.type, m.zone, m.spot) && Placement.fitsType(job, m.type, type) &&
-            !job.avoids(m.id, desk.steady)
+            !job.avoids(m.id, context.steady)
     }
 
     /** The dearer a machine is, compared with the cheapest way to have its like, the sooner it goes. */
@@ -477,8 +479,8 @@
         changeBusy = true
         for (m in list) m.state = Machine.State.DELETING
         val inGeneration = generation
-        desk.info("returning ${list.joinToString(" ") { it.name }}")
-        desk.cloud(CloudOp.Delete(list.map { it.name })) { reply ->
+        context.info("returning ${list.joinToString(" ") { it.name }}")
+        context.cloud(CloudOp.Delete(list.map { it.name })) { reply ->
             if (inGeneration != generation) return@cloud
             changeBusy = false
             if (reply is CloudReply.Deleted) {
@@ -489,7 +491,7 @@
             for (m in list) {
                 m.state = Machine.State.LOST
                 m.lapsedSession = maxOf(m.session, m.lapsedSession)
-                m.lostAt = desk.steady - LOST_MS
+                m.lostAt = context.steady - LOST_MS
             }
         }
     }
@@ -502,7 +504,7 @@
      */
     private fun rentFor(unplaced: List<Placement.Unplaced>) {
         if (unplaced.isEmpty()) return
-        val t = desk.steady
+        val t = context.steady
         val coming =
             byName.values.filter {
                 it.state == Machine.State.BOOTING && it.type >= 0 && !it.failed &&
@@ -587,9 +589,9 @@
         for (m in byName.values) {
             if (m.state != Machine.State.UP && m.state != Machine.State.LOST) continue
             all.merge(m.zone, 1, Int::plus)
-            if (m.state == Machine.State.LOST || hearing.overdue(m)) quiet.merge(m.zone, 1, Int::plus)
+            if (m.state == Machine.State.LOST || reachability.overdue(m)) quiet.merge(m.zone, 1, Int::plus)
         }
-        if (desk.steady - takenOverAt < leaseMs) return // not heard from yet is not silent
+        if (context.steady - takenOverAt < leaseMs) return // not heard from yet is not silent
         for ((zone, n) in quiet) if (n >= UNREACHED_LEAST && n * 3 > all.getValue(zone) * 2) unreached.add(zone)
     }
 
@@ -626,7 +628,7 @@
         changeBusy = true
         val inGeneration = generation
         val offer = Offer(names.types.intern(rent.type), names.zones.intern(rent.zone), rent.spot)
-        desk.cloud(rent) { reply ->
+        context.cloud(rent) { reply ->
             if (inGeneration != generation) return@cloud
             changeBusy = false
             when (reply) {
@@ -641,18 +643,18 @@
                     moreNow = true
                 }
                 is CloudReply.Rejected -> {
-                    desk.warn("the cloud rejects a rental: ${reply.why}")
+                    context.warn("the cloud rejects a rental: ${reply.why}")
                     pendingRent = null
                     refuse(offer)
                 }
                 // Unknown or not executed: the same name again, which rents at most once.
-                else -> retryRentAt = desk.steady + RENT_RETRY_MS
+                else -> retryRentAt = context.steady + RENT_RETRY_MS
             }
         }
     }
 
     private fun rented(rent: CloudOp.Rent, offer: Offer, list: List<String>) {
-        desk.info(
+        context.info(
             "rented ${list.size} of ${rent.count} ${rent.type} in ${rent.zone}${if (rent.spot) " (spot)" else ""}",
         )
         for (name in list) {
@@ -662,7 +664,7 @@
                 m.type = offer.type
                 m.zone = offer.zone
                 m.spot = offer.spot
-                m.bornAt = desk.steady
+                m.bornAt = context.steady
             }
         }
         if (list.size < rent.count) refuse(offer) else backoff.remove(offer)
@@ -670,7 +672,7 @@
 
     private fun refuse(offer: Offer) {
         val wait = minOf(MOST_BACKOFF_MS, (backoff[offer] ?: FIRST_BACKOFF_MS))
-        refusedUntil[offer] = desk.steady + wait
+        refusedUntil[offer] = context.steady + wait
         backoff[offer] = wait * 3 / 2
     }
 
@@ -683,8 +685,8 @@
 
     private fun refill() {
         val most = settings.cloudRps
-        tokens = minOf(most, tokens + (desk.steady - refilledAt) * settings.cloudRps * 0.8 / 1000.0)
-        refilledAt = desk.steady
+        tokens = minOf(most, tokens + (context.steady - refilledAt) * settings.cloudRps * 0.8 / 1000.0)
+        refilledAt = context.steady
     }
 
     private fun spend(): Boolean {
--- a/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
@@ -12,7 +12,7 @@
  * correctness.
  */
 class ImageMemory(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val names: Names,
     private val limits: StateLimits,
     private val fleet: Fleet,
@@ -34,7 +34,7 @@
         remembered.clear()
         written.clear()
         inherited.clear()
-        writtenAt = desk.steady
+        writtenAt = context.steady
     }
 
     fun load(row: Row) {
@@ -68,8 +68,8 @@
     fun next(room: StateLog.Room): Write? {
         if (room.ops < 1 || room.bytes < limits.valueBytes) return null
         val pages = (names.machines.size + pageSize - 1) / pageSize
-        if (pages == 0 || desk.steady - writtenAt < maxOf(PAGE_MS, EVERY_MS / pages)) return null
-        writtenAt = desk.steady
+        if (pages == 0 || context.steady - writtenAt < maxOf(PAGE_MS, EVERY_MS / pages)) return null
+        writtenAt = context.steady
         val page = nextPage % pages
         nextPage = page + 1
         val value = value(page)
--- a/src/main/kotlin/org/chalkhollow/core/Io.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Io.kt
@@ -1,8 +1,8 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.mesh.PeerMessage
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Command
 import org.chalkhollow.wire.Condition
--- a/src/main/kotlin/org/chalkhollow/core/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/JobTable.kt
@@ -13,7 +13,7 @@
 import java.util.BitSet
 
 /** Owns the jobs: what is accepted, done and cancelled, and how that is written down. */
-class JobTable(private val desk: Desk, private val names: Names, private val limits: StateLimits) {
+class JobTable(private val context: CoreContext, private val names: Names, private val limits: StateLimits) {
     private val entries = ArrayList<JobEntry>()
     private val openJobs = LinkedHashSet<OpenJob>()
     private val urgent = ArrayDeque<Write>()
@@ -59,7 +59,7 @@
      */
     fun accept(spec: JobSpec, refused: () -> Unit, then: () -> Unit) {
         val entry = entry(spec.id, spec.tasks)
-        val wall = desk.now.wall
+        val wall = context.now.wall
         urgent.add(
             Write(listOf(Change(JOB + spec.id, record(spec, wall))), refused) {
                 entry.state = JobState.OPEN
@@ -73,7 +73,7 @@
         describe(entry, spec, wall).also {
             entry.open = it
             openJobs.add(it)
-            desk.changed()
+            context.changed()
         }
 
     private fun describe(entry: JobEntry, spec: JobSpec, wall: Long): OpenJob {
@@ -123,7 +123,7 @@
     }
 
     private fun later(write: Write) {
-        refused.add(desk.steady + AGAIN_MS to write)
+        refused.add(context.steady + AGAIN_MS to write)
     }
 
     private fun remove(key: String): Write = Write(listOf(Change(key, null)), onRefused = { later(remove(key)) }) {}
@@ -140,13 +140,13 @@
     /** Notes that a task has completed; it is written with the next transaction that has room. */
     fun taskDone(job: OpenJob, index: Int) {
         if (!job.markDone(index)) return
-        if (job.dirtyPages.isEmpty) job.dirtySince = desk.steady
+        if (job.dirtyPages.isEmpty) job.dirtySince = context.steady
         job.dirtyPages.set(index / pageTasks)
     }
 
     /** Accepted and cancelled jobs come first. */
     fun nextUrgent(room: StateLog.Room): Write? {
-        while (refused.isNotEmpty() && desk.steady >= refused.first().first) urgent.add(refused.removeFirst().second)
+        while (refused.isNotEmpty() && context.steady >= refused.first().first) urgent.add(refused.removeFirst().second)
         val write = urgent.firstOrNull() ?: return null
         return if (write.fits(room)) urgent.removeFirst() else null
     }
@@ -157,9 +157,9 @@
         // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
         var waiting: OpenJob? = null
         for (job in openJobs) {
-            if (job.cancelling || job.sealing || job.dirtyPages.isEmpty || desk.steady < job.writeAfter) continue
+            if (job.cancelling || job.sealing || job.dirtyPages.isEmpty || context.steady < job.writeAfter) continue
             if (job.complete) return sealed(job, attemptsRecorded).takeIf { it.fits(room) }?.also { job.sealing = true }
-            if (waiting == null && desk.steady - job.dirtySince >= GATHER_MS) waiting = job
+            if (waiting == null && context.steady - job.dirtySince >= GATHER_MS) waiting = job
         }
         return waiting?.let { page(it, attemptsRecorded, room) }
     }
@@ -168,7 +168,7 @@
         val done = job.done.clone() as BitSet
         return Write(listOf(Change(JOB + job.spec.id, finalRecord("done", job))), onRefused = {
             job.sealing = false
-            job.writeAfter = desk.steady + AGAIN_MS
+            job.writeAfter = context.steady + AGAIN_MS
         }) {
             job.dirtyPages.clear()
             close(job, JobState.DONE)
@@ -193,7 +193,7 @@
         val write =
             Write(listOf(Change(key, mapOf("b" to text))), onRefused = {
                 job.dirtyPages.set(page)
-                job.writeAfter = desk.steady + AGAIN_MS
+                job.writeAfter = context.steady + AGAIN_MS
             }) {
                 job.writtenPages.add(from)
                 job.oversized.clear(page)
@@ -205,7 +205,7 @@
             }
         if (!write.fits(room)) return null
         job.dirtyPages.clear(page)
-        job.dirtySince = desk.steady
+        job.dirtySince = context.steady
         return write
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Leadership.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Condition
@@ -32,7 +32,7 @@
  * promises.
  */
 class Leadership(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val label: String,
     private val peers: List<String>,
     private val incarnation: Long,
@@ -96,7 +96,7 @@
     private var votedStamp = 0L
 
     // Votes asked for.
-    private var voteSeq = desk.random.nextLong(1L shl 61) // votes for an earlier life must not count
+    private var voteSeq = context.random.nextLong(1L shl 61) // votes for an earlier life must not count
     private var voteAskedAt = NEVER
     private val votes = BooleanArray(peers.size)
 
@@ -133,7 +133,7 @@
     private var failingSince = NEVER
 
     /** Which controllers the workers reach. */
-    val reach = Reach(peers.size)
+    val reportTraffic = ReportTraffic(peers.size)
     private var electedAt = NEVER
 
     /** Having made way, this controller leaves the lead to others until then. */
@@ -144,18 +144,18 @@
     /** Whether this controller may act for all at this moment. */
     fun entitled(): Boolean {
         if (role != Role.LEADER) return false
-        val t = desk.steady
+        val t = context.steady
         if (t < renewedAt + shrunk(options.leaderLeaseMs)) return true
         return t < promisedToMe() && t < renewedAt + shrunk(options.outageLimitMs)
     }
 
     /** The leader to send others to, or -1 if none was heard of lately. */
-    fun reachableLeader(): Int = if (leaderPeer >= 0 && desk.steady - leaderHeardAt < HEARD_MS) leaderPeer else -1
+    fun reachableLeader(): Int = if (leaderPeer >= 0 && context.steady - leaderHeardAt < HEARD_MS) leaderPeer else -1
 
     fun leaderIsReady(): Boolean = leaderReady
 
     /** Whether this controller leads, has heard from a leader within [ms], or has only just begun to listen for one. */
-    fun inTouch(ms: Long): Boolean = entitled() || desk.steady - maxOf(leaderHeardAt, startedAt) < ms
+    fun inTouch(ms: Long): Boolean = entitled() || context.steady - maxOf(leaderHeardAt, startedAt) < ms
 
     private var wasEntitled = false
 
@@ -164,12 +164,12 @@
         if (now == wasEntitled) return
         wasEntitled = now
         if (role != Role.LEADER) return
-        if (now) desk.info("entitled to lead again")
-        else desk.warn("not entitled to lead: last renewal ${t - renewedAt} ms ago, promises for ${promisedToMe() - t} ms, reports go unanswered")
+        if (now) context.info("entitled to lead again")
+        else context.warn("not entitled to lead: last renewal ${t - renewedAt} ms ago, promises for ${promisedToMe() - t} ms, reports go unanswered")
     }
 
     fun tick() {
-        val t = desk.steady
+        val t = context.steady
         noteEntitlement(t)
         when (role) {
             Role.LEADER -> lead(t)
@@ -184,10 +184,10 @@
         claim?.let { return claimed(it) }
         val record = seen ?: return
         val stale = t - seenSince
-        val released = released(record, standOffset())
+        val released = released(record, candidacyOffset())
         if (!released && stale < options.leaderLeaseMs - PREPARE_AHEAD_MS) return
         events.prepare(seenStamp)
-        if (!released && stale < stretched(options.leaderLeaseMs) + standOffset() || t < promisedUntil) return
+        if (!released && stale < stretched(options.leaderLeaseMs) + candidacyOffset() || t < promisedUntil) return
         if (!events.prepared(seenStamp)) return
         if (stale > stretched(options.outageLimitMs) || majority == 1) {
             votesUsedAt = NEVER
@@ -200,7 +200,7 @@
 
     /** Whether the leader of [record] has said that it gave up, [sinceMs] ago, and the record was read since. */
     private fun released(record: LeadRecord, sinceMs: Long): Boolean =
-        record.generation == releasedGeneration && desk.steady - releasedAt >= sinceMs && servedAt > releasedAt
+        record.generation == releasedGeneration && context.steady - releasedAt >= sinceMs && servedAt > releasedAt
 
     /**
      * Takes over without votes, once all is read: a leader that does not know what was cancelled must not keep it
@@ -216,22 +216,22 @@
 
     /** What [Events.prepare] asked for was read. */
     fun onPrepared() {
-        if (role == Role.FOLLOWER) follow(desk.steady)
+        if (role == Role.FOLLOWER) follow(context.steady)
     }
 
     private fun askVotes(t: Long, record: LeadRecord) {
         voteAskedAt = t
         voteSeq++
         votes.fill(false)
-        for (p in peers.indices) desk.emit(Effect.Send(p, PeerMessage.VoteAsk(record.generation + 1, seenStamp, voteSeq)))
+        for (p in peers.indices) context.emit(Effect.Send(p, PeerMessage.VoteAsk(record.generation + 1, seenStamp, voteSeq)))
     }
 
     private fun read() {
         reading = true
-        val askedAt = desk.steady
-        desk.state(StateOp.Read(LeadRecord.KEY)) { reply ->
+        val askedAt = context.steady
+        context.state(StateOp.Read(LeadRecord.KEY)) { reply ->
             reading = false
-            val t = desk.steady
+            val t = context.steady
             readDueAt = t + options.leaderRenewMs
             val answered = reply is StateReply.Found || reply is StateReply.Missing
             if (answered && askedAt - begunAt >= stretched(options.promiseMs)) knowsRecord = true
@@ -246,7 +246,7 @@
                 try {
                     onRecord(LeadRecord.of(reply.row), reply.row.stamp, t)
                 } catch (e: Malformed) {
-                    desk.warn("the leadership record is unreadable: ${e.message}")
+                    context.warn("the leadership record is unreadable: ${e.message}")
                 }
             }
             StateReply.Missing -> {
@@ -287,19 +287,19 @@
         // Our own vote binds us like any other: no promise to an older generation while this may still be applied.
         votedGeneration = maxOf(votedGeneration, record.generation)
         votedStamp = maxOf(votedStamp, seenStamp)
-        desk.info("standing for generation ${record.generation}: $why")
-        val sentAt = desk.steady
+        context.info("standing for generation ${record.generation}: $why")
+        val sentAt = context.steady
         val commit = StateOp.Commit(listOf(Condition(LeadRecord.KEY, seenStamp)), listOf(Change(LeadRecord.KEY, record.value())))
-        desk.state(commit) { reply ->
+        context.state(commit) { reply ->
             role = Role.FOLLOWER
             voteAskedAt = NEVER
             when (reply) {
                 is StateReply.Committed -> {
-                    servedAt = desk.steady
-                    if (votesUsedAt == NEVER || desk.steady - votesUsedAt < shrunk(options.promiseMs)) becomeLeader(record, reply.revision, sentAt, basis)
-                    else onRecord(record, reply.revision, desk.steady) // too late: the voters may have restarted and forgotten
+                    servedAt = context.steady
+                    if (votesUsedAt == NEVER || context.steady - votesUsedAt < shrunk(options.promiseMs)) becomeLeader(record, reply.revision, sentAt, basis)
+                    else onRecord(record, reply.revision, context.steady) // too late: the voters may have restarted and forgotten
                 }
-                else -> readDueAt = desk.steady
+                else -> readDueAt = context.steady
             }
         }
     }
@@ -309,7 +309,7 @@
         generation = record.generation
         ledGeneration = generation
         renewedAt = at
-        electedAt = desk.steady
+        electedAt = context.steady
         failingSince = NEVER
         leaderPeer = -1
         promises.fill(NEVER)
@@ -317,9 +317,9 @@
         preparedElsewhere.fill(false)
         makesWaySince = NEVER
         promiseAskedAt = NEVER
-        desk.info("leading generation $generation")
+        context.info("leading generation $generation")
         events.onElected(generation, stamp, record.writes, basis)
-        lead(desk.steady)
+        lead(context.steady)
     }
 
     private fun lead(t: Long) {
@@ -334,7 +334,7 @@
         } else {
             makesWaySince = NEVER
         }
-        if (t - electedAt > Reach.WINDOW_MS && reach.lost(t)) {
+        if (t - electedAt > ReportTraffic.WINDOW_MS && reportTraffic.lost(t)) {
             yieldsUntil = t + YIELD_MS
             return makeWay("workers reach other controllers but not this one")
         }
@@ -342,12 +342,12 @@
         promiseAskedAt = t
         promiseSeq++
         promiseSends[(promiseSeq % SENDS).toInt()] = t
-        for (p in peers.indices) desk.emit(Effect.Send(p, PeerMessage.PromiseAsk(generation, promiseSeq, ready)))
+        for (p in peers.indices) context.emit(Effect.Send(p, PeerMessage.PromiseAsk(generation, promiseSeq, ready)))
     }
 
     private fun makeWay(why: String) {
         // No longer entitled from here on, so the promises given to us bind nobody any more.
-        for (p in peers.indices) desk.emit(Effect.Send(p, PeerMessage.Release(generation)))
+        for (p in peers.indices) context.emit(Effect.Send(p, PeerMessage.Release(generation)))
         depose(why)
     }
 
@@ -358,25 +358,25 @@
     fun renewed(sentAt: Long) {
         if (sentAt > renewedAt) renewedAt = sentAt
         failingSince = NEVER
-        servedAt = desk.steady
+        servedAt = context.steady
     }
 
     /** A write was refused, or is without an answer although it was sent at [sentAt]. */
-    fun writeFailed(sentAt: Long = desk.steady) {
+    fun writeFailed(sentAt: Long = context.steady) {
         if (failingSince == NEVER) failingSince = sentAt
     }
 
     /** Someone else's record stands where ours should: stop at once. */
     fun depose(why: String) {
         if (role != Role.LEADER) return
-        desk.info("no longer leading generation $generation: $why")
+        context.info("no longer leading generation $generation: $why")
         role = Role.FOLLOWER
         ready = false
         seen = null
         seenStamp = -1
         claim = null
-        seenSince = desk.steady
-        readDueAt = desk.steady
+        seenSince = context.steady
+        readDueAt = context.steady
         events.onDeposed()
     }
 
@@ -395,7 +395,7 @@
     }
 
     fun onPeer(from: Int, message: PeerMessage) {
-        val t = desk.steady
+        val t = context.steady
         when (message) {
             is PeerMessage.PromiseAsk -> onPromiseAsk(from, message, t)
             is PeerMessage.Promise -> onPromise(from, message, t)
@@ -424,7 +424,7 @@
             leaderReady = ask.ready
         }
         val served = t - servedAt < servedMs
-        desk.emit(Effect.Send(from, PeerMessage.Promise(ask.generation, ask.seq, granted, served, reach.here(t), events.prepared(seenStamp))))
+        context.emit(Effect.Send(from, PeerMessage.Promise(ask.generation, ask.seq, granted, served, reportTraffic.here(t), events.prepared(seenStamp))))
     }
 
     private fun onPromise(from: Int, promise: PeerMessage.Promise, t: Long) {
@@ -432,7 +432,7 @@
         if (promise.seq <= promiseSeq - SENDS) return
         val sentAt = promiseSends[(promise.seq % SENDS).toInt()]
         if (promise.granted) promises[from] = maxOf(promises[from], sentAt + shrunk(options.promiseMs))
-        reach.told(from, promise.reports, t)
+        reportTraffic.told(from, promise.reports, t)
         if (promise.stateServed) servedElsewhereAt[from] = maxOf(servedElsewhereAt[from], sentAt)
         preparedElsewhere[from] = promise.prepared
     }
@@ -444,22 +444,22 @@
             votedGeneration = maxOf(votedGeneration, ask.generation)
             votedStamp = maxOf(votedStamp, ask.stamp)
         }
-        desk.emit(Effect.Send(from, PeerMessage.Vote(ask.generation, ask.seq, granted)))
+        context.emit(Effect.Send(from, PeerMessage.Vote(ask.generation, ask.seq, granted)))
     }
 
     private fun onVote(from: Int, vote: PeerMessage.Vote) {
-        if (role != Role.FOLLOWER || vote.seq != voteSeq || !vote.granted || desk.steady < promisedUntil) return
+        if (role != Role.FOLLOWER || vote.seq != voteSeq || !vote.granted || context.steady < promisedUntil) return
         val record = seen ?: return
         if (vote.generation != record.generation + 1) return
         votes[from] = true
-        if (votes.count { it } + 1 >= majority && events.prepared(seenStamp) && (released(record, 0) || desk.steady - seenSince >= stretched(options.leaderLeaseMs))) {
+        if (votes.count { it } + 1 >= majority && events.prepared(seenStamp) && (released(record, 0) || context.steady - seenSince >= stretched(options.leaderLeaseMs))) {
             votesUsedAt = voteAskedAt
             stand("elected by peers")
         }
     }
 
     /** Spreads candidates a little, so that they rarely stand at once. */
-    private fun standOffset(): Long = peers.count { it < label } * STAND_STEP_MS
+    private fun candidacyOffset(): Long = peers.count { it < label } * CANDIDACY_STEP_MS
 
     private fun shrunk(ms: Long): Long = ms - ms / 500 - 10
 
@@ -471,7 +471,7 @@
         const val PROMISES_EACH = 4
         const val VOTE_RETRY_MS = 150L
         const val RETRY_MS = 250L
-        const val STAND_STEP_MS = 80L
+        const val CANDIDACY_STEP_MS = 80L
         const val HEARD_MS = 1600L
         const val SERVED_MARGIN_MS = 450L
         const val YIELD_MS = 8000L
--- a/src/main/kotlin/org/chalkhollow/core/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Machine.kt
@@ -15,8 +15,8 @@
     var spot = false
     var address = ""
 
-    /** Whether what we say has lately reached it, see [Hearing]. */
-    var hears = false
+    /** Whether what we say has lately reached it, see [MachineReachability]. */
+    var reachable = false
 
     /** The last proof of that in this session, and when it was last asked directly. */
     var provedAt = NEVER
@@ -25,8 +25,8 @@
     /** Its reports are not answered, so that its session ends: only then is it certain what it will not do. */
     var shunned = false
 
-    /** Since when it reports without hearing us; [NEVER] while it does hear or says nothing. */
-    var deafSince = NEVER
+    /** Since when it reports while our answers do not reach it; [NEVER] while they do or while it says nothing. */
+    var unreachableSince = NEVER
 
     /** When its rental was asked for, by our clock. */
     var bornAt = 0L
--- a/src/main/kotlin/org/chalkhollow/core/Hearing.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineReachability.kt
@@ -9,7 +9,7 @@
  * when that brings no proof either. Only placement and the return of machines rest on this, no proof about attempts
  * does.
  */
-class Hearing(private val desk: Desk, reportS: Double, leaseS: Double) {
+class MachineReachability(private val context: CoreContext, reportS: Double, leaseS: Double) {
     private val doubtMs = maxOf(UNANSWERED_GAP_MS, (reportS * 3000).toLong())
 
     /** A report is overdue after this long; no news from then on means more than that the next one is a little late. */
@@ -18,7 +18,7 @@
 
     /** A report that is newer than all before it has come in from [m]. */
     fun reported(m: Machine, freshSession: Boolean, tellsToken: Boolean, atToken: Boolean) {
-        val t = desk.steady
+        val t = context.steady
         if (freshSession) {
             m.provedAt = Machine.NEVER
             m.askedAt = Machine.NEVER
@@ -30,38 +30,38 @@
 
     /** [m] did what only one that hears us does. */
     fun proved(m: Machine) {
-        m.provedAt = desk.steady
+        m.provedAt = context.steady
         judge(m, true)
     }
 
     private fun judge(m: Machine, atToken: Boolean) {
-        val hears = atToken && desk.steady - m.provedAt < doubtMs + ASK_MS
-        if (hears != m.hears) desk.changed()
-        m.hears = hears
-        m.deafSince =
-            if (hears) {
+        val reachable = atToken && context.steady - m.provedAt < doubtMs + ASK_MS
+        if (reachable != m.reachable) context.changed()
+        m.reachable = reachable
+        m.unreachableSince =
+            if (reachable) {
                 Machine.NEVER
-            } else if (m.deafSince == Machine.NEVER) {
-                desk.steady
+            } else if (m.unreachableSince == Machine.NEVER) {
+                context.steady
             } else {
-                m.deafSince
+                m.unreachableSince
             }
     }
 
     /** Whether [m] is to be asked directly now. */
     fun ask(m: Machine): Boolean {
-        val t = desk.steady
+        val t = context.steady
         if (!(m.busy && overdue(m)) && t - m.provedAt < doubtMs || t - m.askedAt < ASK_MS || m.directBusy) return false
         m.askedAt = t
         return true
     }
 
     /** Whether a report should have come from [m] by now. */
-    fun overdue(m: Machine): Boolean = m.reportedAt != Machine.NEVER && desk.steady - m.reportedAt > overdueMs
+    fun overdue(m: Machine): Boolean = m.reportedAt != Machine.NEVER && context.steady - m.reportedAt > overdueMs
 
     /** Whether [m] has said nothing for long, not even when it was asked. */
     fun silent(m: Machine): Boolean {
-        val t = desk.steady
+        val t = context.steady
         return m.reportedAt != Machine.NEVER && t - maxOf(m.reportedAt, m.provedAt) > silentMs &&
             m.askedAt > maxOf(m.reportedAt, m.provedAt) && t - m.askedAt > DIRECT_MS
     }
--- a/src/main/kotlin/org/chalkhollow/core/Names.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Names.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.model.Interner
 
-/** The interners at the door of one controller. */
+/** The interners of one controller. */
 class Names {
     val jobs = Interner()
     val teams = Interner()
--- a/src/main/kotlin/org/chalkhollow/core/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Placement.kt
@@ -14,13 +14,13 @@
  * room.
  */
 class Placement(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val jobs: JobTable,
     private val quotas: Quotas,
     private val settlement: Settlement,
     private val fleet: Fleet,
     private val options: OperatorSettings,
-    private val aims: Aims,
+    private val objectives: ServiceLevelObjectives,
 ) {
     /**
      * A class of tasks that found no room, for the fleet to rent by; [pressing] if it would be late without dear
@@ -36,7 +36,7 @@
 
     /** Jobs with ready tasks, most urgent first. */
     fun order(): List<OpenJob> {
-        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.notBefore <= desk.steady }
+        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.notBefore <= context.steady }
         return waiting.sortedWith(
             compareBy(
                 { if (goesFirst(it)) -1 else it.spec.priority.ordinal },
@@ -74,7 +74,7 @@
     private val kindServedWall = HashMap<Kind, Long>()
 
     private fun due(job: OpenJob): Long =
-        aims.dueWall(job, desk.now.wall, (job.spec.expectedS * SURE_FACTOR * 1000).toLong())
+        objectives.dueWall(job, context.now.wall, (job.spec.expectedS * SURE_FACTOR * 1000).toLong())
 
     private fun goesFirst(job: OpenJob): Boolean = job.owedCpus > 0 && owedLeft > 0
 
@@ -87,8 +87,8 @@
         val patienceMs = (options.patienceS * 1000).toLong()
         val share = options.patienceShare * capacity
         for (job in jobs.open) {
-            if (!job.placeable || job.owedCpus > 0 || desk.now.wall - job.placedWall < patienceMs) continue
-            if (desk.now.wall - (kindServedWall[Kind(job)] ?: 0L) < patienceMs) continue // its like get their turn
+            if (!job.placeable || job.owedCpus > 0 || context.now.wall - job.placedWall < patienceMs) continue
+            if (context.now.wall - (kindServedWall[Kind(job)] ?: 0L) < patienceMs) continue // its like get their turn
             job.owedCpus = share
             job.owedSinceWall = job.placedWall + patienceMs
         }
@@ -119,7 +119,7 @@
     private fun noteUrgentSizes() {
         var newest = urgentSeen
         for (job in jobs.open) {
-            if (job.entry.id <= urgentSeen || !aims.startsCount(job)) continue
+            if (job.entry.id <= urgentSeen || !objectives.startsCount(job)) continue
             newest = maxOf(newest, job.entry.id)
             if (job.service) continue // room is kept for those by machine, see [Replicas]
             urgentSizes.addLast(job.each.cpus * job.spec.tasks)
@@ -133,7 +133,7 @@
 
     private fun yields(job: OpenJob): Boolean =
         job.spec.priority >= Priority.STANDARD &&
-            !aims.startsCount(
+            !objectives.startsCount(
                 job,
             ) && !withinGuarantee(job) && !pressing(job, 0.0) &&
             !waitsLong(job)
@@ -142,7 +142,7 @@
      * Whether some of the job has waited for so long that room kept for other work is no longer kept from it. An
      * earlier version kept it for ever, so that work waited beside machines with room for it.
      */
-    private fun waitsLong(job: OpenJob): Boolean = desk.now.wall - job.allPlacedWall > KEPT_FROM_MS
+    private fun waitsLong(job: OpenJob): Boolean = context.now.wall - job.allPlacedWall > KEPT_FROM_MS
 
     fun round(): List<Allocation> {
         preempted.clear()
@@ -165,7 +165,9 @@
             while (end < waiting.size && alike(first, waiting[end])) end++
             // Among jobs of one standing, a machine goes first to one whose image it holds: fetching costs machine
             // time.
-            if (end - i > 1 && !aims.startsCount(first)) for (k in i until end) round.serve(waiting[k], heldOnly = true)
+            if (end - i > 1 && !objectives.startsCount(first)) {
+                for (k in i until end) round.serve(waiting[k], heldOnly = true)
+            }
             for (k in i until end) round.serve(waiting[k], heldOnly = false)
             i = end
         }
@@ -177,15 +179,15 @@
 
     private fun alike(a: OpenJob, b: OpenJob): Boolean =
         !goesFirst(a) && !goesFirst(b) &&
-            a.spec.priority == b.spec.priority && aims.startsCount(
+            a.spec.priority == b.spec.priority && objectives.startsCount(
                 a,
-            ) == aims.startsCount(b) && standing(a) == standing(b) &&
+            ) == objectives.startsCount(b) && standing(a) == standing(b) &&
             (canWait(a) || standing(a) == LATE)
 
     /** Whether others may go before the job for a while without making it late. */
     private fun canWait(job: OpenJob): Boolean {
         val due = due(job)
-        return due == Long.MAX_VALUE || due - desk.now.wall > job.spec.expectedS * LATE_FACTOR * 1000 + SLACK_MS
+        return due == Long.MAX_VALUE || due - context.now.wall > job.spec.expectedS * LATE_FACTOR * 1000 + SLACK_MS
     }
 
     /** What one round has given away so far. */
@@ -213,7 +215,8 @@
             val wanted = minOf(ready, headroom(job, given, givenCards))
             if (job.service && wanted < ready) limited.add(job to ready - wanted)
             var want = wanted
-            if (job.failures > 0 && job.failsAround(desk.steady)) want = minOf(want, 1) // a probe, not the whole array
+            // A probe, not the whole array.
+            if (job.failures > 0 && job.failsAround(context.steady)) want = minOf(want, 1)
             if (goesFirst(job) &&
                 !job.gang
             ) {
@@ -251,7 +254,7 @@
                 replicas.keepRoom(machines)
             }
             if (placed > 0) note(job, placed)
-            if (placed == ready) job.allPlacedWall = desk.now.wall
+            if (placed == ready) job.allPlacedWall = context.now.wall
             if (heldOnly || placed >= wanted) return
             if (want > 0) backlog += (wanted - placed) * job.each.cpus * job.spec.expectedS
             val zones = if (job.spec.spread || job.spec.together) zonesAfter(job) else null
@@ -268,13 +271,13 @@
         private fun note(job: OpenJob, placed: Int) {
             free -= placed * job.each.cpus
             taken.merge(job, placed, Int::plus)
-            job.placedWall = desk.now.wall
+            job.placedWall = context.now.wall
             if (kindPlacedWall.size > KINDS_KEPT) {
                 kindPlacedWall.clear()
                 kindServedWall.clear()
             }
-            kindPlacedWall[Kind(job)] = desk.now.wall
-            if (!goesFirst(job)) kindServedWall[Kind(job)] = desk.now.wall
+            kindPlacedWall[Kind(job)] = context.now.wall
+            if (!goesFirst(job)) kindServedWall[Kind(job)] = context.now.wall
             if (goesFirst(job)) owedLeft -= placed * job.each.cpus
             job.owedCpus = maxOf(0.0, job.owedCpus - placed * job.each.cpus)
             given.merge(job.team, placed * job.each.cpus, Double::plus)
@@ -301,8 +304,9 @@
      */
     private fun standing(job: OpenJob): Int =
         when {
-            aims.startable(job, desk.now.wall) || withinGuarantee(job) && aims.freshGuarantee(job, desk.now.wall) -> 0
-            aims.mustStart(job, desk.now.wall) -> 0
+            objectives.startable(job, context.now.wall) -> 0
+            withinGuarantee(job) && objectives.freshGuarantee(job, context.now.wall) -> 0
+            objectives.mustStart(job, context.now.wall) -> 0
             hopeless(job) || job in givenUp -> LATE
             withinGuarantee(job) -> 1
             else -> 2
@@ -318,7 +322,7 @@
      */
     private fun findGivenUp() {
         givenUp.clear()
-        val now = desk.now.wall
+        val now = context.now.wall
         for ((pool, jobs) in jobs.open.filter { it.placeable || !it.live.isEmpty() }.groupBy {
             it.onlyType to
                 it.spec.priority
@@ -344,17 +348,17 @@
      * in time goes first: running what is late anyway would only make the rest late too.
      */
     private fun hopeless(job: OpenJob): Boolean {
-        if (aims.startable(job, desk.now.wall)) return false
+        if (objectives.startable(job, context.now.wall)) return false
         val due = due(job)
-        return due != Long.MAX_VALUE && desk.now.wall + job.spec.expectedS * SURE_FACTOR * 1000 > due
+        return due != Long.MAX_VALUE && context.now.wall + job.spec.expectedS * SURE_FACTOR * 1000 > due
     }
 
     /** Whether a job that waits for [waitS] more seconds would start or end too late. */
     private fun pressing(job: OpenJob, waitS: Double): Boolean {
-        if (aims.startsCount(job) || withinGuarantee(job)) return true
+        if (objectives.startsCount(job) || withinGuarantee(job)) return true
         val due = due(job)
         if (due == Long.MAX_VALUE) return false
-        return desk.now.wall + (waitS + job.spec.expectedS * LATE_FACTOR) * 1000 > due
+        return context.now.wall + (waitS + job.spec.expectedS * LATE_FACTOR) * 1000 > due
     }
 
     /** Machines on which this round decided to stop tasks. */
@@ -368,8 +372,8 @@
     private fun preempt(left: List<Unplaced>, placeable: List<Machine>) {
         var places: List<Machine>? = null
         for (u in left) {
-            val urgent = aims.startable(u.job, desk.now.wall) && u.job.spec.priority <= Priority.HIGH
-            val owed = withinGuarantee(u.job) && aims.freshGuarantee(u.job, desk.now.wall)
+            val urgent = objectives.startable(u.job, context.now.wall) && u.job.spec.priority <= Priority.HIGH
+            val owed = withinGuarantee(u.job) && objectives.freshGuarantee(u.job, context.now.wall)
             if (!urgent && !owed || u.job.gang) continue
             if (u.job.service) {
                 preemptFor(
@@ -480,7 +484,7 @@
     /** Whether little is lost by stopping [a], whatever for. */
     private fun stoppable(a: Attempt): Boolean =
         a.onMachine && !a.stopping && !a.owed && a.job.spec.shape == Shape.ARRAY &&
-            (a.job.spec.checkpointS > 0 || desk.steady - a.placedAt < YOUNG_MS) && !withinGuarantee(a.job)
+            (a.job.spec.checkpointS > 0 || context.steady - a.placedAt < YOUNG_MS) && !withinGuarantee(a.job)
 
     /**
      * For a replica any task of lower priority gives way, those that lose least first: who asks for a service waits for
@@ -527,7 +531,7 @@
     ): Int {
         val zones = ZoneRule(job, fleet)
         if (zones.blocked) return 0
-        val urgent = aims.startsCount(job)
+        val urgent = objectives.startsCount(job)
         val fits = ArrayList<Machine>()
         for (m in machines) {
             if (!job.each.fitsIn(m.left) || !allowed(job, m)) continue
@@ -597,7 +601,7 @@
 
     /** Whether tasks that fit no other type have lately waited for this one, which [job] does not need. */
     private fun wantedElsewhere(job: OpenJob, type: Int): Boolean =
-        desk.steady - onlyHereWaited.get(type) < PATIENCE_MS && job.onlyType != type
+        context.steady - onlyHereWaited.get(type) < PATIENCE_MS && job.onlyType != type
 
     private fun fetches(job: OpenJob, m: Machine): Boolean = job.image >= 0 && job.image !in m.images
 
@@ -613,7 +617,7 @@
         var room = 0
         for (part in listOf(held, others)) {
             if (part.isEmpty()) continue
-            val start = desk.random.nextInt(part.size)
+            val start = context.random.nextInt(part.size)
             val n = minOf(part.size, options.sampleSize)
             for (i in 0 until n) some.add(part[(start + i) % part.size].also { room += job.each.countIn(it.left) })
         }
@@ -624,7 +628,7 @@
     fun mayUse(job: OpenJob, m: Machine): Boolean = allowed(job, m)
 
     private fun allowed(job: OpenJob, m: Machine): Boolean =
-        fleet.allows(job, m.type, m.zone, m.spot) && !job.avoids(m.id, desk.steady) && !sparedFor(job, m.type)
+        fleet.allows(job, m.type, m.zone, m.spot) && !job.avoids(m.id, context.steady) && !sparedFor(job, m.type)
 
     /** When jobs that fit no other type were last seen, and last seen waiting, by type. */
     private val onlyHereSeen = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
@@ -635,8 +639,8 @@
             val type = onlyType(job)
             job.onlyType = type
             if (type < 0) continue
-            onlyHereSeen.put(type, desk.steady)
-            if (!job.ready.isEmpty) onlyHereWaited.put(type, desk.steady)
+            onlyHereSeen.put(type, context.steady)
+            if (!job.ready.isEmpty) onlyHereWaited.put(type, context.steady)
         }
     }
 
@@ -661,10 +665,10 @@
      * work may use them all the same, and so may work that has waited long while nothing waits for the type.
      */
     private fun sparedFor(job: OpenJob, type: Int): Boolean {
-        val t = desk.steady
+        val t = context.steady
         if (t - onlyHereSeen.get(type) > SCARCE_MS || job.onlyType == type) return false
-        if (aims.startsCount(job) || job.spec.priority < Priority.STANDARD || waitsLong(job)) return false
-        val waited = desk.now.wall - job.acceptedWall
+        if (objectives.startsCount(job) || job.spec.priority < Priority.STANDARD || waitsLong(job)) return false
+        val waited = context.now.wall - job.acceptedWall
         return waited < PATIENCE_MS || t - onlyHereWaited.get(type) < PATIENCE_MS
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/BaseFleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PreProvisionedMachines.kt
@@ -9,7 +9,7 @@
  * Owns which machines were there before the first leader rented any: they are the operator's own and are kept, with the
  * images they hold, however long they idle. The names are written down once, by the first generation.
  */
-class BaseFleet(private val desk: Desk, private val limits: StateLimits) {
+class PreProvisionedMachines(private val context: CoreContext, private val limits: StateLimits) {
     var names: Set<String> = emptySet()
         private set
     private var recorded = false
@@ -46,7 +46,7 @@
             }
         names = HashSet(kept)
         due = write(kept)
-        desk.info("${kept.size} machines were here before us")
+        context.info("${kept.size} machines were here before us")
     }
 
     private fun write(kept: List<String>): Write =
--- a/src/main/kotlin/org/chalkhollow/core/Door.kt
+++ b/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
@@ -2,19 +2,19 @@
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
-import org.chalkhollow.mesh.PeerMessage
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.wire.UserCodec
 
 /**
  * Users' requests: answered from durable knowledge by the leader, passed on to it by everyone else. A request that
  * cannot be taken now is answered at once with 503 and when to come back.
  */
-class Door(
-    private val desk: Desk,
+class RequestHandler(
+    private val context: CoreContext,
     private val leadership: Leadership,
     private val log: StateLog,
     private val jobs: JobTable,
@@ -31,7 +31,7 @@
     private val passed = Long2ObjectLinkedOpenHashMap<Passed>()
 
     // Not from 1: an answer meant for an earlier life of this controller must not be taken for one of ours.
-    private var nextSeq = desk.random.nextLong(1L shl 61)
+    private var nextSeq = context.random.nextLong(1L shl 61)
     private val origins = Int2ObjectOpenHashMap<Origin>()
     private var nextRemoteCall = -1
 
@@ -51,7 +51,7 @@
         val leader = leadership.reachableLeader()
         if (leader < 0 || !leadership.leaderIsReady() || passed.size >= MOST_PASSED) return later(call)
         val seq = nextSeq++
-        passed.put(seq, Passed(call, desk.steady + PASS_MS))
+        passed.put(seq, Passed(call, context.steady + PASS_MS))
         val message =
             when (ask) {
                 is UserAsk.Submit -> PeerMessage.Forward(seq, SUBMIT, ask.jobId, ask.raw)
@@ -59,7 +59,7 @@
                 is UserAsk.Poll -> PeerMessage.Forward(seq, POLL, ask.jobId, NOTHING)
                 is UserAsk.Withdraw -> PeerMessage.Forward(seq, WITHDRAW, ask.jobId, NOTHING)
             }
-        desk.emit(Effect.Send(leader, message))
+        context.emit(Effect.Send(leader, message))
     }
 
     fun onForward(from: Int, m: PeerMessage.Forward) {
@@ -78,7 +78,7 @@
 
     fun onForwarded(m: PeerMessage.Forwarded) {
         val p = passed.remove(m.seq) ?: return
-        desk.emit(Effect.Answer(p.call, m.status, m.body.takeIf { it.isNotEmpty() }, m.retryAfterS))
+        context.emit(Effect.Answer(p.call, m.status, m.body.takeIf { it.isNotEmpty() }, m.retryAfterS))
     }
 
     private fun serve(call: Int, ask: UserAsk) =
@@ -101,7 +101,7 @@
         if (!canEverRun(spec)) return reply(call, 422)
         if (!jobs.fits(spec)) return reply(call, 400)
         if (log.stalled() || accepting.size >= MOST_ACCEPTING) return later(call)
-        accepting[spec.id] = Waiting(arrayListOf(call), desk.steady)
+        accepting[spec.id] = Waiting(arrayListOf(call), context.steady)
         jobs.accept(spec, refused = { accepting.remove(spec.id)?.calls?.forEach(::later) }) {
             accepting.remove(spec.id)?.calls?.forEachIndexed { i, c ->
                 reply(c, if (i == 0) 201 else 200, UserCodec.status(spec.id, "queued"))
@@ -161,10 +161,10 @@
             entry.state == JobState.CANCELLED -> reply(call, 200, UserCodec.status(id, "aborted"))
             log.stalled() -> later(call)
             job == null -> later(call)
-            job.cancelling -> cancelling.getOrPut(id) { Waiting(ArrayList(), desk.steady) }.calls.add(call)
-            job.complete -> finishing.getOrPut(id) { Waiting(ArrayList(), desk.steady) }.calls.add(call)
+            job.cancelling -> cancelling.getOrPut(id) { Waiting(ArrayList(), context.steady) }.calls.add(call)
+            job.complete -> finishing.getOrPut(id) { Waiting(ArrayList(), context.steady) }.calls.add(call)
             else -> {
-                cancelling[id] = Waiting(arrayListOf(call), desk.steady)
+                cancelling[id] = Waiting(arrayListOf(call), context.steady)
                 jobs.cancel(job) {
                     cancelling.remove(id)?.calls?.forEach { reply(it, 200, UserCodec.status(id, "aborted")) }
                 }
@@ -178,7 +178,7 @@
     }
 
     fun tick() {
-        val t = desk.steady
+        val t = context.steady
         while (!passed.isEmpty()) {
             val seq = passed.firstLongKey()
             val p = passed.get(seq)
@@ -208,7 +208,7 @@
         for (waiting in map.values) {
             waiting.calls.forEach(::later)
             waiting.calls.clear()
-            waiting.since = desk.steady
+            waiting.since = context.steady
         }
     }
 
@@ -224,10 +224,10 @@
     private fun later(call: Int) = reply(call, 503, null, 1)
 
     private fun reply(call: Int, status: Int, body: Map<String, Any?>? = null, retryAfterS: Int = 0) {
-        if (call >= 0) return desk.answer(call, status, body, retryAfterS)
+        if (call >= 0) return context.answer(call, status, body, retryAfterS)
         val origin = origins.remove(call) ?: return
         val bytes = body?.let(org.chalkhollow.wire.Pack::encode) ?: NOTHING
-        desk.emit(Effect.Send(origin.peer, PeerMessage.Forwarded(origin.seq, status, bytes, retryAfterS)))
+        context.emit(Effect.Send(origin.peer, PeerMessage.Forwarded(origin.seq, status, bytes, retryAfterS)))
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/Aims.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ServiceLevelObjectives.kt
@@ -3,12 +3,12 @@
 import org.chalkhollow.settings.Objective
 
 /**
- * What the settings say of how soon classes of jobs should start and finish. A class may have several aims of a kind,
- * such as most starts within seconds and nearly all within a minute or two: when the first is missed the next still
- * counts. An earlier version kept one of each kind, and took a class that may wait for minutes for one whose users wait
- * for starts.
+ * What the settings say of how soon classes of jobs should start and finish. A class may have several objectives of a
+ * kind, such as most starts within seconds and nearly all within a minute or two: when the first is missed the next
+ * still counts. An earlier version kept one of each kind, and took a class that may wait for minutes for one whose
+ * users wait for starts.
  */
-class Aims(objectives: List<Objective>, private val leastBootMs: () -> Long) {
+class ServiceLevelObjectives(objectives: List<Objective>, private val leastBootMs: () -> Long) {
     private val starts = HashMap<String, LongArray>()
     private val finishes = HashMap<String, LongArray>()
     private val deadlines = HashMap<String, DoubleArray>()
@@ -63,8 +63,8 @@
     fun freshGuarantee(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithin
 
     /**
-     * When the job should be over, by its owner's deadline and its class's aims: the first moment that can still be
-     * kept when it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says.
+     * When the job should be over, by its owner's deadline and its class's objectives: the first moment that can still
+     * be kept when it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says.
      */
     fun dueWall(job: OpenJob, wall: Long, leastMs: Long): Long {
         var due = Long.MAX_VALUE
--- a/src/main/kotlin/org/chalkhollow/core/Settlement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Settlement.kt
@@ -11,7 +11,7 @@
  * free to be placed again, only on proof that it runs nowhere and never will.
  */
 class Settlement(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val jobs: JobTable,
     private val quotas: Quotas,
     private val generation: () -> Long,
@@ -43,8 +43,8 @@
     ): Attempt {
         val attempt = Attempt(job, index, number, machine, marker, owed)
         if (owed) owedCpus += job.each.cpus
-        attempt.since = desk.steady
-        attempt.placedAt = desk.steady
+        attempt.since = context.steady
+        attempt.placedAt = context.steady
         attempt.cached = job.image in machine.held
         machine.attempts.add(attempt)
         machine.occupy(job.each)
@@ -81,7 +81,7 @@
         quotas.remove(a.job.team, a.job.each)
         a.machine.vacate(a.job.each)
         if (a.owed) owedCpus -= a.job.each.cpus
-        desk.changed()
+        context.changed()
         a.job.released(a.index)
     }
 
@@ -175,18 +175,18 @@
         val runs = phase != Attempt.Phase.FETCHING
         if (runs && !ran) {
             a.job.running++
-            desk.emit(Effect.Sample("start", desk.steady - a.placedAt))
+            context.emit(Effect.Sample("start", context.steady - a.placedAt))
             if (a.job.running == 1 &&
                 a.job.doneCount == 0
             ) {
-                desk.emit(Effect.Sample("wait", desk.now.wall - a.job.acceptedWall))
+                context.emit(Effect.Sample("wait", context.now.wall - a.job.acceptedWall))
             }
-            desk.debug(
-                "${a.job.spec.id}/${a.index} (${a.job.spec.workload}) runs ${desk.now.wall - a.job.acceptedWall} ms after it was accepted, ${desk.steady - a.placedAt} ms after it was placed on ${a.machine.name}${if (a.cached) ", image held" else ""}",
+            context.debug(
+                "${a.job.spec.id}/${a.index} (${a.job.spec.workload}) runs ${context.now.wall - a.job.acceptedWall} ms after it was accepted, ${context.steady - a.placedAt} ms after it was placed on ${a.machine.name}${if (a.cached) ", image held" else ""}",
             )
         }
         if (!runs && ran) a.job.running--
-        a.since = desk.steady
+        a.since = context.steady
     }
 
     private fun exited(a: Attempt, cause: ExitCause) {
@@ -194,7 +194,7 @@
         val job = a.job
         if (cause == ExitCause.DONE && a.phase == Attempt.Phase.RUNNING && !a.inherited && !job.service) {
             job.runs++
-            job.ranS += (desk.steady - a.since) / 1000.0
+            job.ranS += (context.steady - a.since) / 1000.0
         }
         a.phase = Attempt.Phase.EXITED
         a.completed = cause == ExitCause.DONE && !job.service
@@ -211,8 +211,8 @@
         when (cause) {
             ExitCause.ERROR -> failed(a)
             ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) ended(a)
-            ExitCause.FULL -> a.machine.fullUntil = desk.steady + FULL_MS
-            ExitCause.BUSY, ExitCause.NO_SUCH -> job.notBefore = maxOf(job.notBefore, desk.steady + RETRY_MS)
+            ExitCause.FULL -> a.machine.fullUntil = context.steady + FULL_MS
+            ExitCause.BUSY, ExitCause.NO_SUCH -> job.notBefore = maxOf(job.notBefore, context.steady + RETRY_MS)
             else -> Unit
         }
     }
@@ -220,26 +220,26 @@
     /** A replica has ended by itself: it runs again, elsewhere, and later and later if that happens again and again. */
     private fun ended(a: Attempt) {
         val job = a.job
-        job.failedOn(a.machine.id, desk.steady)
-        job.failures = if (desk.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
+        job.failedOn(a.machine.id, context.steady)
+        job.failures = if (context.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
         if (job.failures >
             job.spec.tasks
         ) {
-            job.notBefore = desk.steady + (FAILED_MS shl minOf(job.failures / job.spec.tasks, 5))
+            job.notBefore = context.steady + (FAILED_MS shl minOf(job.failures / job.spec.tasks, 5))
         }
     }
 
     private fun failed(a: Attempt) {
         val job = a.job
         a.machine.failedJobs.add(job.entry.id)
-        job.failedOn(a.machine.id, desk.steady)
+        job.failedOn(a.machine.id, context.steady)
         job.failures++
         // One machine's faults should not hold a job up; a job that fails wherever it goes waits longer and longer.
-        if (job.failsAround(desk.steady)) {
+        if (job.failsAround(context.steady)) {
             val wait = FAILED_MS shl minOf(job.failures / 3, 5)
-            job.notBefore = maxOf(job.notBefore, desk.steady + wait)
+            job.notBefore = maxOf(job.notBefore, context.steady + wait)
         }
-        desk.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
+        context.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
     }
 
     private fun forgettable(a: Attempt) {
--- a/src/main/kotlin/org/chalkhollow/core/StateLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StateLog.kt
@@ -20,7 +20,7 @@
  * write can hold up the others.
  */
 class StateLog(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val limits: StateLimits,
     private val options: OperatorSettings,
     private val leadership: Leadership,
@@ -72,7 +72,7 @@
         recordStamp = stamp
         active = true
         tokens = budget() / 2 // the one before us may have spent from this second's budget
-        refilledAt = desk.steady
+        refilledAt = context.steady
         lastSentAt = 0
     }
 
@@ -100,14 +100,15 @@
     }
 
     /** Whether writes have failed for long enough that new requests should be turned away at once. */
-    fun stalled(): Boolean = failingSince >= 0 && desk.steady - failingSince > STALL_MS
+    fun stalled(): Boolean = failingSince >= 0 && context.steady - failingSince > STALL_MS
 
     /**
      * Whether the last transaction took long, or the one under way does: no time to give up the lead and ask for it
      * again.
      */
     fun slow(): Boolean =
-        failingSince >= 0 || batch.let { it != null && desk.steady - it.firstSentAt > SLOW_MS } || lastTookMs > SLOW_MS
+        failingSince >= 0 || batch.let { it != null && context.steady - it.firstSentAt > SLOW_MS } ||
+            lastTookMs > SLOW_MS
 
     /** Puts the next transaction together and sends it, when none is in flight and the budget allows. */
     fun pump() {
@@ -115,19 +116,19 @@
         refill()
         val waiting = batch
         if (waiting != null) {
-            if (retryAt > 0 && desk.steady >= retryAt) {
+            if (retryAt > 0 && context.steady >= retryAt) {
                 retryAt = 0
                 send(waiting)
             }
             return
         }
-        val renewalDue = desk.steady - lastSentAt >= options.leaderRenewMs
+        val renewalDue = context.steady - lastSentAt >= options.leaderRenewMs
         if (tokens < if (renewalDue) 1.0 else 2.0) return
         // Each transaction costs a write for the record. When writes are scarce, a few are gathered for each.
-        if (!renewalDue && tokens < budget() / 2 && desk.steady - lastSentAt < SPACING_MS) return
+        if (!renewalDue && tokens < budget() / 2 && context.steady - lastSentAt < SPACING_MS) return
         val part = parts.firstOrNull()
         if (part != null) {
-            if (desk.steady < retryPartsAt) return
+            if (context.steady < retryPartsAt) return
             // Its changes were paid for once; a renewal must not wait until they are paid for again.
             if (tokens >=
                 part.sumOf { it.changes.size } + 1
@@ -169,14 +170,14 @@
             }
         }
         tokens -= changes.size
-        return Batch(writes, StateOp.Commit(conditions, changes), desk.steady).also { batch = it }
+        return Batch(writes, StateOp.Commit(conditions, changes), context.steady).also { batch = it }
     }
 
     private fun send(b: Batch) {
-        lastSentAt = desk.steady
-        val sentAt = desk.steady
+        lastSentAt = context.steady
+        val sentAt = context.steady
         val inTerm = term
-        desk.state(b.op) { reply -> if (term == inTerm) onReply(b, reply, sentAt) }
+        context.state(b.op) { reply -> if (term == inTerm) onReply(b, reply, sentAt) }
     }
 
     private fun onReply(b: Batch, reply: StateReply, sentAt: Long) {
@@ -216,14 +217,14 @@
      * tells.
      */
     private fun rejected(b: Batch, why: String) {
-        if (desk.steady - complainedAt >= COMPLAIN_MS) {
-            complainedAt = desk.steady
+        if (context.steady - complainedAt >= COMPLAIN_MS) {
+            complainedAt = context.steady
             val keys =
                 b.writes
                     .flatMap { it.changes }
                     .take(3)
                     .joinToString { it.key }
-            desk.emit(
+            context.emit(
                 Effect.Note(
                     Effect.Level.ERROR,
                     "the state service refuses a transaction of ${b.op.changes.size} changes ($keys): $why",
@@ -244,7 +245,7 @@
 
     /** Not executed again and again: it may ask for more at once than the service's rate allows in a burst. */
     private fun thin(b: Batch) {
-        retryPartsAt = desk.steady + RETRY_MS
+        retryPartsAt = context.steady + RETRY_MS
         takeApart(b, maxOf(1, b.writes.size / 4))
     }
 
@@ -255,12 +256,12 @@
     }
 
     private fun again(b: Batch, afterMs: Long) {
-        retryAt = desk.steady + afterMs
+        retryAt = context.steady + afterMs
         tokens = maxOf(0.0, tokens - b.op.changes.size) // a failing transaction counts as well
         if (afterMs == 0L) pump()
     }
 
-    private fun failed(since: Long = desk.steady) {
+    private fun failed(since: Long = context.steady) {
         if (failingSince < 0) failingSince = since
         leadership.writeFailed(since)
     }
@@ -273,7 +274,7 @@
      */
     private fun lookAtRecord(b: Batch, unchanged: (() -> Unit)? = null) {
         val inTerm = term
-        desk.state(StateOp.Read(LeadRecord.KEY)) { reply ->
+        context.state(StateOp.Read(LeadRecord.KEY)) { reply ->
             if (term != inTerm) return@state
             when (reply) {
                 is StateReply.Found -> {
@@ -298,7 +299,7 @@
 
     private fun committed(b: Batch, revision: Long, sentAt: Long) {
         batch = null
-        lastTookMs = desk.steady - b.firstSentAt
+        lastTookMs = context.steady - b.firstSentAt
         retryAt = 0
         failingSince = -1
         if (learnedOps < limits.txnOps) learnedOps++
@@ -312,7 +313,7 @@
     }
 
     private fun refill() {
-        val t = desk.steady
+        val t = context.steady
         tokens = minOf(budget(), tokens + (t - refilledAt) * budget() / 1000.0)
         refilledAt = t
     }
--- a/src/main/kotlin/org/chalkhollow/core/Overview.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StatusReport.kt
@@ -4,8 +4,8 @@
 import org.chalkhollow.model.Team
 
 /** Owns nothing: puts together what operators are told, from what the owners know. */
-internal class Overview(
-    private val desk: Desk,
+internal class StatusReport(
+    private val context: CoreContext,
     private val label: String,
     private val peers: List<String>,
     private val teams: List<Team>,
@@ -33,7 +33,7 @@
     }
 
     private fun classes(): List<ClassView> = jobs.open.groupBy { it.spec.workload }.toSortedMap().map { (name, some) ->
-        val oldest = some.maxOf { desk.now.wall - it.acceptedWall } / 1000
+        val oldest = some.maxOf { context.now.wall - it.acceptedWall } / 1000
         ClassView(name, some.size, some.sumOf { it.ready.cardinality() }, some.sumOf { it.live.size }, oldest)
     }
 
@@ -66,7 +66,7 @@
 
     private fun state(m: Machine): String = when {
         m.state != Machine.State.UP -> m.state.name.lowercase()
-        !m.hears -> "deaf"
+        !m.reachable -> "deaf"
         m.noticeAt != Machine.NEVER -> "noticed"
         m.draining || m.retiring -> "draining"
         m.vacant -> "idle"
@@ -86,7 +86,7 @@
         val out = ArrayList<String>()
         if (log.stalled()) out.add("the state service takes no writes, and nothing starts without a marker")
         if (job.cancelling) out.add("it is being cancelled")
-        if (job.notBefore > desk.steady) out.add("its tasks fail; tried again in ${(job.notBefore - desk.steady) / 1000} s")
+        if (job.notBefore > context.steady) out.add("its tasks fail; tried again in ${(job.notBefore - context.steady) / 1000} s")
         if (quotas.headroom(job.team, job.each, Machine.NOTHING) <= 0) out.add("its team is at its limit")
         val fits = fleet.placeable().filter { placement.mayUse(job, it) }
         if (fits.isEmpty()) out.add("no machine that it may use is up")
--- a/src/main/kotlin/org/chalkhollow/core/Versions.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Versions.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.PeerMessage
 
 /**
  * Owns which versions the controllers run, as far as each has said; that of a peer that has said nothing yet is not
--- a/src/main/kotlin/org/chalkhollow/model/Interner.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Interner.kt
@@ -2,7 +2,7 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap
 
-/** Turns names into dense indices at the door, so that everything behind it works on `Int`s alone. */
+/** Turns names into dense indices where they enter the core, so that everything behind it works on `Int`s alone. */
 class Interner {
     private val indices = Object2IntOpenHashMap<String>().apply { defaultReturnValue(UNKNOWN) }
     private val names = ArrayList<String>()
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -25,7 +25,7 @@
 /** How a job's tasks hang together: on their own, all at the same time, or for ever until withdrawn. */
 enum class Shape { ARRAY, GANG, SERVICE }
 
-/** A job as its user described it; names that the core compares are kept as text only here and at the door. */
+/** A job as its user described it; names that the core compares are text only here and where they enter the core. */
 data class JobSpec(
     val id: String,
     val workload: String,
--- a/src/main/kotlin/org/chalkhollow/mesh/Frames.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/Frames.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.mesh
+package org.chalkhollow.peer
 
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.SerializationException
--- a/src/main/kotlin/org/chalkhollow/mesh/MeshNode.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.mesh
+package org.chalkhollow.peer
 
 import io.ktor.network.selector.SelectorManager
 import io.ktor.network.sockets.ServerSocket
@@ -22,7 +22,7 @@
 import org.chalkhollow.settings.Peer
 
 /** Connections to the other controllers: each sends on the one it opened and receives on those it accepted. */
-class MeshNode(
+class PeerConnections(
     private val scope: CoroutineScope,
     private val selector: SelectorManager,
     private val listen: Address,
@@ -69,15 +69,15 @@
                         delay(RETRY_MS)
                         continue
                     }
-                scope.launch { hear(socket) }
+                scope.launch { receiveFrom(socket) }
             }
         }
-        for (i in peers.indices) scope.launch { speak(i) }
+        for (i in peers.indices) scope.launch { sendTo(i) }
     }
 
-    private suspend fun hear(socket: Socket) {
+    private suspend fun receiveFrom(socket: Socket) {
         try {
-            listener.hear(socket.openReadChannel())
+            listener.readFrames(socket.openReadChannel())
         } catch (e: CancellationException) {
             throw e
         } catch (e: Throwable) {
@@ -87,7 +87,7 @@
         }
     }
 
-    private suspend fun speak(i: Int) {
+    private suspend fun sendTo(i: Int) {
         val queue = queues[i]
         while (true) {
             var socket: Socket? = null
--- a/src/main/kotlin/org/chalkhollow/mesh/PeerListener.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.mesh
+package org.chalkhollow.peer
 
 import io.ktor.utils.io.ByteReadChannel
 import io.ktor.utils.io.readByteArray
@@ -25,7 +25,7 @@
      * that we know is calling. A frame that is malformed or of a newer version's kind is dropped, and the next one is
      * read.
      */
-    suspend fun hear(input: ByteReadChannel) {
+    suspend fun readFrames(input: ByteReadChannel) {
         var peer = -1
         while (true) {
             val size = input.readInt()
--- a/src/main/kotlin/org/chalkhollow/runtime/FrameComplaints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/FrameComplaints.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.runtime
 
 import com.google.common.util.concurrent.RateLimiter
-import org.chalkhollow.mesh.DroppedFrames
+import org.chalkhollow.peer.DroppedFrames
 import org.slf4j.Logger
 
 /**
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -16,8 +16,8 @@
 import org.chalkhollow.core.Now
 import org.chalkhollow.core.StatusView
 import org.chalkhollow.core.UserAsk
-import org.chalkhollow.mesh.MeshNode
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.PeerConnections
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.Address
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
@@ -51,8 +51,8 @@
     private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
     private val workerLinks: WorkerLinks = WorkerLinks(scope, loop, settings.maxConnections - spareSockets) { server.connected }
     private val workers = WorkerClient(workerLinks::to)
-    private val mesh = MeshNode(
-        scope, selector, settings.meshAddress, settings.peers, PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION), FrameComplaints(log, meters),
+    private val peerConnections = PeerConnections(
+        scope, selector, settings.peerAddress, settings.peers, PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION), FrameComplaints(log, meters),
     ) { from, message -> feed(Input.Peer(from, message)) }
     private val server: HttpServer = HttpServer(
         scope, loop, settings.clientListen, maxOf(8, settings.maxConnections * 8 / 10 - spareSockets), { steady() }, { workerLinks.trim(1) }, ::handle,
@@ -64,31 +64,31 @@
 
     /** Binds the ports and starts; throws when one of them is taken. */
     suspend fun start() {
-        val mesh = try {
-            mesh.bind()
+        val peerSocket = try {
+            peerConnections.bind()
         } catch (e: Exception) {
-            throw java.io.IOException("cannot listen on ${settings.meshAddress}: ${e.message}")
+            throw java.io.IOException("cannot listen on ${settings.peerAddress}: ${e.message}")
         }
         try {
             server.start()
         } catch (e: Exception) {
             throw java.io.IOException("cannot listen on ${settings.clientListen}: ${e.message}")
         }
-        this.mesh.run(mesh)
+        peerConnections.run(peerSocket)
         log.info("{} listens on {}", settings.label, settings.clientListen)
         feed(Input.Tick)
-        scope.launch { practise() }
+        scope.launch { warmUpIdle() }
     }
 
     /** Goes through a take-over in memory while this controller follows a leader and has nothing else to do. */
-    private suspend fun practise() {
-        val drill = Drill(scope, settings)
+    private suspend fun warmUpIdle() {
+        val warmUp = WarmUpScenario(scope, settings)
         var steps = 0
-        delay(DRILL_AFTER_MS)
-        while (steps < DRILL_STEPS) {
-            delay(DRILL_EVERY_MS)
+        delay(WARM_UP_AFTER_MS)
+        while (steps < WARM_UP_STEPS) {
+            delay(WARM_UP_EVERY_MS)
             if (controller.view.leading || !controller.takesRequests(now())) continue
-            drill.step()
+            warmUp.step()
             steps++
         }
     }
@@ -116,7 +116,7 @@
             is Effect.Cloud -> run("cloud") { Input.Cloud(effect.ticket, cloud.run(effect.op)) }
             is Effect.Direct -> run("direct") { Input.Direct(effect.ticket, workers.run(effect)) }
             is Effect.Sample -> meters.took(effect.kind, effect.ms * 1000)
-            is Effect.Send -> mesh.send(effect.peer, effect.message)
+            is Effect.Send -> peerConnections.send(effect.peer, effect.message)
             is Effect.Timer -> {
                 timer?.cancel()
                 timer = scope.launch {
@@ -223,9 +223,9 @@
         const val SPARE_SOCKETS = 40
         const val MAX_CALLS = 2000
         const val LATE_MS = 100L
-        const val DRILL_AFTER_MS = 4000L
-        const val DRILL_EVERY_MS = 100L
-        const val DRILL_STEPS = 350
+        const val WARM_UP_AFTER_MS = 4000L
+        const val WARM_UP_EVERY_MS = 100L
+        const val WARM_UP_STEPS = 350
         const val FAULT = 70
 
         /** Scripts find every field, also those with nothing in them. */
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
@@ -6,8 +6,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import org.chalkhollow.mesh.Frames
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.Frames
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Pack
@@ -26,8 +26,8 @@
         val ports = List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
         val settings = PlatformSettings.parse(settings(ports[0], ports[1]), "warm-up")
         runBlocking {
-            val drill = Drill(this, settings)
-            repeat(ROUNDS) { drill.step() }
+            val warmUp = WarmUpScenario(this, settings)
+            repeat(ROUNDS) { warmUp.step() }
             node(settings, ports[0])
         }
         System.err.println("warm-up done")
@@ -100,10 +100,10 @@
             "pieces" to listOf(mapOf("piece" to "j-000009/1", "try" to 1, "status" to "running")),
         )
 
-    private fun settings(users: Int, mesh: Int): String =
+    private fun settings(users: Int, peers: Int): String =
         """
-        {"label":"a","location":"z","client_listen":"127.0.0.1:$users","mesh_addr":"127.0.0.1:$mesh",
-         "seeds":[{"label":"b","location":"z","endpoint":"127.0.0.1:$mesh"}],
+        {"label":"a","location":"z","client_listen":"127.0.0.1:$users","mesh_addr":"127.0.0.1:$peers",
+         "seeds":[{"label":"b","location":"z","endpoint":"127.0.0.1:$peers"}],
          "external":{"cloud":"127.0.0.1:$users","state":"127.0.0.1:$users"},
          "facts":{"initial_size":2,"zones":["z"],"teams":[{"name":"t","cpus":8,"cpus_max":16,"gpus":0,"gpus_max":0}],
           "objectives":[{"kind":"wait","class":"w","within_s":5,"share":0.9}],
--- a/src/main/kotlin/org/chalkhollow/runtime/Drill.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
@@ -33,7 +33,7 @@
  * code for the first time: every worker reports at once then, and unpractised code took over a second of processor time
  * for that.
  */
-internal class Drill(private val scope: CoroutineScope, settings: PlatformSettings) {
+internal class WarmUpScenario(private val scope: CoroutineScope, settings: PlatformSettings) {
     private val settings = settings.copy(peers = emptyList())
     private val reports = ReportReader()
     private val inbox = ArrayDeque<Input>()
@@ -59,7 +59,7 @@
     }
 
     private suspend fun report(machine: Int, round: Int) {
-        val request = Http.request(HttpMethod.Post, "drill", "/agent/beat", Pack.encode(reportOf(machine, round)))
+        val request = Http.request(HttpMethod.Post, "warm-up", "/agent/beat", Pack.encode(reportOf(machine, round)))
         val input = ByteReadChannel(request)
         val parsed = parseRequest(input) ?: return
         val body = Http.body(scope, parsed.headers, input, request.size) ?: return
@@ -96,7 +96,7 @@
         when (op) {
             CloudOp.Catalog ->
                 CloudReply.CatalogIs(
-                    listOf(MachineType("drill", Resources(8.0, 0.0, 64.0), 1.0, 10.0, 1.0, 1.0, 10.0, listOf("z"))),
+                    listOf(MachineType("warm-up", Resources(8.0, 0.0, 64.0), 1.0, 10.0, 1.0, 1.0, 10.0, listOf("z"))),
                 )
             is CloudOp.Machines -> CloudReply.MachinesAre(ListedPage(emptyList(), false))
             is CloudOp.Rent -> CloudReply.NoCapacity
@@ -133,7 +133,7 @@
         mapOf(
             "host" to "n-$machine",
             "address" to "127.0.0.1:9",
-            "flavour" to "drill",
+            "flavour" to "warm-up",
             "site" to "z",
             "standby" to false,
             "tenure" to 1,
--- a/src/test/kotlin/org/chalkhollow/MeetingsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
@@ -1,43 +1,44 @@
 package org.chalkhollow
 
-import org.chalkhollow.rehearsal.Stage
-import org.chalkhollow.rehearsal.Stage.Companion.START_MS
+import org.chalkhollow.simulation.FaultScenario
+import org.chalkhollow.simulation.FaultScenario.Companion.START_MS
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * Troubles with the state service and among the controllers that meet others; every rule is checked after each step.
+ * Faults of the state service and among the controllers that coincide with others; every rule is checked after each
+ * step.
  */
-class MeetingsTest {
+class ConcurrentFaultsTest {
     /**
      * The state service refuses the leader alone, and jobs are called off around that moment; then it is out for
      * everybody, for longer than a cancelled task may live, [offsetMs] after another controller leads.
      */
     private fun refusedThenOut(seed: Long, leaseMs: Long, slowMs: Long, offsetMs: Long?): Long {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin(jobs = 16, long = 6, overMs = 60_000)
-        s.world.runUntil(START_MS)
+        s.clock.runUntil(START_MS)
         val first = s.leader()
-        s.long.take(3).forEach { id -> s.at(START_MS + s.world.between(0, 300)) { s.cancel(id) } }
+        s.long.take(3).forEach { id -> s.at(START_MS + s.clock.between(0, 300)) { s.cancel(id) } }
         if (slowMs > 0) s.r.state.slow(slowMs, 15_000)
-        s.world.runUntil(START_MS + 300)
+        s.clock.runUntil(START_MS + 300)
         s.r.state.refuse(checkNotNull(first).label, 12_000)
         var handover = 0L
 
         fun watch() {
             val now = s.leader()
-            if (now != null && now !== first) handover = s.world.time else s.world.after(10) { watch() }
+            if (now != null && now !== first) handover = s.clock.time else s.clock.after(10) { watch() }
         }
         watch()
         s.long.drop(3).forEachIndexed { i, id -> s.at(START_MS + 600L + 600L * i) { s.cancel(id) } }
         if (offsetMs == null) {
-            s.world.runUntil(START_MS + 15_000)
+            s.clock.runUntil(START_MS + 15_000)
             return handover
         }
         s.at(offsetMs) { s.r.state.outage(40_000) }
-        s.world.runUntil(offsetMs + 75_000)
+        s.clock.runUntil(offsetMs + 75_000)
         s.holds()
         return handover
     }
@@ -70,14 +71,14 @@
     ) {
         val broken = ArrayList<String>()
         for (offset in 0L..5000L step 50) {
-            val s = Stage(seed, leaseMs)
+            val s = FaultScenario(seed, leaseMs)
             s.begin(jobs = 16, long = 6, overMs = 60_000)
-            s.world.runUntil(START_MS - 300)
+            s.clock.runUntil(START_MS - 300)
             s.cancelNow(2)
             s.at(START_MS - 100) { s.cancelNow(2) }
             s.at(START_MS) { s.leader()?.let { s.r.state.refuse(it.label, 15_000) } }
             s.at(START_MS + offset) { s.r.state.outage(40_000) }
-            s.world.runUntil(START_MS + 75_000)
+            s.clock.runUntil(START_MS + 75_000)
             if (s.r.rules.violations
                     .isNotEmpty()
             ) {
@@ -92,24 +93,24 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `transactions without an answer are carried out late`(seed: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.begin()
         s.at(START_MS) { s.r.state.lateWrites(0.3, 45_000) }
         for (i in 0L..4L) s.at(START_MS + 2000 + i * 8000) { s.cancelNow(1) }
-        s.at(START_MS + 20_000) { s.leader()?.let { troubleCrash(s, it.label, 3000) } }
+        s.at(START_MS + 20_000) { s.leader()?.let { faultCrash(s, it.label, 3000) } }
         s.play(START_MS + 60_000)
     }
 
-    private fun troubleCrash(s: Stage, label: String, backMs: Long) {
+    private fun faultCrash(s: FaultScenario, label: String, backMs: Long) {
         val node = s.r.nodes.first { it.label == label }
         node.crash()
-        s.world.after(backMs) { node.start() }
+        s.clock.after(backMs) { node.start() }
     }
 
     @ParameterizedTest
     @CsvSource("1,300", "2,900", "3,2000", "4,4000", "225,900")
     fun `the state service is slow and then out while users cancel and ask`(seed: Long, slowMs: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.begin()
         s.at(START_MS) { s.r.state.slow(slowMs, 15_000) }
         for (i in 0L..4L) s.at(START_MS + 1000 + i * 3500) { s.cancelNow(1) }
@@ -121,7 +122,7 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
     fun `the state service refuses the leader and is then out while users cancel and ask`(seed: Long, leaseMs: Long) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
         s.at(START_MS) { s.leader()?.let { s.r.state.refuse(it.label, 7000 + seed % 5 * 500) } }
         for (i in 0L..3L) s.at(START_MS + 200 + i * 2000) { s.cancelNow(1) }
@@ -135,12 +136,12 @@
     fun `jobs are called off when the leader is refused, and a second later all are`(seed: Long, leaseMs: Long) {
         for (lead in listOf(0L, 150L)) {
             for (outAfter in listOf(800L, 1000L, 1300L)) {
-                val s = Stage(seed, leaseMs)
+                val s = FaultScenario(seed, leaseMs)
                 s.begin(jobs = 16, overMs = 60_000)
                 s.at(START_MS - lead) { s.cancelNow(5, if (seed % 3 == 0L) 6000 else 0) }
                 s.at(START_MS) { s.leader()?.let { s.r.state.refuse(it.label, 10_000) } }
                 s.at(START_MS + outAfter) { s.r.state.outage(35_000) }
-                s.world.runUntil(START_MS + 80_000)
+                s.clock.runUntil(START_MS + 80_000)
                 s.holds()
             }
         }
@@ -149,22 +150,22 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `controllers hand over and back, all end, and one returns, also within a second`(seed: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.begin()
-        s.at(START_MS) { s.leader()?.let { troubleCrash(s, it.label, 400) } }
-        s.at(START_MS + 4000) { s.leader()?.let { troubleCrash(s, it.label, 400) } }
+        s.at(START_MS) { s.leader()?.let { faultCrash(s, it.label, 400) } }
+        s.at(START_MS + 4000) { s.leader()?.let { faultCrash(s, it.label, 400) } }
         s.at(START_MS + 8000) { s.cancelNow(2) }
         s.at(START_MS + 8300) {
             s.r.nodes.forEach { it.crash() }
-            s.world.after(100 + 250 * (seed % 5)) { s.r.nodes[(seed % 3).toInt()].start() }
-            s.world.after(6000) { s.r.nodes.forEach { it.start() } }
+            s.clock.after(100 + 250 * (seed % 5)) { s.r.nodes[(seed % 3).toInt()].start() }
+            s.clock.after(6000) { s.r.nodes.forEach { it.start() } }
         }
         s.at(START_MS + 22_000) {
             s.r.nodes.forEach { it.crash() }
-            for (n in s.r.nodes) s.world.after(s.world.between(50, 900)) { n.start() }
+            for (n in s.r.nodes) s.clock.after(s.clock.between(50, 900)) { n.start() }
         }
         s.at(START_MS + 30_000) { s.cancelNow(2) }
-        s.at(START_MS + 30_200) { s.leader()?.let { s.troubles.flap(it, 4) } }
+        s.at(START_MS + 30_200) { s.leader()?.let { s.faults.flap(it, 4) } }
         s.play(START_MS + 50_000)
     }
 
@@ -172,11 +173,11 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `a held up start of a cancelled job meets an outage, and costs its machine's lease alone`(seed: Long) {
-        val s = Stage(seed, 22_000)
+        val s = FaultScenario(seed, 22_000)
         s.r.network.loss = 0.0
         s.r.network.late = 0.0
         s.begin(jobs = 0, long = 6)
-        s.world.runUntil(START_MS)
+        s.clock.runUntil(START_MS)
         val before = s.r.rules.starts
         assertTrue(before > 0 && s.busy().size > 1, "the long jobs run on ${s.busy().size} machines")
         s.r.network.heldMs = 33_000L..33_000L
@@ -190,7 +191,7 @@
                 .forEach { it.mute(5000) }
         } // so that what begins is not stopped at once
         s.at(START_MS + 42_000) { assertTrue(s.leader() != null, "nobody leads in the outage") }
-        s.world.runUntil(START_MS + 70_000)
+        s.clock.runUntil(START_MS + 70_000)
         s.holds()
         val again = s.r.rules.starts - before
         assertTrue(again <= 9, "$again of $before tasks began again")
@@ -199,12 +200,12 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
     fun `all controllers are away for longer than the lease`(seed: Long, leaseMs: Long) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
         s.at(START_MS - 100) { s.cancelNow(2) }
         s.at(START_MS) {
             s.r.nodes.forEach { it.crash() }
-            for (n in s.r.nodes) s.world.after(leaseMs + s.world.between(500, 6000)) { n.start() }
+            for (n in s.r.nodes) s.clock.after(leaseMs + s.clock.between(500, 6000)) { n.start() }
         }
         s.at(START_MS + leaseMs - 1000) { s.cancelNow(2) }
         s.play(START_MS + leaseMs + 15_000)
@@ -217,9 +218,9 @@
         leaseMs: Long,
         holds: Boolean,
     ) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
-        s.at(START_MS) { s.leader()?.let { s.troubles.isolate(it, 32_000, holds) } }
+        s.at(START_MS) { s.leader()?.let { s.faults.isolate(it, 32_000, holds) } }
         for (i in 0L..4L) s.at(START_MS + 500 + i * 2500) { s.cancelNow(1) }
         s.play(START_MS + 45_000)
     }
@@ -227,11 +228,11 @@
     @ParameterizedTest
     @CsvSource("1,false", "2,true", "3,true", "4,false")
     fun `leaders change ten times in two minutes, also inside an outage`(seed: Long, outage: Boolean) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.begin(jobs = 30, overMs = 130_000)
         for (i in 0L..9L) {
-            s.at(START_MS + i * 12_000) { s.leader()?.let { troubleCrash(s, it.label, s.world.between(300, 3000)) } }
-            if (i % 3 == 1L) s.at(START_MS + i * 12_000 - s.world.between(0, 800)) { s.cancelNow(1) }
+            s.at(START_MS + i * 12_000) { s.leader()?.let { faultCrash(s, it.label, s.clock.between(300, 3000)) } }
+            if (i % 3 == 1L) s.at(START_MS + i * 12_000 - s.clock.between(0, 800)) { s.cancelNow(1) }
         }
         if (outage) s.at(START_MS + 47_000) { s.r.state.outage(30_000) }
         s.play(START_MS + 135_000)
@@ -240,9 +241,9 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `jobs of two or three tasks end far apart across a change of leader`(seed: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.begin(jobs = 10, long = 8) { it.copy(tasks = 2 + (it.tasks + seed.toInt()) % 2, expectedS = 40.0) }
-        for (i in 0L..4L) s.at(START_MS + 2000 + i * 11_000) { s.leader()?.let { troubleCrash(s, it.label, 1500) } }
+        for (i in 0L..4L) s.at(START_MS + 2000 + i * 11_000) { s.leader()?.let { faultCrash(s, it.label, 1500) } }
         s.at(START_MS + 24_100) { s.r.state.outage(9000) }
         s.play(START_MS + 60_000)
     }
--- a/src/test/kotlin/org/chalkhollow/MeetingsOfMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMachineFaultsTest.kt
@@ -2,10 +2,10 @@
 
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.Stage
-import org.chalkhollow.rehearsal.Stage.Companion.START_MS
-import org.chalkhollow.rehearsal.WorkerStand
+import org.chalkhollow.simulation.FakeWorker
+import org.chalkhollow.simulation.FaultScenario
+import org.chalkhollow.simulation.FaultScenario.Companion.START_MS
+import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -13,31 +13,31 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Troubles with machines, and of users, that meet others; every rule is checked after each step. */
-class MeetingsOfMachinesTest {
-    private fun crashLeader(s: Stage, backMs: Long) {
+/** FaultInjection with machines, and of users, that meet others; every rule is checked after each step. */
+class ConcurrentMachineFaultsTest {
+    private fun crashLeader(s: FaultScenario, backMs: Long) {
         val node = s.leader() ?: return
         node.crash()
-        s.world.after(backMs) { node.start() }
+        s.clock.after(backMs) { node.start() }
     }
 
-    private fun cut(s: Stage, w: WorkerStand, forMs: Long, holds: Boolean) {
+    private fun cut(s: FaultScenario, w: FakeWorker, forMs: Long, holds: Boolean) {
         for (n in s.r.nodes) s.r.network.cut(n.label, w.name, forMs, holds)
     }
 
-    private fun deafen(s: Stage, w: WorkerStand, forMs: Long) {
+    private fun deafen(s: FaultScenario, w: FakeWorker, forMs: Long) {
         for (n in s.r.nodes) s.r.network.cutOneWay(n.label, w.name, forMs)
     }
 
     // Cancellations once travelled only in answers to reports: nobody has any use for what runs until then.
     @Test
     fun `what is cancelled stops at once, not with the next report`() {
-        val r = Rehearsal(3, leaseMs = 30_000, toldLeaseS = 30.0, reportMs = 9000)
+        val r = Simulation(3, leaseMs = 30_000, toldLeaseS = 30.0, reportMs = 9000)
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1)
         var id = ""
-        r.world.after(12_000) {
+        r.clock.after(12_000) {
             id =
                 r.users.submit {
                     it.copy(
@@ -51,10 +51,10 @@
                     )
                 }
         }
-        r.world.runUntil(40_000)
+        r.clock.runUntil(40_000)
         assertTrue(r.cloud.workers.sumOf { it.onMachine().size } == 6)
         r.users.cancel(id)
-        r.world.runUntil(41_500)
+        r.clock.runUntil(41_500)
         assertEquals(0, r.cloud.workers.sumOf { it.onMachine().size })
         assertEquals(emptyList<String>(), r.rules.violations)
     }
@@ -66,7 +66,7 @@
         leaseMs: Long,
         holds: Boolean,
     ) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin(jobs = 8, long = 0)
         val ids = ArrayList<String>()
         repeat(5) { s.at(6000L + it * 200) { ids.add(s.r.users.submit { j -> s.plain(j, "red").copy(tasks = 4) }) } }
@@ -88,7 +88,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `jobs bound to a zone, together or spread lose machines`(seed: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.begin(jobs = 10, long = 3)
         repeat(3) { i ->
             s.at(7000L + i * 300) {
@@ -109,20 +109,20 @@
         s.at(START_MS) {
             s.r.cloud.workers
                 .filter {
-                    it.present && it.zone == "east" && s.world.chance(0.7)
+                    it.present && it.zone == "east" && s.clock.chance(0.7)
                 }.forEach { s.r.cloud.kill(it.name) }
         }
         s.at(START_MS + 8000) {
             s.r.cloud.workers
                 .filter {
-                    it.present && it.zone == "west" && s.world.chance(0.5)
+                    it.present && it.zone == "west" && s.clock.chance(0.5)
                 }.forEach { cut(s, it, 20_000, true) }
         }
         s.at(START_MS + 12_000) { crashLeader(s, 2000) }
         s.at(START_MS + 13_000) {
             s.r.cloud.workers
                 .filter {
-                    it.present && it.zone == "east" && s.world.chance(0.5)
+                    it.present && it.zone == "east" && s.clock.chance(0.5)
                 }.forEach { s.r.cloud.kill(it.name) }
         }
         s.play(START_MS + 40_000)
@@ -131,7 +131,7 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
     fun `machines that reach no controller are reached by direct commands`(seed: Long, leaseMs: Long) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
         s.at(START_MS) { s.busy().take(4).forEach { it.mute(leaseMs + 8000) } }
         s.at(START_MS + 1000) { s.cancelNow(3) }
@@ -141,7 +141,7 @@
             START_MS + 20_000,
         ) {
             s.r.cloud.workers
-                .filter { it.present && s.world.chance(0.4) }
+                .filter { it.present && s.clock.chance(0.4) }
                 .forEach { it.mute(5000) }
         }
         s.play(START_MS + leaseMs + 20_000)
@@ -150,7 +150,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `cancellations, questions and repeated submissions meet the end of jobs`(seed: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.r.users.cancelAtEnd = 0.6
         s.begin(jobs = 60, long = 3)
         s.at(START_MS) { s.r.users.odd(60_000) }
@@ -160,9 +160,9 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
     fun `a zone with workers and a controller is cut off for longer than the lease`(seed: Long, leaseMs: Long) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
-        s.at(START_MS) { s.troubles.cutZone("west", leaseMs + 12_000) }
+        s.at(START_MS) { s.faults.cutZone("west", leaseMs + 12_000) }
         s.at(START_MS + 500) { s.cancelNow(2) }
         s.at(START_MS + leaseMs / 2) { s.cancelNow(2) }
         s.play(START_MS + leaseMs + 20_000)
@@ -171,11 +171,11 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000", "418,22000")
     fun `commands and answers are held up for seconds, and machines hang and go on`(seed: Long, leaseMs: Long) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
         s.at(START_MS) { s.r.network.held = 0.25 }
         for (i in 0L..4L) s.at(START_MS + 1000 + i * 9000) { s.cancelNow(1, leaseMs - 2500) }
-        s.at(START_MS + 15_000) { s.busy().forEach { if (s.world.chance(0.5)) it.hang(s.world.between(2000, 9000)) } }
+        s.at(START_MS + 15_000) { s.busy().forEach { if (s.clock.chance(0.5)) it.hang(s.clock.between(2000, 9000)) } }
         s.at(START_MS + 22_000) { crashLeader(s, 2000) }
         s.play(START_MS + 65_000)
     }
@@ -183,7 +183,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `there is more work than room, urgent and not, over slow links`(seed: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.r.network.late = 0.02
         s.r.network.loss = 0.01
         s.begin(jobs = 40, long = 4)
@@ -222,12 +222,12 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
     fun `reports are held back until a new leader has acted`(seed: Long, leaseMs: Long) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
         for (at in listOf(-4000L, -800L, -100L)) {
             s.at(START_MS + at) {
                 s.r.cloud.workers.filter { it.present }.forEach { w ->
-                    w.holdReport(s.world.between(2500, leaseMs + 12_000))
+                    w.holdReport(s.clock.between(2500, leaseMs + 12_000))
                 }
             }
         }
@@ -245,7 +245,7 @@
         leaseMs: Long,
         deaf: Boolean,
     ) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.begin()
         s.at(START_MS - 200) {
             s.busy().forEachIndexed { i, w ->
@@ -277,14 +277,14 @@
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,8000", "322,22000")
     fun `old reports come after newer ones, also of earlier sessions and attempts`(seed: Long, leaseMs: Long) {
-        val s = Stage(seed, leaseMs)
+        val s = FaultScenario(seed, leaseMs)
         s.r.network.copies = 0.05
         s.begin()
         for (i in 0L..9L) {
             s.at(START_MS + i * 4000) {
-                s.r.cloud.workers.filter { it.present && s.world.chance(0.5) }.forEach { w ->
+                s.r.cloud.workers.filter { it.present && s.clock.chance(0.5) }.forEach { w ->
                     w.holdReport(
-                        s.world.between(
+                        s.clock.between(
                             1000,
                             leaseMs * 2,
                         ),
@@ -307,29 +307,29 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `old reports of two sessions reach a new leader before the machine's own`(seed: Long) {
-        val s = Stage(seed)
+        val s = FaultScenario(seed)
         s.r.network.loss = 0.0
         s.r.network.late = 0.0
         s.begin(jobs = 0, long = 6)
-        s.world.runUntil(15_000)
+        s.clock.runUntil(15_000)
         val machine = s.busy().maxBy { it.onMachine().size }
         val first = machine.keepReport()
         machine.reboot()
         val second = machine.keepReport()
-        s.world.runUntil(START_MS)
+        s.clock.runUntil(START_MS)
         assertTrue(machine.onMachine().isNotEmpty(), "nothing began there again")
         cut(s, machine, 3500, holds = false)
         s.leader()?.crash()
 
         fun onceLed() {
-            val leader = s.leader() ?: return s.world.after(20) { onceLed() }
-            s.world.after(250) {
+            val leader = s.leader() ?: return s.clock.after(20) { onceLed() }
+            s.clock.after(250) {
                 first(leader)
                 second(leader)
             }
         }
-        s.world.after(500) { onceLed() }
-        s.world.runUntil(START_MS + 30_000)
+        s.clock.after(500) { onceLed() }
+        s.clock.runUntil(START_MS + 30_000)
         s.holds()
     }
 }
--- a/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
+++ b/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
@@ -1,11 +1,11 @@
 package org.chalkhollow
 
 import org.chalkhollow.core.Effect
-import org.chalkhollow.rehearsal.EffectDigest
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.Stage
-import org.chalkhollow.rehearsal.Troubles
 import org.chalkhollow.settings.Objective
+import org.chalkhollow.simulation.EffectDigest
+import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.FaultScenario
+import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -17,40 +17,40 @@
  * them.
  */
 class EffectDigestTest {
-    private fun EffectDigest.watch(r: Rehearsal): Rehearsal = r.also { it.onEffect = ::add }
+    private fun EffectDigest.watch(r: Simulation): Simulation = r.also { it.onEffect = ::add }
 
     /** Crashes, outages, cuts and mass losses over batch jobs, gangs, services and cancellations. */
-    private fun troubledDay(seed: Long): EffectDigest {
+    private fun dayWithFaults(seed: Long): EffectDigest {
         val digest = EffectDigest()
         val objectives = listOf(Objective("wait", "urgent", 4.0, 0.5), Objective("guarantee", null, 60.0, 0.9))
-        val r = digest.watch(Rehearsal(seed, controllers = if (seed % 2 == 0L) 5 else 3, objectives = objectives))
+        val r = digest.watch(Simulation(seed, controllers = if (seed % 2 == 0L) 5 else 3, objectives = objectives))
         r.network.copies = 0.01
         r.begin(60, 150_000)
-        repeat(4) { i -> r.world.after(20_000L + 30_000 * i) { r.users.submitService() } }
-        Troubles(r).apply {
+        repeat(4) { i -> r.clock.after(20_000L + 30_000 * i) { r.users.submitService() } }
+        FaultInjection(r).apply {
             draw(12, 30_000, 170_000)
-            r.world.after(90_000) { mass((seed % 7).toInt()) }
+            r.clock.after(90_000) { mass((seed % 7).toInt()) }
         }
-        r.world.runUntil(300_000)
+        r.clock.runUntil(300_000)
         return digest
     }
 
     /** Cancellations while the leader is cut off and ends. */
     private fun cancellations(seed: Long): EffectDigest {
         val digest = EffectDigest()
-        val stage = Stage(seed)
-        digest.watch(stage.r)
-        stage.begin()
-        stage.at(Stage.START_MS) {
-            stage.cancelNow(3)
-            stage.leader()?.let { stage.troubles.flap(it, 3) }
+        val scenario = FaultScenario(seed)
+        digest.watch(scenario.r)
+        scenario.begin()
+        scenario.at(FaultScenario.START_MS) {
+            scenario.cancelNow(3)
+            scenario.leader()?.let { scenario.faults.flap(it, 3) }
         }
-        stage.world.runUntil(150_000)
+        scenario.clock.runUntil(150_000)
         return digest
     }
 
     private fun all(): Map<String, EffectDigest> =
-        (1L..6L).associate { "troubled day $it" to troubledDay(it) } +
+        (1L..6L).associate { "faulty day $it" to dayWithFaults(it) } +
             (1L..2L).associate { "cancellations $it" to cancellations(it) }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/RandomRunsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RandomRunsTest.kt
@@ -3,12 +3,12 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.Troubles
-import org.chalkhollow.rehearsal.WorkerStand
 import org.chalkhollow.settings.Objective
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
+import org.chalkhollow.simulation.FakeWorker
+import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -17,22 +17,22 @@
 
 /** Whole days of three controllers on virtual time, every rule checked after each step. */
 class RandomRunsTest {
-    private fun day(r: Rehearsal, troubles: Int, jobs: Int = 40): Rehearsal {
-        if (troubles > 0) r.network.copies = 0.01
+    private fun day(r: Simulation, faults: Int, jobs: Int = 40): Simulation {
+        if (faults > 0) r.network.copies = 0.01
         r.begin(jobs, 150_000)
-        Troubles(r).draw(troubles, 10_000, 170_000)
-        r.world.after(210_000) { r.network.copies = 0.0 }
-        r.rules.calmFrom = 250_000 // the last trouble and the last late copy are over
-        r.world.runUntil(420_000)
+        FaultInjection(r).draw(faults, 10_000, 170_000)
+        r.clock.after(210_000) { r.network.copies = 0.0 }
+        r.rules.calmFrom = 250_000 // the last fault and the last late copy are over
+        r.clock.runUntil(420_000)
         return r
     }
 
     @Test
     fun `a quiet day completes every job`() {
-        val r = Rehearsal(1)
+        val r = Simulation(1)
         r.network.loss = 0.0
         r.network.late = 0.0
-        day(r, troubles = 0)
+        day(r, faults = 0)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(40, r.rules.acceptedCount)
         assertTrue(r.rules.doneCount >= 30, "only ${r.rules.doneCount} jobs were told to be done")
@@ -40,8 +40,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20])
-    fun `a troubled day breaks no rule and still gets work done`(seed: Long) {
-        val r = day(Rehearsal(seed, controllers = if (seed % 3 == 0L) 5 else 3), troubles = 14)
+    fun `a day with faults breaks no rule and still gets work done`(seed: Long) {
+        val r = day(Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3), faults = 14)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(emptyList<String>(), r.rules.starved())
         assertTrue(r.rules.acceptedCount >= 36, "only ${r.rules.acceptedCount} jobs were accepted")
@@ -53,28 +53,28 @@
     @ParameterizedTest
     @ValueSource(longs = [1018, 1453, 1507])
     fun `days that once broke a rule`(seed: Long) {
-        val r = Rehearsal(seed)
+        val r = Simulation(seed)
         r.network.loss = 0.005
         r.network.late = 0.005
         r.begin(50, 150_000)
-        Troubles(r).draw(25, 10_000, 200_000)
-        r.world.runUntil(500_000)
+        FaultInjection(r).draw(25, 10_000, 200_000)
+        r.clock.runUntil(500_000)
         assertEquals(emptyList<String>(), r.rules.violations)
     }
 
     @Test
     fun `the same seed gives the same day`() {
-        val a = day(Rehearsal(77), troubles = 10)
-        val b = day(Rehearsal(77), troubles = 10)
+        val a = day(Simulation(77), faults = 10)
+        val b = day(Simulation(77), faults = 10)
         assertEquals(a.rules.starts to a.rules.completions, b.rules.starts to b.rules.completions)
     }
 
-    // The stand-in for the state service checks every value's and transaction's size.
+    // The fake of the state service checks every value's and transaction's size.
     @Test
     fun `an array of 100,000 tasks keeps to the state service's limits, also across leaders`() {
-        val r = Rehearsal(5)
+        val r = Simulation(5)
         r.begin(3, 10_000)
-        r.world.after(6000) {
+        r.clock.after(6000) {
             r.users.submit {
                 it.copy(
                     tasks = 100_000,
@@ -87,26 +87,26 @@
                 )
             }
         }
-        r.world.after(40_000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
-        r.world.runUntil(90_000)
+        r.clock.after(40_000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
+        r.clock.runUntil(90_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertTrue(r.rules.completions > 200, "only ${r.rules.completions} tasks were completed")
     }
 
     @Test
     fun `a day of several hundred machines and five controllers`() {
-        val r = Rehearsal(9, controllers = 5, capacity = 380, scale = 25)
+        val r = Simulation(9, controllers = 5, capacity = 380, scale = 25)
         r.network.copies = 0.005
         r.begin(20, 40_000, machines = 300)
         repeat(30) {
-            r.world.after(
-                r.world.between(0, 60_000),
+            r.clock.after(
+                r.clock.between(0, 60_000),
             ) { r.users.submit { it.copy(tasks = it.tasks * 8, together = false) } }
         }
-        Troubles(r).draw(12, 10_000, 80_000)
-        r.world.after(90_000) { r.network.copies = 0.0 }
+        FaultInjection(r).draw(12, 10_000, 80_000)
+        r.clock.after(90_000) { r.network.copies = 0.0 }
         r.rules.calmFrom = 130_000
-        r.world.runUntil(220_000)
+        r.clock.runUntil(220_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(emptyList<String>(), r.rules.starved())
         assertEquals(emptyList<String>(), r.rules.pending(), "jobs without an end")
@@ -115,7 +115,7 @@
 
     /** Machines by the hundred that report every 4 s under a lease of 22 s. */
     private fun large(seed: Long, controllers: Int, machines: Int) =
-        Rehearsal(
+        Simulation(
             seed,
             OperatorSettings(idleReturnS = 300.0),
             22_000,
@@ -136,35 +136,35 @@
         r.begin(20, 60_000, machines = 800)
         repeat(800) { r.cloud.add(r.types[it % 2], r.zones[it / 2 % 2], true, 0) }
         repeat(80) {
-            r.world.after(
-                r.world.between(0, 100_000),
+            r.clock.after(
+                r.clock.between(0, 100_000),
             ) { r.users.submit { it.copy(tasks = it.tasks * 16, together = false) } }
         }
-        val troubles = Troubles(r)
+        val faults = FaultInjection(r)
         for ((i, kind) in listOf(0, 1, 4, 2, 3, 6, 5, 4).withIndex()) {
-            r.world.after(12_000L + i * 13_000) {
-                troubles.mass(kind)
+            r.clock.after(12_000L + i * 13_000) {
+                faults.mass(kind)
             }
         }
-        r.world.after(150_000) { r.network.copies = 0.0 }
+        r.clock.after(150_000) { r.network.copies = 0.0 }
         r.rules.calmFrom = 190_000
-        r.world.runUntil(280_000)
+        r.clock.runUntil(280_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(emptyList<String>(), r.rules.starved())
         assertTrue(r.rules.completions > 5000, "only ${r.rules.completions} tasks were completed")
     }
 
     /**
-     * Thirty long tasks on forty machines, and what happens to them at 25 s; [trouble] says how many must have begun
+     * Thirty long tasks on forty machines, and what happens to them at 25 s; [fault] says how many must have begun
      * again by [until].
      */
-    private fun beginAgain(until: Long, trouble: (Rehearsal, WorkerStand) -> Int) {
+    private fun beginAgain(until: Long, fault: (Simulation, FakeWorker) -> Int) {
         val r = large(33, 3, 80)
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
         repeat(40) { r.cloud.add(r.types[0], r.zones[it % 2], true, 0) }
-        r.world.after(8000) {
+        r.clock.after(8000) {
             r.users.submit {
                 it.copy(
                     tasks = 30,
@@ -179,9 +179,9 @@
                 )
             }
         }
-        r.world.runUntil(25_000)
-        val again = trouble(r, r.cloud.workers.first { it.onMachine().isNotEmpty() })
-        r.world.runUntil(until)
+        r.clock.runUntil(25_000)
+        val again = fault(r, r.cloud.workers.first { it.onMachine().isNotEmpty() })
+        r.clock.runUntil(until)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(again, r.rules.starts - 30)
     }
@@ -194,7 +194,7 @@
 
     @Test
     fun `what cannot be over before the cloud takes its machine begins elsewhere at once`() {
-        beginAgain(25_000 + 9000) { r, busy -> busy.onMachine().size.also { busy.noticeAt = r.world.time + 15_000 } }
+        beginAgain(25_000 + 9000) { r, busy -> busy.onMachine().size.also { busy.noticeAt = r.clock.time + 15_000 } }
     }
 
     @Test
@@ -216,7 +216,7 @@
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 40)
-        r.world.after(8000) {
+        r.clock.after(8000) {
             r.users.submit {
                 it.copy(
                     tasks = 30,
@@ -229,8 +229,8 @@
                 )
             }
         }
-        r.world.after(25_000) { Troubles(r).mass(6) }
-        r.world.runUntil(62_000)
+        r.clock.after(25_000) { FaultInjection(r).mass(6) }
+        r.clock.runUntil(62_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(30, r.rules.starts, "tasks were lost with their machines' leases and begun again")
     }
@@ -241,18 +241,18 @@
     @ValueSource(longs = [2000, 4000, 9000])
     fun `a machine that hears nothing is noticed at any pace of reports, also by a new leader`(reportMs: Long) {
         for (crash in listOf(false, true)) {
-            val r = Rehearsal(3, OperatorSettings(idleReturnS = 900.0), 22_000, 22.0, reportMs = reportMs)
+            val r = Simulation(3, OperatorSettings(idleReturnS = 900.0), 22_000, 22.0, reportMs = reportMs)
             r.network.loss = 0.0
             r.network.late = 0.0
             r.begin(0, 1, machines = 0)
             repeat(4) { r.cloud.add(r.types[0], "east", true, 0) }
-            r.world.runUntil(15_000)
+            r.clock.runUntil(15_000)
             val deaf = r.cloud.workers.first()
             // Where others still send it back to the leader, its reports come to the leader about as often as others'
             // do.
             for (n in r.nodes) if (crash || n.leads) r.network.cutOneWay(n.label, deaf.name, 300_000)
-            if (crash) r.world.after(3000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
-            r.world.runUntil(60_000)
+            if (crash) r.clock.after(3000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
+            r.clock.runUntil(60_000)
             r.users.submit {
                 it.copy(
                     id = "j-1",
@@ -265,7 +265,7 @@
                     expectedS = 5.0,
                 )
             }
-            r.world.runUntil(82_000)
+            r.clock.runUntil(82_000)
             assertEquals(emptyList<String>(), r.rules.violations)
             assertEquals(1, r.rules.doneCount, "a job waits for a machine that hears nothing: ${r.rules.pending()}")
         }
@@ -274,15 +274,15 @@
     // A machine whose reports arrive while nothing reaches it looks alive; its tasks would wait for ever for a start.
     @Test
     fun `a machine that hears nothing is given no work, and is returned`() {
-        val r = Rehearsal(3, OperatorSettings(idleReturnS = 900.0))
+        val r = Simulation(3, OperatorSettings(idleReturnS = 900.0))
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
         repeat(4) { r.cloud.add(r.types[0], "east", true, 0) }
-        r.world.runUntil(15_000)
+        r.clock.runUntil(15_000)
         val deaf = r.cloud.workers.first()
         for (n in r.nodes) r.network.cutOneWay(n.label, deaf.name, 300_000)
-        r.world.runUntil(40_000)
+        r.clock.runUntil(40_000)
         r.users.submit {
             it.copy(
                 id = "j-1",
@@ -295,23 +295,23 @@
                 expectedS = 5.0,
             )
         }
-        val acceptedBy = r.world.time
-        r.world.runUntil(acceptedBy + 25_000)
+        val acceptedBy = r.clock.time
+        r.clock.runUntil(acceptedBy + 25_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(1, r.rules.doneCount, "a job waits for a machine that hears nothing: ${r.rules.pending()}")
-        r.world.runUntil(120_000)
+        r.clock.runUntil(120_000)
         assertTrue(r.cloud.workers.none { it.name == deaf.name }, "it is still paid for")
     }
 
     // An earlier version took each copy for a renewal of the lease, so what ran there was never started elsewhere.
     @Test
     fun `copies of its last report do not keep a dead machine alive, nor for a new leader`() {
-        val r = Rehearsal(12)
+        val r = Simulation(12)
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
         repeat(3) { r.cloud.add(r.types[0], "east", true, 0) }
-        r.world.after(8000) {
+        r.clock.after(8000) {
             r.users.submit {
                 it.copy(
                     tasks = 9,
@@ -326,12 +326,12 @@
                 )
             }
         }
-        r.world.runUntil(18_000)
+        r.clock.runUntil(18_000)
         val dead = r.cloud.workers.first { it.onMachine().isNotEmpty() }
         r.cloud.kill(dead.name)
-        for (at in 0L..90_000L step 1500) r.world.after(at) { dead.repeatLastReport() }
-        r.world.after(5000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
-        r.world.runUntil(66_000)
+        for (at in 0L..90_000L step 1500) r.clock.after(at) { dead.repeatLastReport() }
+        r.clock.after(5000) { r.nodes.filter { it.leads }.forEach { it.crash() } }
+        r.clock.runUntil(66_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(9, r.rules.completions, "still waiting for a dead machine: ${r.rules.pending()}")
     }
@@ -340,13 +340,13 @@
     // runs let a team exceed its limit that way.
     @Test
     fun `a copy of a start begins nothing that was stopped, however late it comes`() {
-        val r = Rehearsal(22)
+        val r = Simulation(22)
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
         repeat(3) { r.cloud.add(r.types[0], "east", true, 0) }
         var job = ""
-        r.world.after(8000) {
+        r.clock.after(8000) {
             job =
                 r.users.submit {
                     it.copy(
@@ -361,16 +361,16 @@
                     )
                 }
         }
-        r.world.after(16_000) { r.users.cancel(job) }
-        for (at in 18_000L..90_000L step 6000) r.world.after(at) { r.cloud.workers.forEach { it.repeatLastStart() } }
-        r.world.runUntil(90_000)
+        r.clock.after(16_000) { r.users.cancel(job) }
+        for (at in 18_000L..90_000L step 6000) r.clock.after(at) { r.cloud.workers.forEach { it.repeatLastStart() } }
+        r.clock.runUntil(90_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(6, r.rules.starts, "a cancelled task was begun again")
     }
 
     @Test
     fun `operators are told who leads and why a job waits`() {
-        val r = Rehearsal(8)
+        val r = Simulation(8)
         r.begin(0, 1)
         val plain: (JobSpec) -> JobSpec = {
             it.copy(
@@ -385,10 +385,10 @@
                 expectedS = 300.0,
             )
         }
-        r.world.after(5000) { r.users.submit(plain) }
+        r.clock.after(5000) { r.users.submit(plain) }
         var second = ""
-        r.world.after(40_000) { second = r.users.submit(plain) }
-        r.world.runUntil(60_000)
+        r.clock.after(40_000) { second = r.users.submit(plain) }
+        r.clock.runUntil(60_000)
         val leader = r.nodes.single { it.leads }
         val status = checkNotNull(leader.status())
         assertEquals(leader.label, status.leader)
@@ -403,7 +403,7 @@
     // it had been, and was stopped again, five times a second.
     @Test
     fun `nothing is stopped where that makes no room for what it is stopped for`() {
-        val r = Rehearsal(21, capacity = 4, objectives = listOf(Objective("guarantee", null, 60.0, 0.9)))
+        val r = Simulation(21, capacity = 4, objectives = listOf(Objective("guarantee", null, 60.0, 0.9)))
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
@@ -426,20 +426,20 @@
                     checkpointS = 0.0,
                 )
             }
-        r.world.after(8000) { r.users.submit(job("blue", 4, 4.0, 40.0)) } // one on each machine
-        r.world.after(25_000) { r.users.submit(job("blue", 4, 4.0, 1.0)) }
-        r.world.after(27_000) { r.users.submit(job("red", 2, 6.0, 1.0)) }
-        r.world.runUntil(60_000)
+        r.clock.after(8000) { r.users.submit(job("blue", 4, 4.0, 40.0)) } // one on each machine
+        r.clock.after(25_000) { r.users.submit(job("blue", 4, 4.0, 1.0)) }
+        r.clock.after(27_000) { r.users.submit(job("red", 2, 6.0, 1.0)) }
+        r.clock.runUntil(60_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(8, r.rules.starts)
     }
 
     /** Urgent work takes every machine for as long as it comes, while a few wide jobs of no urgency wait. */
-    private fun overload(patienceS: Double): Rehearsal {
-        val r = Rehearsal(6, OperatorSettings(patienceS = patienceS, idleReturnS = 900.0))
+    private fun overload(patienceS: Double): Simulation {
+        val r = Simulation(6, OperatorSettings(patienceS = patienceS, idleReturnS = 900.0))
         r.begin(0, 1)
         for (i in 0 until 800) {
-            r.world.after(1000 + i * 800L) {
+            r.clock.after(1000 + i * 800L) {
                 r.users.submit {
                     it.copy(
                         workload = "urgent",
@@ -459,7 +459,7 @@
             }
         }
         repeat(3) { i ->
-            r.world.after(30_000 + i * 1000L) {
+            r.clock.after(30_000 + i * 1000L) {
                 r.users.submit {
                     it.copy(
                         workload = "wide",
@@ -477,7 +477,7 @@
                 }
             }
         }
-        r.world.runUntil(600_000)
+        r.clock.runUntil(600_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         return r
     }
@@ -495,14 +495,14 @@
 
     // The checks can fail: each test below breaks one guard and must see a rule broken.
 
-    private fun violations(make: (Long) -> Rehearsal): Set<String> {
+    private fun violations(make: (Long) -> Simulation): Set<String> {
         val seen = HashSet<String>()
         for (seed in 1L..12L) {
             val r = make(seed)
             try {
-                day(r, troubles = 14)
+                day(r, faults = 14)
             } catch (e: IllegalStateException) {
-                seen.add("stand") // a stand-in found its protocol broken
+                seen.add("fake") // a fake found its protocol broken
             }
             r.rules.violations.mapTo(seen) { it.substringBefore(' ') }
         }
@@ -511,13 +511,13 @@
 
     @Test
     fun `a state service that ignores conditions is noticed`() {
-        val seen = violations { seed -> Rehearsal(seed).also { it.state.ignoresConditions = true } }
-        assertTrue(seen.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "stand") }, "only $seen")
+        val seen = violations { seed -> Simulation(seed).also { it.state.ignoresConditions = true } }
+        assertTrue(seen.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "fake") }, "only $seen")
     }
 
     @Test
     fun `a lease taken for shorter than it is makes tasks run twice`() {
-        val seen = violations { seed -> Rehearsal(seed, leaseMs = 40_000, toldLeaseS = 3.0) }
+        val seen = violations { seed -> Simulation(seed, leaseMs = 40_000, toldLeaseS = 3.0) }
         assertTrue("ran_twice" in seen, "only $seen")
     }
 
@@ -525,10 +525,10 @@
     fun `late copies of reports that pass for new ones are noticed`() {
         val seen = HashSet<String>()
         for (seed in 1L..6L) {
-            val r = Rehearsal(seed, copiesLookNew = true)
+            val r = Simulation(seed, copiesLookNew = true)
             r.network.copies = 0.05
             r.begin(40, 100_000)
-            r.world.runUntil(200_000)
+            r.clock.runUntil(200_000)
             r.rules.violations.mapTo(seen) { it.substringBefore(' ') }
         }
         assertTrue("ran_twice" in seen || "quota" in seen, "only $seen")
@@ -538,10 +538,12 @@
     fun `a controller that takes promises for longer than they hold makes two leaders`() {
         val seen = HashSet<String>()
         for (seed in 1L..12L) {
-            val r = Rehearsal(seed, oddOptions = OperatorSettings(promiseMs = 20_000))
+            val r = Simulation(seed, oddOptions = OperatorSettings(promiseMs = 20_000))
             r.begin(0, 1)
-            r.world.after(15_000) { r.nodes.filter { it.leads }.forEach { Troubles(r).isolate(it, 12_000, false) } }
-            r.world.runUntil(30_000)
+            r.clock.after(
+                15_000,
+            ) { r.nodes.filter { it.leads }.forEach { FaultInjection(r).isolate(it, 12_000, false) } }
+            r.clock.runUntil(30_000)
             r.rules.violations.mapTo(seen) { it.substringBefore(' ') }
         }
         assertTrue("two_lead" in seen, "only $seen")
@@ -549,19 +551,19 @@
 
     @Test
     fun `a job that nobody answers for is noticed`() {
-        val r = Rehearsal(4)
+        val r = Simulation(4)
         r.begin(10, 20_000)
-        r.world.after(25_000) { r.state.outage(1_000_000) }
-        r.world.after(30_000) { r.nodes.forEach { it.crash() } }
-        r.world.after(35_000) { r.nodes.forEach { it.start() } }
+        r.clock.after(25_000) { r.state.outage(1_000_000) }
+        r.clock.after(30_000) { r.nodes.forEach { it.crash() } }
+        r.clock.after(35_000) { r.nodes.forEach { it.start() } }
         r.rules.calmFrom = 40_000
-        r.world.runUntil(160_000)
+        r.clock.runUntil(160_000)
         assertTrue(r.rules.violations.any { it.startsWith("forgotten") }, "only ${r.rules.violations}")
     }
 
     @Test
     fun `a limit taken for higher than it is breaks the quota`() {
-        val seen = violations { seed -> Rehearsal(seed, toldLimitFactor = 2.0) }
+        val seen = violations { seed -> Simulation(seed, toldLimitFactor = 2.0) }
         assertTrue("quota" in seen, "only $seen")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -2,10 +2,10 @@
 
 import org.chalkhollow.core.JobTable
 import org.chalkhollow.model.Resources
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.RollingUpgrade
-import org.chalkhollow.rehearsal.Troubles
 import org.chalkhollow.settings.StateLimits
+import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.RollingUpgrade
+import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.wire.Fields
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -24,18 +24,18 @@
     private val now = StateLimits(80.0, 20.0, 8192, 12)
     private val next = StateLimits(40.0, 12.0, 2048, 6)
 
-    private fun day(r: Rehearsal, upgrade: RollingUpgrade, troubles: Int): Rehearsal {
-        if (troubles > 0) r.network.copies = 0.01
+    private fun day(r: Simulation, upgrade: RollingUpgrade, faults: Int): Simulation {
+        if (faults > 0) r.network.copies = 0.01
         r.begin(40, 180_000)
         upgrade.begin(30_000)
-        Troubles(r).draw(troubles, 10_000, 170_000)
-        r.world.after(210_000) { r.network.copies = 0.0 }
+        FaultInjection(r).draw(faults, 10_000, 170_000)
+        r.clock.after(210_000) { r.network.copies = 0.0 }
         r.rules.calmFrom = 260_000
-        r.world.runUntil(480_000)
+        r.clock.runUntil(480_000)
         return r
     }
 
-    private fun served(r: Rehearsal, upgrade: RollingUpgrade) {
+    private fun served(r: Simulation, upgrade: RollingUpgrade) {
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(emptyList<String>(), r.rules.starved())
         assertTrue(r.rules.acceptedCount >= 36, "only ${r.rules.acceptedCount} jobs were accepted")
@@ -46,10 +46,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12])
-    fun `an upgrade amid troubles breaks no rule, serves every job, and exceeds no lowered limit`(seed: Long) {
-        val r = Rehearsal(seed, controllers = if (seed % 3 == 0L) 5 else 3, stateLimits = now)
+    fun `an upgrade amid faults breaks no rule, serves every job, and exceeds no lowered limit`(seed: Long) {
+        val r = Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3, stateLimits = now)
         val upgrade = RollingUpgrade(r, next, atOnce = 1 + (seed % 2).toInt())
-        day(r, upgrade, troubles = 12)
+        day(r, upgrade, faults = 12)
         served(r, upgrade)
         assertEquals(0, r.state.rejections, "transactions beyond limits that were announced")
     }
@@ -57,34 +57,34 @@
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
     fun `limits that fall below what was announced are lived with`(seed: Long) {
-        val r = Rehearsal(seed, stateLimits = now)
+        val r = Simulation(seed, stateLimits = now)
         val upgrade = RollingUpgrade(r, next, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
-        day(r, upgrade, troubles = 6)
+        day(r, upgrade, faults = 6)
         served(r, upgrade)
     }
 
     @Test
     fun `until the last controller is new, status says that an upgrade is under way`() {
-        val r = Rehearsal(41, stateLimits = now)
+        val r = Simulation(41, stateLimits = now)
         val upgrade = RollingUpgrade(r, next, atOnce = 1)
         r.begin(5, 20_000)
         upgrade.begin(30_000)
-        r.world.runUntil(38_000)
+        r.clock.runUntil(38_000)
         for (node in r.nodes) assertFalse(node.status()?.allNew ?: false)
-        r.world.runUntil(140_000)
+        r.clock.runUntil(140_000)
         for (node in r.nodes) assertTrue(node.status()?.allNew ?: false)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53])
     fun `a job of 20,000 tasks goes through an upgrade, and no completion that was written is lost`(seed: Long) {
-        val r = Rehearsal(seed, capacity = 60, scale = 12, stateLimits = StateLimits(80.0, 40.0, 4096, 12))
+        val r = Simulation(seed, capacity = 60, scale = 12, stateLimits = StateLimits(80.0, 40.0, 4096, 12))
         val upgrade = RollingUpgrade(r, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
         r.begin(6, 100_000, machines = 40)
         var id = ""
         // Tasks of half a second end sooner than starts can follow, also without an upgrade, so that there is always
         // room.
-        r.world.after(6000) {
+        r.clock.after(6000) {
             id =
                 r.users.submit {
                     it.copy(
@@ -121,14 +121,14 @@
                     "${written.cardinality()} of $most completions are left in the records",
                 )
                 most = written.cardinality()
-                if (r.world.time < UPGRADE_MS) atUpgrade = most
+                if (r.clock.time < UPGRADE_MS) atUpgrade = most
                 checks++
             }
-            r.world.after(100) { watch() }
+            r.clock.after(100) { watch() }
         }
-        r.world.after(10_000) { watch() }
+        r.clock.after(10_000) { watch() }
         r.rules.calmFrom = 250_000
-        r.world.runUntil(900_000)
+        r.clock.runUntil(900_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(0, r.state.rejections)
         assertTrue(checks > 500 && most > 10_000, "$most completions seen in $checks checks")
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -2,8 +2,8 @@
 
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
-import org.chalkhollow.rehearsal.Rehearsal
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.wire.ExitCause
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -11,25 +11,25 @@
 
 /** The checks on services can fail: each test has the controllers believe something else than the user wants. */
 class ServiceChecksTest {
-    private class Played(val r: Rehearsal, val id: String) {
+    private class Played(val r: Simulation, val id: String) {
         val rules: Set<String> get() = r.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
     }
 
-    private fun started(r: Rehearsal): Rehearsal {
+    private fun started(r: Simulation): Simulation {
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 6, firstMs = 4000)
-        r.world.runUntil(12_000)
+        r.clock.runUntil(12_000)
         return r
     }
 
     private fun played(untilMs: Long, sentAs: (JobSpec) -> JobSpec) = played(untilMs, sentAs) { it }
 
     private fun played(untilMs: Long, sentAs: (JobSpec) -> JobSpec, change: (JobSpec) -> JobSpec): Played {
-        val r = started(Rehearsal(4, OperatorSettings(idleReturnS = 900.0)))
+        val r = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
         val id = r.users.submitService(sentAs) { change(it.copy(tasks = 4)) }
         r.rules.calmFrom = 20_000
-        r.world.runUntil(untilMs)
+        r.clock.runUntil(untilMs)
         return Played(r, id)
     }
 
@@ -38,7 +38,7 @@
         for (sabotaged in listOf(false, true)) {
             val p = played(20_000) { if (sabotaged) it.copy(shape = Shape.ARRAY) else it }
             for (w in p.r.cloud.workers) for (i in 0..3) w.end(p.id, i, ExitCause.DONE)
-            p.r.world.runUntil(40_000)
+            p.r.clock.runUntil(40_000)
             assertEquals(if (sabotaged) setOf("not_done") else emptySet(), p.rules)
         }
     }
@@ -85,9 +85,9 @@
     fun `a service beyond its team's limit is noticed`() {
         val seen =
             listOf(1.0, 2.0).map { factor ->
-                val r = started(Rehearsal(4, OperatorSettings(idleReturnS = 900.0), toldLimitFactor = factor))
+                val r = started(Simulation(4, OperatorSettings(idleReturnS = 900.0), toldLimitFactor = factor))
                 repeat(2) { r.users.submitService { it.copy(team = "red", tasks = 24, spread = false) } }
-                r.world.runUntil(40_000)
+                r.clock.runUntil(40_000)
                 r.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
             }
         assertEquals(listOf(emptySet(), setOf("quota")), seen)
@@ -96,13 +96,13 @@
     @Test
     fun `a replica that runs twice, or on after its service was withdrawn, is noticed`() {
         for (withdrawn in listOf(false, true)) {
-            val r = started(Rehearsal(4, OperatorSettings(idleReturnS = 900.0), leaseMs = 100_000, toldLeaseS = 8.0))
+            val r = started(Simulation(4, OperatorSettings(idleReturnS = 900.0), leaseMs = 100_000, toldLeaseS = 8.0))
             val id = r.users.submitService { it.copy(tasks = 4, spread = false) }
-            r.world.runUntil(20_000)
+            r.clock.runUntil(20_000)
             val w = r.cloud.workers.first { it.onMachine().isNotEmpty() }
             for (n in r.nodes) r.network.cut(n.label, w.name, 60_000, true)
             if (withdrawn) r.users.cancel(id)
-            r.world.runUntil(60_000)
+            r.clock.runUntil(60_000)
             assertEquals(
                 setOf(if (withdrawn) "ran_cancelled" else "ran_twice"),
                 r.rules.violations.mapTo(HashSet()) {
@@ -116,7 +116,7 @@
     fun `a service that nobody answers for is noticed`() {
         val p = played(20_000) { it }
         p.r.nodes.forEach { it.crash() }
-        p.r.world.runUntil(130_000)
+        p.r.clock.runUntil(130_000)
         assertTrue("forgotten" in p.rules, "only ${p.rules}")
     }
 
@@ -125,7 +125,7 @@
         for ((dueS, onTime) in listOf(60.0 to 1, 3.0 to 0)) {
             val p = played(20_000) { it }
             p.r.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 8.0, dueS = dueS) }
-            p.r.world.runUntil(60_000)
+            p.r.clock.runUntil(60_000)
             assertEquals(onTime, p.r.rules.onTimeCount)
         }
     }
@@ -138,7 +138,7 @@
                 .first { it.onMachine().isNotEmpty() }
         val replicas = w.onMachine().size
         w.hang(4000)
-        p.r.world.runUntil(30_000)
+        p.r.clock.runUntil(30_000)
         assertEquals(
             4000.0,
             p.r.rules.services
@@ -157,13 +157,13 @@
 
     @Test
     fun `a service of a team at its limit is not missed`() {
-        val r = started(Rehearsal(4, OperatorSettings(idleReturnS = 900.0)))
+        val r = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
         for (tasks in listOf(40, 4)) {
             r.users.submitService { it.copy(team = "red", tasks = tasks, spread = false) }
-            r.world.runUntil(r.world.time + 10_000)
+            r.clock.runUntil(r.clock.time + 10_000)
         }
         r.rules.calmFrom = 30_000
-        r.world.runUntil(150_000)
+        r.clock.runUntil(150_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(40, r.rules.starts)
     }
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow
 
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.WorkerStand
+import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.FakeWorker
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.wire.ExitCause
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -18,7 +18,7 @@
      * [READY_MS].
      */
     private class Running(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
-        val r = Rehearsal(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, leaseMs / 1000.0, capacity = 20)
+        val r = Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, leaseMs / 1000.0, capacity = 20)
         val id: String
 
         init {
@@ -26,14 +26,14 @@
             r.network.late = 0.0
             r.begin(0, 1, if (spot) 0 else machines, firstMs = 4000)
             if (spot) repeat(machines) { r.cloud.add(r.types[0], r.zones[it % 2], true, 0) }
-            r.world.runUntil(12_000)
+            r.clock.runUntil(12_000)
             id = r.users.submitService { it.copy(tasks = tasks, spotAllowed = spot) }
             r.rules.calmFrom = READY_MS
-            r.world.runUntil(READY_MS)
+            r.clock.runUntil(READY_MS)
             assertEquals(tasks, r.rules.services.up(id))
         }
 
-        fun at(ms: Long, run: () -> Unit) = r.world.after(ms - r.world.time, run)
+        fun at(ms: Long, run: () -> Unit) = r.clock.after(ms - r.clock.time, run)
 
         fun holds() {
             assertEquals(emptyList<String>(), r.rules.violations)
@@ -43,12 +43,12 @@
     }
 
     /** What befalls a machine, and whether its lease has to be over before its replicas may begin elsewhere. */
-    enum class Trouble(private val waitsForLease: Boolean, private val reportMs: Long = 2500) {
+    enum class Fault(private val waitsForLease: Boolean, private val reportMs: Long = 2500) {
         DIES(true) {
-            override fun strike(r: Rehearsal, w: WorkerStand) = r.cloud.kill(w.name)
+            override fun strike(r: Simulation, w: FakeWorker) = r.cloud.kill(w.name)
         },
         HANGS(true) {
-            override fun strike(r: Rehearsal, w: WorkerStand) = w.hang(60_000)
+            override fun strike(r: Simulation, w: FakeWorker) = w.hang(60_000)
         },
 
         /**
@@ -56,21 +56,21 @@
          * one up and turns to the next of three controllers.
          */
         DEAF(false, 15_000) {
-            override fun strike(r: Rehearsal, w: WorkerStand) = r.nodes.forEach { r.network.cutOneWay(it.label, w.name, 60_000) }
+            override fun strike(r: Simulation, w: FakeWorker) = r.nodes.forEach { r.network.cutOneWay(it.label, w.name, 60_000) }
         },
         CUT_OFF(false) {
-            override fun strike(r: Rehearsal, w: WorkerStand) = r.nodes.forEach { r.network.cut(it.label, w.name, 60_000, true) }
+            override fun strike(r: Simulation, w: FakeWorker) = r.nodes.forEach { r.network.cut(it.label, w.name, 60_000, true) }
         },
 
         /** The cloud says 15 s before that it takes the machine. */
         TAKEN(false) {
-            override fun strike(r: Rehearsal, w: WorkerStand) {
-                w.noticeAt = r.world.time + 15_000
-                r.world.after(15_000) { r.cloud.kill(w.name) }
+            override fun strike(r: Simulation, w: FakeWorker) {
+                w.noticeAt = r.clock.time + 15_000
+                r.clock.after(15_000) { r.cloud.kill(w.name) }
             }
         },
         SICK(false) {
-            override fun strike(r: Rehearsal, w: WorkerStand) {
+            override fun strike(r: Simulation, w: FakeWorker) {
                 w.sick = true
                 for (t in w.onMachine()) w.end(t.job, t.index, ExitCause.ERROR)
             }
@@ -83,22 +83,22 @@
          */
         fun mostDownMs(leaseMs: Long) = (if (waitsForLease) leaseMs + leaseMs / 1000 else reportMs) + REACT_MS + FETCH_MS
 
-        abstract fun strike(r: Rehearsal, w: WorkerStand)
+        abstract fun strike(r: Simulation, w: FakeWorker)
     }
 
     @ParameterizedTest
     @EnumSource
-    fun `a service runs elsewhere when something befalls its machine`(trouble: Trouble) {
+    fun `a service runs elsewhere when something befalls its machine`(fault: Fault) {
         val broken = ArrayList<String>()
         for ((seed, leaseMs) in listOf(1L to 8000L, 2L to 16_000L, 3L to 22_000L)) {
-            val s = Running(seed, leaseMs, spot = trouble == Trouble.TAKEN)
+            val s = Running(seed, leaseMs, spot = fault == Fault.TAKEN)
             val struck = s.r.cloud.workers.first { it.onMachine().isNotEmpty() }
-            trouble.strike(s.r, struck)
-            s.r.world.runUntil(READY_MS + leaseMs + 30_000)
+            fault.strike(s.r, struck)
+            s.r.clock.runUntil(READY_MS + leaseMs + 30_000)
             s.holds()
             assertTrue(struck.onMachine().isEmpty(), "seed $seed: replicas are back on ${struck.name}")
             val down = s.r.rules.services.longestDownMs(s.id, READY_MS)
-            if (down > trouble.mostDownMs(leaseMs)) broken.add("seed $seed, lease $leaseMs: down for $down ms of ${trouble.mostDownMs(leaseMs)}")
+            if (down > fault.mostDownMs(leaseMs)) broken.add("seed $seed, lease $leaseMs: down for $down ms of ${fault.mostDownMs(leaseMs)}")
         }
         assertEquals(emptyList<String>(), broken)
     }
@@ -114,7 +114,7 @@
             val starts = r.rules.starts
             fun crash(backMs: Long, all: Boolean = false) = r.nodes.filter { all || it.leads }.forEach { n ->
                 n.crash()
-                r.world.after(backMs) { n.start() }
+                r.clock.after(backMs) { n.start() }
             }
             when (loss) {
                 Loss.LEADER_CRASHES -> crash(5000)
@@ -130,10 +130,10 @@
                     s.at(READY_MS + 1000) { crash(1000) }
                 }
             }
-            r.world.runUntil(READY_MS + 120_000)
+            r.clock.runUntil(READY_MS + 120_000)
             s.holds()
             assertEquals(starts, r.rules.starts, "$loss, seed $seed: replicas began again")
-            assertEquals(1.0, r.rules.services.share(s.id, READY_MS, r.world.time), 1e-9, "$loss, seed $seed")
+            assertEquals(1.0, r.rules.services.share(s.id, READY_MS, r.clock.time), 1e-9, "$loss, seed $seed")
         }
     }
 
@@ -141,17 +141,17 @@
      * Two services, the second [spread] or together, while a machine that runs something dies every [everyMs] for five
      * minutes.
      */
-    private fun moves(seed: Long, spread: Boolean, everyMs: Long): Pair<Rehearsal, List<String>> {
+    private fun moves(seed: Long, spread: Boolean, everyMs: Long): Pair<Simulation, List<String>> {
         val s = Running(seed, 8000, machines = 8, tasks = 6)
         val r = s.r
         val other = r.users.submitService { it.copy(team = "red", tasks = 5, spread = spread, together = !spread) }
-        r.world.runUntil(READY_MS + 10_000)
+        r.clock.runUntil(READY_MS + 10_000)
         assertEquals(5, r.rules.services.up(other))
         for (at in 0L until 300_000 step everyMs) s.at(READY_MS + 10_000 + at) {
             val up = r.cloud.workers.filter { it.onMachine().isNotEmpty() }
-            if (up.isNotEmpty()) r.cloud.kill(up[r.world.random.nextInt(up.size)].name)
+            if (up.isNotEmpty()) r.cloud.kill(up[r.clock.random.nextInt(up.size)].name)
         }
-        r.world.runUntil(READY_MS + 360_000)
+        r.clock.runUntil(READY_MS + 360_000)
         s.holds()
         assertEquals(5, r.rules.services.up(other))
         return r to listOf(s.id, other)
@@ -172,7 +172,7 @@
     @CsvSource("1,true", "2,true", "3,true", "4,false", "5,false", "6,false")
     fun `no move takes longer than the lease and a new machine`(seed: Long, spread: Boolean) {
         val (r, ids) = moves(seed, spread, 35_000)
-        val most = Trouble.DIES.mostDownMs(8000) + BOOT_MS
+        val most = Fault.DIES.mostDownMs(8000) + BOOT_MS
         for (id in ids) {
             val down = r.rules.services.longestDownMs(id, READY_MS + 10_000)
             assertTrue(down <= most, "$id: a replica was down for $down ms of $most")
@@ -187,7 +187,7 @@
         val busy = r.cloud.workers.filter { it.onMachine().isNotEmpty() }
         for (w in busy) for (n in r.nodes) r.network.cut(n.label, w.name, 12_000, true)
         r.users.cancel(s.id)
-        r.world.runUntil(READY_MS + 2000 + r.cancelMs)
+        r.clock.runUntil(READY_MS + 2000 + r.cancelMs)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals("aborted", r.users.statesTold(s.id).last())
         assertTrue(r.cloud.workers.all { it.onMachine().isEmpty() })
--- a/src/test/kotlin/org/chalkhollow/ServicesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicesTest.kt
@@ -3,10 +3,10 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
-import org.chalkhollow.rehearsal.NodeStand
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.Troubles
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.SimulatedController
+import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.wire.ExitCause
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
@@ -20,12 +20,12 @@
 
 /** Services: tasks (replicas) that run until their user withdraws the job, beside batch work. */
 class ServicesTest {
-    private fun quiet(seed: Long, patienceS: Double = 200.0, machines: Int = 6, capacity: Int = 14): Rehearsal {
-        val r = Rehearsal(seed, OperatorSettings(idleReturnS = 900.0, patienceS = patienceS), capacity = capacity)
+    private fun quiet(seed: Long, patienceS: Double = 200.0, machines: Int = 6, capacity: Int = 14): Simulation {
+        val r = Simulation(seed, OperatorSettings(idleReturnS = 900.0, patienceS = patienceS), capacity = capacity)
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines, firstMs = 4000)
-        r.world.runUntil(12_000)
+        r.clock.runUntil(12_000)
         return r
     }
 
@@ -48,12 +48,12 @@
             )
         }
 
-    private fun holds(r: Rehearsal) {
+    private fun holds(r: Simulation) {
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(emptyList<String>(), r.rules.starved())
     }
 
-    private fun states(r: Rehearsal, id: String): List<String> = r.users.statesTold(id)
+    private fun states(r: Simulation, id: String): List<String> = r.users.statesTold(id)
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
@@ -61,23 +61,23 @@
         val r = quiet(seed)
         val id = r.users.submitService()
         r.rules.calmFrom = 25_000
-        r.world.runUntil(400_000)
+        r.clock.runUntil(400_000)
         assertEquals(1.0, r.rules.upShare(id, 6000), 1e-9)
         assertEquals(listOf("queued", "running"), states(r, id))
         r.users.cancel(id)
-        r.world.runUntil(400_000 + r.cancelMs)
+        r.clock.runUntil(400_000 + r.cancelMs)
         assertEquals(listOf("queued", "running", "aborted"), states(r, id))
         assertTrue(r.cloud.workers.all { it.onMachine().isEmpty() }, "replicas are left")
         val starts = r.rules.starts
-        r.world.runUntil(500_000)
+        r.clock.runUntil(500_000)
         assertEquals(starts, r.rules.starts)
         holds(r)
     }
 
-    private fun answer(r: Rehearsal, node: NodeStand, map: Map<String, Any?>): Int {
+    private fun answer(r: Simulation, node: SimulatedController, map: Map<String, Any?>): Int {
         var status = -1
         r.users.submitRaw(Pack.encode(map), node) { status = it }
-        r.world.runUntil(r.world.time + 3000)
+        r.clock.runUntil(r.clock.time + 3000)
         return status
     }
 
@@ -157,7 +157,7 @@
         val r = quiet(seed)
         val id = r.users.submitService { it.copy(tasks = 4) }
         r.rules.calmFrom = 25_000
-        r.world.runUntil(25_000)
+        r.clock.runUntil(25_000)
         for (round in 1..8) {
             val index = round % 4
             val before =
@@ -166,7 +166,7 @@
                     .single { it.index == index }
                     .attempt
             assertTrue(r.cloud.workers.any { it.end(id, index, cause) })
-            r.world.runUntil(r.world.time + 25_000)
+            r.clock.runUntil(r.clock.time + 25_000)
             val after =
                 r.cloud.workers
                     .flatMap { it.onMachine() }
@@ -184,7 +184,7 @@
         assertEquals(listOf("queued", "running"), states(r, id))
         // All at once: nothing runs for a moment, and that is no end.
         for (w in r.cloud.workers) for (i in 0..3) w.end(id, i, cause)
-        r.world.runUntil(r.world.time + 25_000)
+        r.clock.runUntil(r.clock.time + 25_000)
         assertEquals(4, r.rules.services.up(id))
         assertTrue("done" !in states(r, id))
         holds(r)
@@ -220,11 +220,11 @@
                 )
             r.users.submit(batch("red", full.red, 2.0, 300.0))
             r.users.submit(batch("blue", full.blue, 2.0, 300.0))
-            r.world.runUntil(25_000)
+            r.clock.runUntil(25_000)
             assertEquals(full.red + full.blue, r.rules.starts, "the machines are not full")
             val id = r.users.submitService { it.copy(team = "red", tasks = 4) }
             r.rules.calmFrom = 25_000
-            r.world.runUntil(60_000)
+            r.clock.runUntil(60_000)
             r.rules.violations.mapTo(late) { "seed $seed: ${it.substringBefore(" since")}" }
             val down = r.rules.services.longestDownMs(id, 25_000)
             if (down > 10_000) late.add("seed $seed: a replica began after $down ms, ${r.rules.services.up(id)} run")
@@ -237,23 +237,23 @@
         val r = quiet(4, machines = 10, capacity = 10)
         // As urgent as the service, so that it does not give way: 36 of the team's 40 CPUs.
         r.users.submit { batch("red", 18, 2.0, 300.0)(it).copy(priority = Priority.PRODUCTION) }
-        r.world.runUntil(25_000)
+        r.clock.runUntil(25_000)
         val id =
             r.users.submitService {
                 it.copy(team = "red", workload = "portal", tasks = 4, each = Resources(2.0, 0.0, 1.0))
             }
-        r.world.runUntil(50_000)
+        r.clock.runUntil(50_000)
         val service = checkNotNull(r.nodes.single { it.leads }.status()).services.single()
         assertEquals(listOf("portal", 1, 4, 2), listOf(service.name, service.services, service.wanted, service.up))
         assertEquals("$id: its team is at its limit", service.down.single())
     }
 
     /** A day of one team's batch work, with or without services that take 8 of its 40 CPUs. */
-    private fun batchDay(seed: Long, services: Int): Rehearsal {
+    private fun batchDay(seed: Long, services: Int): Simulation {
         val r = quiet(seed)
         repeat(services) { r.users.submitService { it.copy(team = "red", tasks = 4) } }
         for (i in 0L..29L) {
-            r.world.after(2000 + i * 4000) {
+            r.clock.after(2000 + i * 4000) {
                 r.users.submit {
                     batch("red", 6, 2.0, 8.0)(it).copy(
                         priority =
@@ -270,7 +270,7 @@
             }
         }
         r.rules.calmFrom = 25_000
-        r.world.runUntil(260_000)
+        r.clock.runUntil(260_000)
         return r
     }
 
@@ -291,7 +291,7 @@
         val r = quiet(6, patienceS = 90.0, machines = 4)
         val services = List(3) { i -> r.users.submitService { it.copy(team = if (i == 0) "red" else "blue") } }
         for (i in 0 until 500) {
-            r.world.after(1000 + i * 800L) {
+            r.clock.after(1000 + i * 800L) {
                 r.users.submit {
                     batch(
                         "red",
@@ -303,7 +303,7 @@
             }
         }
         repeat(3) { i ->
-            r.world.after(30_000 + i * 1000L) {
+            r.clock.after(30_000 + i * 1000L) {
                 r.users.submit {
                     batch(
                         "red",
@@ -315,7 +315,7 @@
             }
         }
         r.rules.calmFrom = 30_000
-        r.world.runUntil(420_000)
+        r.clock.runUntil(420_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(emptyList<String>(), r.rules.starved().filter { "wide" in it || "portal" in it })
         for (id in services) {
@@ -328,22 +328,22 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `a troubled day with services among the jobs`(seed: Long) {
-        val r = Rehearsal(seed, controllers = if (seed % 3 == 0L) 5 else 3)
+    fun `a faulty day with services among the jobs`(seed: Long) {
+        val r = Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3)
         r.network.copies = 0.01
         r.begin(30, 150_000)
         val services = ArrayList<String>()
         repeat(6) {
-            r.world.after(r.world.between(0, 120_000)) {
-                services.add(r.users.submitService { it.copy(spotAllowed = r.world.chance(0.3)) })
+            r.clock.after(r.clock.between(0, 120_000)) {
+                services.add(r.users.submitService { it.copy(spotAllowed = r.clock.chance(0.3)) })
             }
         }
-        r.world.after(140_000) { r.users.cancel(services.first()) }
-        r.world.after(300_000) { r.users.cancel(services[1]) }
-        Troubles(r).draw(14, 10_000, 170_000)
-        r.world.after(210_000) { r.network.copies = 0.0 }
-        r.rules.calmFrom = 250_000 // the last trouble and the last late copy are over
-        r.world.runUntil(420_000)
+        r.clock.after(140_000) { r.users.cancel(services.first()) }
+        r.clock.after(300_000) { r.users.cancel(services[1]) }
+        FaultInjection(r).draw(14, 10_000, 170_000)
+        r.clock.after(210_000) { r.network.copies = 0.0 }
+        r.rules.calmFrom = 250_000 // the last fault and the last late copy are over
+        r.clock.runUntil(420_000)
         holds(r)
         for (id in services.drop(2)) {
             assertEquals(r.users.spec(id)?.tasks, r.rules.services.up(id), "replicas of $id at the end")
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -1,14 +1,14 @@
 package org.chalkhollow.compat
 
-import org.chalkhollow.core.BaseFleet
-import org.chalkhollow.core.Desk
+import org.chalkhollow.core.CoreContext
 import org.chalkhollow.core.DispatchLog
 import org.chalkhollow.core.JobTable
 import org.chalkhollow.core.LeadRecord
 import org.chalkhollow.core.Names
-import org.chalkhollow.mesh.Frames
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.core.PreProvisionedMachines
 import org.chalkhollow.model.JobState
+import org.chalkhollow.peer.Frames
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.Pack
@@ -65,7 +65,7 @@
     @Test
     fun `production's jobs are read as they were written`() {
         val names = Names().apply { listOf("red", "blue").forEach(teams::intern) }
-        val jobs = JobTable(Desk(1), names, limits)
+        val jobs = JobTable(CoreContext(1), names, limits)
         for (line in records(JobTable.JOB)) {
             jobs.loadJob(row(line))
             val f = fields(line)
@@ -95,7 +95,7 @@
                     records(JobTable.JOB).first { Recording.kind(it.name, it.bytes) == "job open batch" }.bytes,
                 )
             val spec = Fields.of(job.map["j"], "j").map + mapOf("nameId" to id, "pieces" to 100_000)
-            val jobs = JobTable(Desk(1), Names(), limits.copy(valueBytes = 1024))
+            val jobs = JobTable(CoreContext(1), Names(), limits.copy(valueBytes = 1024))
             jobs.loadJob(
                 Row(JobTable.JOB + id, Pack.decode(Pack.encode(mapOf("s" to "open", "at" to 5L, "j" to spec))), 1),
             )
@@ -126,10 +126,10 @@
                 assertEquals(ranges, DispatchLog.ranges(DispatchLog.indices(ranges).toIntArray()))
             }
         }
-        for (line in records(BaseFleet.KEY)) {
-            val base = BaseFleet(Desk(1), limits).also { it.load(row(line)) }
-            assertEquals(fields(line).texts("names").toSet(), base.names)
-            assertTrue(base.known)
+        for (line in records(PreProvisionedMachines.KEY)) {
+            val preProvisioned = PreProvisionedMachines(CoreContext(1), limits).also { it.load(row(line)) }
+            assertEquals(fields(line).texts("names").toSet(), preProvisioned.names)
+            assertTrue(preProvisioned.known)
         }
     }
 
--- a/src/test/kotlin/org/chalkhollow/compat/Recording.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/Recording.kt
@@ -1,10 +1,10 @@
 package org.chalkhollow.compat
 
-import org.chalkhollow.mesh.Frames
-import org.chalkhollow.mesh.PeerMessage
 import org.chalkhollow.model.Shape
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.Troubles
+import org.chalkhollow.peer.Frames
+import org.chalkhollow.peer.PeerMessage
+import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.wire.Pack
 import java.nio.file.Files
 import java.nio.file.Path
@@ -37,13 +37,13 @@
     }
 
     /** A day on which every kind is written; [onWrite] and [onFrame] get all of it. */
-    fun day(seed: Long, onWrite: (String, ByteArray) -> Unit, onFrame: (ByteArray) -> Unit): Rehearsal {
-        val r = Rehearsal(seed)
+    fun day(seed: Long, onWrite: (String, ByteArray) -> Unit, onFrame: (ByteArray) -> Unit): Simulation {
+        val r = Simulation(seed)
         r.state.onWrite = { key, bytes -> if (bytes != null) onWrite(key, bytes) }
         r.onFrame = onFrame
         r.begin(25, 60_000)
         for (shape in listOf(Shape.GANG, Shape.SERVICE)) {
-            r.world.after(8000) {
+            r.clock.after(8000) {
                 r.users.submit {
                     it.copy(
                         shape = shape,
@@ -56,7 +56,7 @@
                 }
             }
         }
-        r.world.after(9000) {
+        r.clock.after(9000) {
             r.users.submit {
                 it.copy(
                     tasks = 2000,
@@ -68,16 +68,16 @@
                 )
             }
         }
-        Troubles(r).draw(4, 50_000, 70_000)
-        r.world.after(25_000) {
+        FaultInjection(r).draw(4, 50_000, 70_000)
+        r.clock.after(25_000) {
             // an election, and a leader that makes way
             r.nodes.firstOrNull { it.leads }?.let { n ->
                 n.crash()
-                r.world.after(6000) { n.start() }
+                r.clock.after(6000) { n.start() }
             }
         }
-        r.world.after(40_000) { r.nodes.firstOrNull { it.leads }?.let { r.state.refuse(it.label, 8000) } }
-        r.world.runUntil(120_000)
+        r.clock.after(40_000) { r.nodes.firstOrNull { it.leads }?.let { r.state.refuse(it.label, 8000) } }
+        r.clock.runUntil(120_000)
         return r
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Team
 import org.chalkhollow.settings.OperatorSettings
@@ -36,11 +36,11 @@
 
     /** A leadership alone, with peers played by hand. */
     private class Bench(peers: Int, begunAt: Long = 0) : Leadership.Events {
-        val desk = Desk(3)
+        val context = CoreContext(3)
         val options = OperatorSettings(leaderLeaseMs = 2000, leaderRenewMs = 450, promiseMs = 1800)
         var elected = 0L
         var deposed = false
-        val leadership = Leadership(desk, "m", List(peers) { "p$it" }, 77, options, 0, begunAt, this)
+        val leadership = Leadership(context, "m", List(peers) { "p$it" }, 77, options, 0, begunAt, this)
 
         /** The stamp of the record for which all was read, as far as the test lets it be. */
         var preparedFor: Long? = null
@@ -66,13 +66,13 @@
         }
 
         fun at(ms: Long, run: Leadership.() -> Unit = { tick() }): List<Effect> {
-            desk.now = Now(ms, ms)
+            context.now = Now(ms, ms)
             leadership.run()
-            return desk.drain()
+            return context.drain()
         }
 
         fun answer(e: Effect.State, reply: StateReply) {
-            desk.reply(Input.State(e.ticket, reply))
+            context.reply(Input.State(e.ticket, reply))
         }
 
         fun record(owner: String, life: Long, stamp: Long) =
@@ -85,7 +85,7 @@
         while (t <= to) {
             val out = at(t)
             for (e in out) if (e is Effect.State && e.op is StateOp.Read) answer(e, record("p0", 1, stamp))
-            all.addAll(out + desk.drain())
+            all.addAll(out + context.drain())
             t += 100
         }
         return all
@@ -142,9 +142,9 @@
         val b = Bench(2)
         val read = b.at(0).filterIsInstance<Effect.State>().single()
         b.answer(read, StateReply.Missing)
-        val commit = b.desk.drain().filterIsInstance<Effect.State>().single()
+        val commit = b.context.drain().filterIsInstance<Effect.State>().single()
         b.answer(commit, StateReply.Committed(2))
-        val asks = b.desk.drain().filterIsInstance<Effect.Send>().map { it.message }.filterIsInstance<PeerMessage.PromiseAsk>()
+        val asks = b.context.drain().filterIsInstance<Effect.Send>().map { it.message }.filterIsInstance<PeerMessage.PromiseAsk>()
         assertEquals(1L, b.elected)
         b.at(1_900)
         assertTrue(b.leadership.entitled())
@@ -198,7 +198,7 @@
         val b = Bench(2)
         val read = b.at(0).filterIsInstance<Effect.State>().single()
         b.answer(read, StateReply.Found(Row(LeadRecord.KEY, LeadRecord("m", 76, 5, 0).value(), 12)))
-        assertFalse(b.desk.drain().any { it is Effect.State && it.op is StateOp.Commit })
+        assertFalse(b.context.drain().any { it is Effect.State && it.op is StateOp.Commit })
     }
 
     @Test
@@ -206,7 +206,7 @@
         fun leader(): Bench {
             val b = Bench(2)
             b.answer(b.at(0).filterIsInstance<Effect.State>().single(), StateReply.Missing)
-            b.answer(b.desk.drain().filterIsInstance<Effect.State>().single(), StateReply.Committed(2))
+            b.answer(b.context.drain().filterIsInstance<Effect.State>().single(), StateReply.Committed(2))
             return b
         }
         fun Bench.days(from: Long, to: Long, servedUntil: Long) {
@@ -236,7 +236,7 @@
         fun gaveUpAt(prepared: Boolean): Long {
             val b = Bench(2)
             b.answer(b.at(0).filterIsInstance<Effect.State>().single(), StateReply.Missing)
-            b.answer(b.desk.drain().filterIsInstance<Effect.State>().single(), StateReply.Committed(2))
+            b.answer(b.context.drain().filterIsInstance<Effect.State>().single(), StateReply.Committed(2))
             b.leadership.writeFailed()
             for (t in 100L..9000L step 100) {
                 val asks = b.at(t).filterIsInstance<Effect.Send>().mapNotNull { it.message as? PeerMessage.PromiseAsk }
@@ -259,7 +259,7 @@
                 if (t == 4_100L && released) b.at(t) { onPeer(0, PeerMessage.Release(5)) }
                 val out = b.at(t)
                 for (e in out) if (e is Effect.State && e.op is StateOp.Read) b.answer(e, b.record("p0", 1, minOf(t, 4_000L) + 1))
-                if (t > 4_100L) late.addAll(out + b.desk.drain())
+                if (t > 4_100L) late.addAll(out + b.context.drain())
             }
             return late.any { it is Effect.Send && it.message is PeerMessage.VoteAsk }
         }
@@ -310,28 +310,28 @@
             assertEquals(reads, watched.any { it is Effect.Send && it.message is PeerMessage.VoteAsk })
             val again = Bench(2).also { it.reads = reads }
             again.answer(again.at(0).filterIsInstance<Effect.State>().single(), again.record("m", 76, 12))
-            assertEquals(reads, again.desk.drain().any { it is Effect.State && it.op is StateOp.Commit })
+            assertEquals(reads, again.context.drain().any { it is Effect.State && it.op is StateOp.Commit })
         }
     }
 
     @Test
     fun `what was read for a record that has changed since counts for nothing`() {
-        val desk = Desk(1).also { it.now = Now(0, 0) }
+        val context = CoreContext(1).also { it.now = Now(0, 0) }
         var completed = 0
-        val survey = Survey(desk, listOf("x/", "y/")) { completed++ }
+        val snapshot = CandidateSnapshot(context, listOf("x/", "y/")) { completed++ }
         fun answer(vararg keys: String, more: Boolean = false) {
-            val e = desk.drain().filterIsInstance<Effect.State>().last()
-            desk.reply(Input.State(e.ticket, StateReply.Page(Rows(keys.map { Row(it, "v", 1) }, more))))
+            val e = context.drain().filterIsInstance<Effect.State>().last()
+            context.reply(Input.State(e.ticket, StateReply.Page(Rows(keys.map { Row(it, "v", 1) }, more))))
         }
-        survey.begin(7)
+        snapshot.begin(7)
         answer("x/1", more = true)
-        survey.begin(8)
+        snapshot.begin(8)
         answer("x/1", "x/2")
-        assertFalse(survey.complete(8))
+        assertFalse(snapshot.complete(8))
         answer("y/1")
-        assertTrue(survey.complete(8))
-        assertFalse(survey.complete(7))
-        assertEquals(listOf("x/1", "x/2", "y/1"), survey.take(8).map { it.key })
+        assertTrue(snapshot.complete(8))
+        assertFalse(snapshot.complete(7))
+        assertEquals(listOf("x/1", "x/2", "y/1"), snapshot.take(8).map { it.key })
         assertEquals(1, completed)
     }
 
@@ -354,7 +354,7 @@
         val b = Bench(2)
         val read = b.at(0).filterIsInstance<Effect.State>().single()
         b.answer(read, b.record("m", 76, 12))
-        val commit = b.desk.drain().filterIsInstance<Effect.State>().single().op as StateOp.Commit
+        val commit = b.context.drain().filterIsInstance<Effect.State>().single().op as StateOp.Commit
         assertEquals(12L, commit.conditions.single().stamp)
         assertEquals(6L, commit.changes.single().value?.get("generation"))
     }
