--- a/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
@@ -49,12 +49,12 @@
 
     /** A leader's jobs under limits of its own, writing into and loaded from [store]. */
     private inner class Leader(private val valueBytes: Int, loaded: Boolean = true) {
-        val desk = Desk(1)
-        val jobs = JobTable(desk, Names(), limits(valueBytes))
+        val context = CoreContext(1)
+        val jobs = JobTable(context, Names(), limits(valueBytes))
         private var t = 0L
 
         init {
-            desk.now = Now(0, 0)
+            context.now = Now(0, 0)
             for ((k, v) in store.filterKeys { it.startsWith(JobTable.JOB) }) jobs.loadJob(Row(k, v, 1))
             for ((k, v) in store.filterKeys { it.startsWith(JobTable.PROGRESS) }) jobs.loadPage(Row(k, v, 1))
             if (loaded) jobs.afterLoad()
@@ -64,7 +64,7 @@
 
         fun next(): Write? {
             t += 2000
-            desk.now = Now(t, t)
+            context.now = Now(t, t)
             val room = StateLog.Room(11, 40 * 1024)
             return jobs.nextUrgent(room) ?: jobs.nextCompletion(room) { _, _ -> } ?: jobs.nextTrash(room)
         }
--- a/src/test/kotlin/org/chalkhollow/core/DoorTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/RequestHandlerTest.kt
@@ -1,11 +1,11 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.mesh.Frames
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.Frames
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.model.JobState
-import org.chalkhollow.rehearsal.CloudStand
-import org.chalkhollow.rehearsal.NodeStand
-import org.chalkhollow.rehearsal.Rehearsal
+import org.chalkhollow.simulation.FakeCloud
+import org.chalkhollow.simulation.SimulatedController
+import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Fields
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test
 import java.util.SplittableRandom
 
-/** What users hear of good and bad requests, from the leader and by way of a follower. */
-class DoorTest {
+/** What users are told of good and bad requests, from the leader and by way of a follower. */
+class RequestHandlerTest {
     private fun body(id: String, vararg changes: Pair<String, Any?>): ByteArray = Pack.encode(
         mapOf(
             "nameId" to id, "workload" to "w", "owner" to "red", "shape" to "batch", "urgency" to "high", "pieces" to 2,
@@ -37,30 +37,30 @@
     private fun submission(body: ByteArray): UserAsk = checkNotNull(UserAsk.ofSubmission(body)) { "no id" }
 
     /** Three controllers after their first election. */
-    private fun rehearsal(seed: Long, before: (Rehearsal) -> Unit = {}) = Rehearsal(seed).also { r ->
+    private fun simulation(seed: Long, before: (Simulation) -> Unit = {}) = Simulation(seed).also { r ->
         r.network.loss = 0.0
         r.network.late = 0.0
         before(r)
         r.begin(0, 1)
-        r.world.runUntil(15_000)
+        r.clock.runUntil(15_000)
     }
 
-    private val Rehearsal.leader: NodeStand get() = nodes.single { it.leads }
+    private val Simulation.leader: SimulatedController get() = nodes.single { it.leads }
 
     /** The leader, and a follower that passes on to it. */
-    private val Rehearsal.doors: List<NodeStand> get() = listOf(leader, nodes.first { !it.leads })
+    private val Simulation.entryPoints: List<SimulatedController> get() = listOf(leader, nodes.first { !it.leads })
 
-    private fun Rehearsal.asks(node: NodeStand, ask: UserAsk, waitMs: Long = 1900): Effect.Answer {
+    private fun Simulation.asks(node: SimulatedController, ask: UserAsk, waitMs: Long = 1900): Effect.Answer {
         var answer: Effect.Answer? = null
         node.user(ask) { answer = it }
-        world.runUntil(world.time + waitMs)
+        clock.runUntil(clock.time + waitMs)
         return checkNotNull(answer) { "no answer" }
     }
 
     private fun state(a: Effect.Answer): String = Fields.of(Pack.decode(checkNotNull(a.body)), "answer").text("status")
 
-    private fun Rehearsal.hears(status: Int, state: String?, ask: UserAsk) {
-        for (node in doors) {
+    private fun Simulation.expectAnswer(status: Int, state: String?, ask: UserAsk) {
+        for (node in entryPoints) {
             val a = asks(node, ask)
             assertEquals(status to state, a.status to a.body?.let { state(a) }, "${ask.jobId} at ${node.label}")
             if (status == 503) assertTrue(a.retryAfterS > 0, "503 without Retry-After")
@@ -68,17 +68,17 @@
     }
 
     /** A job that the workers know, carried out. */
-    private fun Rehearsal.done(): String {
+    private fun Simulation.done(): String {
         val id = users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 1.0) }
-        world.runUntil(world.time + 40_000)
+        clock.runUntil(clock.time + 40_000)
         return id
     }
 
     @Test
     fun `a malformed submission of an unknown job gets 400 from the leader and through a follower, and is not accepted`() {
-        val r = rehearsal(1)
-        for (bad in malformed("j-000001")) r.hears(400, null, submission(bad))
-        r.hears(404, null, UserAsk.Poll("j-000001"))
+        val r = simulation(1)
+        for (bad in malformed("j-000001")) r.expectAnswer(400, null, submission(bad))
+        r.expectAnswer(404, null, UserAsk.Poll("j-000001"))
     }
 
     @Test
@@ -108,7 +108,7 @@
 
     @Test
     fun `a job whose record the state service refuses is answered 503 and not accepted, and others are`() {
-        val r = rehearsal(4)
+        val r = simulation(4)
         r.state.lowered = StateLimits(80.0, 20.0, 400, 12)
         val large = body("j-000004", "flavours" to List(12) { "type-$it-" + "x".repeat(40) } + "small")
         assertEquals(503, r.asks(r.leader, submission(large)).status)
@@ -124,10 +124,10 @@
 
     @Test
     fun `tasks start although the state service refuses large markers, and hints it refuses are dropped`() {
-        val r = rehearsal(5)
+        val r = simulation(5)
         r.state.lowered = StateLimits(80.0, 20.0, 600, 3)
         repeat(6) { r.users.submit { it.copy(tasks = 12, types = null, zone = null, together = false, spread = false, dueS = null, expectedS = 1.0) } }
-        r.world.runUntil(r.world.time + 150_000)
+        r.clock.runUntil(r.clock.time + 150_000)
         assertTrue(r.state.rejections > 0)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(6, r.rules.acceptedCount)
@@ -136,11 +136,11 @@
 
     @Test
     fun `a repetition of an accepted job gets its state, whether it differs, can never run or is malformed`() {
-        val r = rehearsal(2)
+        val r = simulation(2)
         val id = "j-000002"
         assertEquals(201, r.asks(r.leader, submission(body(id))).status)
         val repetitions = malformed(id) + listOf(body(id), body(id, "pieces" to 9), body(id, "owner" to "nobody"), body(id, "vcpus" to 1000.0))
-        for (again in repetitions) for (node in r.doors) {
+        for (again in repetitions) for (node in r.entryPoints) {
             val a = r.asks(node, submission(again))
             assertEquals(200, a.status)
             assertTrue(state(a) in setOf("queued", "running"), state(a))
@@ -149,75 +149,75 @@
 
     @Test
     fun `a malformed repetition is looked up in what a new leader has read`() {
-        val r = rehearsal(3)
+        val r = simulation(3)
         val id = r.done()
         r.leader.let {
             it.crash()
-            r.world.after(3000) { it.start() }
+            r.clock.after(3000) { it.start() }
         }
-        r.world.runUntil(r.world.time + 30_000)
-        for (bad in malformed(id)) r.hears(200, "done", submission(bad))
+        r.clock.runUntil(r.clock.time + 30_000)
+        for (bad in malformed(id)) r.expectAnswer(200, "done", submission(bad))
     }
 
     @Test
     fun `while a job is being accepted, a malformed submission of it is neither refused nor held back`() {
-        val r = rehearsal(4)
+        val r = simulation(4)
         r.state.outage(10_000)
         var accepted: Effect.Answer? = null
         r.leader.user(submission(body("j-000004"))) { accepted = it }
-        r.hears(503, null, submission(malformed("j-000004").first()))
-        r.hears(400, null, submission(malformed("j-000005").first()))
+        r.expectAnswer(503, null, submission(malformed("j-000004").first()))
+        r.expectAnswer(400, null, submission(malformed("j-000005").first()))
         assertEquals(503, accepted?.status)
-        r.world.runUntil(r.world.time + 20_000)
-        r.hears(200, "queued", submission(malformed("j-000004").first()))
+        r.clock.runUntil(r.clock.time + 20_000)
+        r.expectAnswer(200, "queued", submission(malformed("j-000004").first()))
     }
 
     @Test
     fun `what can never run gets 422, also while nothing can be written`() {
-        val r = rehearsal(5)
+        val r = simulation(5)
         val never = listOf(body("j-000006", "owner" to "nobody"), body("j-000006", "vcpus" to 17.0), body("j-000006", "flavours" to listOf("huge")), body("j-000006", "site" to "north"))
-        for (bad in never) r.hears(422, null, submission(bad))
+        for (bad in never) r.expectAnswer(422, null, submission(bad))
         r.state.outage(25_000)
-        r.world.runUntil(r.world.time + 3000)
-        for (bad in never) r.hears(422, null, submission(bad))
-        r.hears(503, null, submission(body("j-000006")))
+        r.clock.runUntil(r.clock.time + 3000)
+        for (bad in never) r.expectAnswer(422, null, submission(bad))
+        r.expectAnswer(503, null, submission(body("j-000006")))
     }
 
     @Test
     fun `while the machine types are unknown nothing is accepted or refused`() {
-        val r = rehearsal(6) { r -> r.nodes.forEach { r.network.cut(it.label, CloudStand.NAME, 30_000, false) } }
-        r.hears(503, null, submission(body("j-000007")))
-        r.hears(503, null, submission(body("j-000007", "owner" to "nobody")))
-        r.hears(400, null, submission(body("j-000007", "owner" to null)))
-        r.world.runUntil(45_000)
+        val r = simulation(6) { r -> r.nodes.forEach { r.network.cut(it.label, FakeCloud.NAME, 30_000, false) } }
+        r.expectAnswer(503, null, submission(body("j-000007")))
+        r.expectAnswer(503, null, submission(body("j-000007", "owner" to "nobody")))
+        r.expectAnswer(400, null, submission(body("j-000007", "owner" to null)))
+        r.clock.runUntil(45_000)
         assertEquals(201, r.asks(r.leader, submission(body("j-000007"))).status)
     }
 
     @Test
     fun `withdrawing a job that is done tells so, a cancelled one stays cancelled, and nobody's is not found`() {
-        val r = rehearsal(7)
-        r.hears(200, "done", UserAsk.Withdraw(r.done()))
+        val r = simulation(7)
+        r.expectAnswer(200, "done", UserAsk.Withdraw(r.done()))
         assertEquals(201, r.asks(r.leader, submission(body("j-000008"))).status)
-        r.hears(200, "aborted", UserAsk.Withdraw("j-000008"))
-        r.hears(200, "aborted", UserAsk.Withdraw("j-000008"))
-        for (again in malformed("j-000008") + body("j-000008")) r.hears(200, "aborted", submission(again))
-        r.hears(404, null, UserAsk.Withdraw("j-000009"))
-        r.hears(404, null, UserAsk.Poll("j-000009"))
+        r.expectAnswer(200, "aborted", UserAsk.Withdraw("j-000008"))
+        r.expectAnswer(200, "aborted", UserAsk.Withdraw("j-000008"))
+        for (again in malformed("j-000008") + body("j-000008")) r.expectAnswer(200, "aborted", submission(again))
+        r.expectAnswer(404, null, UserAsk.Withdraw("j-000009"))
+        r.expectAnswer(404, null, UserAsk.Poll("j-000009"))
     }
 
     @Test
     fun `a request of a kind that only a newer version knows is put off and does nothing`() {
-        val r = rehearsal(8)
+        val r = simulation(8)
         assertEquals(201, r.asks(r.leader, submission(body("j-000010"))).status)
         r.leader.peer(0, Frames.encode(PeerMessage.Forward(1, 9, "j-000010", ByteArray(0))))
-        r.world.runUntil(r.world.time + 1000)
+        r.clock.runUntil(r.clock.time + 1000)
         assertTrue(state(r.asks(r.leader, UserAsk.Poll("j-000010"))) != "aborted")
     }
 
     @Test
     fun `a job that an earlier version took without an image is known to a new leader`() {
         val spec = Pack.decodeMap(body("j-000011", "shape" to "service")).map - "bundle" - "pullGb" - "expectedS"
-        val jobs = JobTable(Desk(1), Names(), StateLimits(80.0, 20.0, 8192, 12))
+        val jobs = JobTable(CoreContext(1), Names(), StateLimits(80.0, 20.0, 8192, 12))
         jobs.loadJob(Row("job/j-000011", mapOf("s" to "open", "at" to 1L, "j" to spec), 1))
         assertEquals(JobState.OPEN, jobs.find("j-000011")?.state)
         jobs.loadJob(Row("job/j-000012", mapOf("s" to "cancelled", "n" to 2L, "j" to spec + ("nameId" to "j-000012")), 1))
@@ -234,12 +234,12 @@
      * without which it does not lead.
      */
     private fun elected(lists: Boolean): Controller {
-        val c = Controller(Rehearsal(1).settings, OperatorSettings(), 1, Now(0, 0))
+        val c = Controller(Simulation(1).settings, OperatorSettings(), 1, Now(0, 0))
         val pending = ArrayDeque(c.step(Now(0, 0), Input.Tick))
         var revision = 1L
         while (true) {
             val e = pending.removeFirstOrNull() ?: break
-            if (e is Effect.Cloud && e.op == CloudOp.Catalog) pending.addAll(c.step(Now(10, 10), Input.Cloud(e.ticket, CloudReply.CatalogIs(Rehearsal(1).types))))
+            if (e is Effect.Cloud && e.op == CloudOp.Catalog) pending.addAll(c.step(Now(10, 10), Input.Cloud(e.ticket, CloudReply.CatalogIs(Simulation(1).types))))
             if (e !is Effect.State || e.op is StateOp.List && !lists) continue
             val reply = when (e.op) {
                 is StateOp.Read -> StateReply.Missing
@@ -287,7 +287,7 @@
 
     @Test
     fun `a follower without a leader refuses nothing that names a job`() {
-        val c = Controller(Rehearsal(1).settings, OperatorSettings(), 1, Now(0, 0))
+        val c = Controller(Simulation(1).settings, OperatorSettings(), 1, Now(0, 0))
         for (ask in asks) assertEquals(listOf(503, 503), c.answers(ask).map(::status), "$ask")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/AimsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ServiceLevelObjectivesTest.kt
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class AimsTest {
-    private val aims =
-        Aims(
+class ServiceLevelObjectivesTest {
+    private val objectives =
+        ServiceLevelObjectives(
             listOf(
                 Objective("wait", "urgent", 70.0, 0.99),
                 Objective("wait", "urgent", 4.0, 0.8),
@@ -52,14 +52,14 @@
     // One aim of each kind was kept once, the last: then every class with a limit of minutes passed for urgent.
     @Test
     fun `only a class whose users wait for starts is one, whatever else is said of it`() {
-        assertTrue(aims.startsCount(job("urgent", null)))
-        assertFalse(aims.startsCount(job("batch", null)))
-        assertTrue(aims.startable(job("urgent", null), 69_000))
-        assertFalse(aims.startable(job("urgent", null), 71_000))
-        assertFalse(aims.startable(job("batch", null), 1_000))
-        assertFalse(aims.mustStart(job("batch", null), 70_000))
-        assertTrue(aims.mustStart(job("batch", null), 80_000))
-        assertFalse(aims.mustStart(job("batch", null), 151_000))
+        assertTrue(objectives.startsCount(job("urgent", null)))
+        assertFalse(objectives.startsCount(job("batch", null)))
+        assertTrue(objectives.startable(job("urgent", null), 69_000))
+        assertFalse(objectives.startable(job("urgent", null), 71_000))
+        assertFalse(objectives.startable(job("batch", null), 1_000))
+        assertFalse(objectives.mustStart(job("batch", null), 70_000))
+        assertTrue(objectives.mustStart(job("batch", null), 80_000))
+        assertFalse(objectives.mustStart(job("batch", null), 151_000))
     }
 
     @Test
@@ -68,16 +68,16 @@
         assertEquals(
             listOf(200_000L, 300_000L, 300_000L),
             listOf(0L, 195_000L, 400_000L).map {
-                aims.dueWall(batch, it, 10_000)
+                objectives.dueWall(batch, it, 10_000)
             },
         )
         val urgent = job("urgent", 20.0)
         assertEquals(
             listOf(20_000L, 30_000L, 30_000L),
             listOf(10_000L, 10_001L, 25_000L).map {
-                aims.dueWall(urgent, it, 10_000)
+                objectives.dueWall(urgent, it, 10_000)
             },
         )
-        assertEquals(Long.MAX_VALUE, aims.dueWall(job("other", null), 0, 1))
+        assertEquals(Long.MAX_VALUE, objectives.dueWall(job("other", null), 0, 1))
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test
 
 class SettlementTest {
-    private val desk = Desk(1).also { it.now = Now(0, 0) }
+    private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val names = Names().apply { teams.intern("t") }
-    private val jobs = JobTable(desk, names, StateLimits(80.0, 20.0, 8192, 12))
-    private val settlement = Settlement(desk, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
+    private val jobs = JobTable(context, names, StateLimits(80.0, 20.0, 8192, 12))
+    private val settlement = Settlement(context, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
 
     private fun job(id: String): OpenJob {
         val spec =
--- a/src/test/kotlin/org/chalkhollow/core/StateLogTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/StateLogTest.kt
@@ -13,10 +13,10 @@
 class StateLogTest {
     /** A leader without peers, its log, and a state service played by [rule]. */
     private class Bench(limits: StateLimits = StateLimits(80.0, 40.0, 8192, 12)) : Leadership.Events {
-        val desk = Desk(3).also { it.now = Now(0, 0) }
+        val context = CoreContext(3).also { it.now = Now(0, 0) }
         private val options = OperatorSettings()
-        val leadership = Leadership(desk, "m", emptyList(), 77, options, 0, 0, this)
-        val log = StateLog(desk, limits, options, leadership)
+        val leadership = Leadership(context, "m", emptyList(), 77, options, 0, 0, this)
+        val log = StateLog(context, limits, options, leadership)
         val queue = ArrayDeque<Write>()
         val durable = ArrayList<String>()
         val refused = ArrayList<String>()
@@ -77,13 +77,13 @@
 
         fun play(from: Long, to: Long) {
             for (t in from..to step 20) {
-                desk.now = Now(t, t)
+                context.now = Now(t, t)
                 if (!deposed) leadership.tick()
                 log.pump()
                 while (true) {
-                    val out = desk.drain().ifEmpty { break }
+                    val out = context.drain().ifEmpty { break }
                     notes.addAll(out.filterIsInstance<Effect.Note>())
-                    for (e in out) if (e is Effect.State) desk.reply(Input.State(e.ticket, answer(e)))
+                    for (e in out) if (e is Effect.State) context.reply(Input.State(e.ticket, answer(e)))
                 }
             }
         }
@@ -190,7 +190,7 @@
         private var at = 0L
 
         fun take(op: StateOp.Commit): StateReply {
-            val t = b.desk.steady
+            val t = b.context.steady
             tokens = minOf(perS, tokens + (t - at) * perS / 1000)
             at = t
             if (op.changes.size > tokens) return StateReply.Unavailable
--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -2,16 +2,16 @@
 
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
-import org.chalkhollow.rehearsal.Rehearsal
 import org.chalkhollow.settings.Objective
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
 /** Nothing waits for good beside machines that have room for it. */
 class WaitingTest {
-    private fun calm(capacity: Int, objectives: List<Objective> = emptyList()): Rehearsal {
-        val r = Rehearsal(17, OperatorSettings(idleReturnS = 900.0), capacity = capacity, objectives = objectives)
+    private fun calm(capacity: Int, objectives: List<Objective> = emptyList()): Simulation {
+        val r = Simulation(17, OperatorSettings(idleReturnS = 900.0), capacity = capacity, objectives = objectives)
         r.network.loss = 0.0
         r.network.late = 0.0
         r.begin(0, 1, machines = 0)
@@ -23,7 +23,7 @@
     @Test
     fun `a job that failed on every machine runs once they are well again`() {
         val r = calm(capacity = 3)
-        r.world.runUntil(8000)
+        r.clock.runUntil(8000)
         // One long task on each machine, so that none idles and is exchanged for another.
         r.users.submit {
             it.copy(
@@ -38,7 +38,7 @@
                 expectedS = 400.0,
             )
         }
-        r.world.runUntil(40_000)
+        r.clock.runUntil(40_000)
         r.cloud.workers.forEach { it.sick = true }
         r.users.submit {
             it.copy(
@@ -53,9 +53,9 @@
                 expectedS = 4.0,
             )
         }
-        r.world.runUntil(52_000)
+        r.clock.runUntil(52_000)
         r.cloud.workers.forEach { it.sick = false }
-        r.world.runUntil(140_000)
+        r.clock.runUntil(140_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(1, r.rules.doneCount, "it still waits: ${r.rules.pending()}")
     }
@@ -64,7 +64,7 @@
     @Test
     fun `room that is kept for urgent work is not kept from a job that waits long`() {
         val r = calm(capacity = 2, objectives = listOf(Objective("wait", "urgent", 3.0, 0.9)))
-        r.world.runUntil(8000)
+        r.clock.runUntil(8000)
         r.users.submit {
             it.copy(
                 id = "j-1",
@@ -80,7 +80,7 @@
                 expectedS = 3.0,
             )
         }
-        r.world.runUntil(20_000)
+        r.clock.runUntil(20_000)
         r.users.submit {
             it.copy(
                 id = "j-2",
@@ -98,7 +98,7 @@
                 dueS = null,
             )
         }
-        r.world.runUntil(110_000)
+        r.clock.runUntil(110_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(2, r.rules.doneCount, "it still waits: ${r.rules.pending()}")
     }
@@ -107,9 +107,9 @@
     @Test
     fun `room that is kept for services is not kept from a job that waits long`() {
         val r = calm(capacity = 2)
-        r.world.runUntil(8000)
+        r.clock.runUntil(8000)
         val service = r.users.submitService { it.copy(team = "red", tasks = 4, each = Resources(2.0, 0.0, 1.0)) }
-        r.world.runUntil(25_000)
+        r.clock.runUntil(25_000)
         assertEquals(4, r.rules.services.up(service))
         r.users.submit {
             it.copy(
@@ -129,7 +129,7 @@
             )
         }
         r.rules.calmFrom = 25_000
-        r.world.runUntil(125_000)
+        r.clock.runUntil(125_000)
         assertEquals(emptyList<String>(), r.rules.violations)
         assertEquals(1, r.rules.doneCount, "it still waits: ${r.rules.pending()}")
     }
--- a/src/test/kotlin/org/chalkhollow/mesh/PeerListenerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.mesh
+package org.chalkhollow.peer
 
 import io.ktor.utils.io.ByteReadChannel
 import kotlinx.coroutines.runBlocking
@@ -45,11 +45,14 @@
     @OptIn(ExperimentalSerializationApi::class)
     private fun later(message: Later) = Cbor.encodeToByteArray(Later.serializer(), message)
 
-    private fun hear(vararg frames: ByteArray, sizes: (ByteArray) -> Int = { it.size }) {
+    private fun receive(vararg frames: ByteArray, sizes: (ByteArray) -> Int = { it.size }) {
         val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(sizes(f)).array() + f }
         runBlocking {
             try {
-                PeerListener(listOf("a", "b"), dropped) { peer, m -> heard.add(peer to m) }.hear(ByteReadChannel(bytes))
+                PeerListener(
+                    listOf("a", "b"),
+                    dropped,
+                ) { peer, m -> heard.add(peer to m) }.readFrames(ByteReadChannel(bytes))
             } catch (e: EOFException) {
                 // The connection ended.
             }
@@ -62,7 +65,7 @@
 
     @Test
     fun `a frame of a newer kind is skipped, told, and ends nothing`() {
-        hear(hello, later(Later.Gossip(listOf("x", "y"), mapOf("z" to 1L))), release)
+        receive(hello, later(Later.Gossip(listOf("x", "y"), mapOf("z" to 1L))), release)
         assertEquals(expected, heard.toList<Any>())
         assertEquals(listOf("b gossip"), dropped.newer)
         assertEquals(emptyList<String?>(), dropped.malformed)
@@ -70,7 +73,7 @@
 
     @Test
     fun `a newer version's additional fields are ignored`() {
-        hear(hello, later(Later.Release(7, "tired")))
+        receive(hello, later(Later.Release(7, "tired")))
         assertEquals(expected, heard.toList<Any>())
         assertEquals(0, dropped.newer.size + dropped.malformed.size)
     }
@@ -91,7 +94,7 @@
                     listOf("a", "b"),
                     dropped,
                     { peer, h -> greetings.add(peer to h.version) },
-                ) { _, _ -> }.hear(ByteReadChannel(bytes))
+                ) { _, _ -> }.readFrames(ByteReadChannel(bytes))
             } catch (e: EOFException) {
                 // The connection ended.
             }
@@ -101,17 +104,17 @@
 
     @Test
     fun `a malformed frame is dropped and told, and the next one is heard`() {
-        hear(hello, byteArrayOf(0x42), release.copyOf(release.size - 3), byteArrayOf(0x9f.toByte(), 0x67), release)
+        receive(hello, byteArrayOf(0x42), release.copyOf(release.size - 3), byteArrayOf(0x9f.toByte(), 0x67), release)
         assertEquals(expected, heard.toList<Any>())
         assertEquals(listOf<String?>("b", "b", "b"), dropped.malformed)
     }
 
     @Test
     fun `what cannot be read any further ends the connection and is told`() {
-        hear(hello, release, release) { if (it === hello) it.size else Frames.MAX + 1 }
-        hear(hello, release) { if (it === hello) it.size else -5 }
-        hear(release)
-        hear(Frames.encode(PeerMessage.Hello("stranger", 1)), release)
+        receive(hello, release, release) { if (it === hello) it.size else Frames.MAX + 1 }
+        receive(hello, release) { if (it === hello) it.size else -5 }
+        receive(release)
+        receive(Frames.encode(PeerMessage.Hello("stranger", 1)), release)
         assertEquals(emptyList<Any>(), heard.toList<Any>())
         assertEquals(listOf("b", "b", null, null), dropped.malformed)
     }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/EffectDigest.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/EffectDigest.kt
@@ -1,9 +1,9 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.core.CloudOp
 import org.chalkhollow.core.Effect
 import org.chalkhollow.core.StateOp
-import org.chalkhollow.mesh.Frames
+import org.chalkhollow.peer.Frames
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.ServiceCodec
 import org.chalkhollow.wire.WorkerCodec
--- a/src/test/kotlin/org/chalkhollow/rehearsal/CloudStand.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.core.CloudOp
 import org.chalkhollow.core.CloudReply
@@ -6,23 +6,23 @@
 import org.chalkhollow.wire.ListedMachine
 import org.chalkhollow.wire.ListedPage
 
-/** A stand-in for the cloud: rents stand-in workers, lists them late, takes spot machines back. */
-class CloudStand(
-    private val world: World,
+/** A fake of the cloud: rents fake workers, lists them late, takes spot machines back. */
+class FakeCloud(
+    private val clock: VirtualClock,
     private val network: Network,
     private val types: List<MachineType>,
     private val catalog: List<MachineType>,
     private val capacity: Int,
-    private val makeWorker: (String, MachineType, String, Boolean) -> WorkerStand,
+    private val makeWorker: (String, MachineType, String, Boolean) -> FakeWorker,
 ) {
-    private class Rented(val worker: WorkerStand, val at: Long, val upAt: Long, var failed: Boolean = false)
+    private class Rented(val worker: FakeWorker, val at: Long, val upAt: Long, var failed: Boolean = false)
 
     private val machines = sortedMapOf<String, Rented>()
     private val bookings = HashMap<String, Pair<CloudOp.Rent, List<String>>>()
     private var next = 1
-    val workers: List<WorkerStand> get() = machines.values.map { it.worker }
+    val workers: List<FakeWorker> get() = machines.values.map { it.worker }
 
-    fun worker(name: String): WorkerStand? = machines[name]?.worker
+    fun worker(name: String): FakeWorker? = machines[name]?.worker
 
     fun call(node: String, op: CloudOp, reply: (CloudReply) -> Unit) {
         var answered = false
@@ -33,12 +33,12 @@
                 reply(r)
             }
         }
-        world.after(TIMEOUT_MS) { answer(CloudReply.NoResponse) }
+        clock.after(TIMEOUT_MS) { answer(CloudReply.NoResponse) }
         network.send(node, NAME) {
             if (op is CloudOp.Rent ||
                 op is CloudOp.Delete
             ) {
-                network.copyAfter()?.let { late -> world.after(late) { execute(op) } }
+                network.copyAfter()?.let { late -> clock.after(late) { execute(op) } }
             }
             val result = execute(op)
             network.send(NAME, node) { answer(result) }
@@ -64,7 +64,7 @@
         if (types.none { it.name == op.type }) return CloudReply.NoCapacity
         val n = minOf(op.count, capacity - machines.size)
         if (n <= 0) return CloudReply.NoCapacity
-        val names = List(n) { add(types.first { it.name == op.type }, op.zone, op.spot, world.between(3000, 9000)) }
+        val names = List(n) { add(types.first { it.name == op.type }, op.zone, op.spot, clock.between(3000, 9000)) }
         bookings[op.request] = op to names
         return CloudReply.Rented(names)
     }
@@ -73,20 +73,20 @@
     fun add(type: MachineType, zone: String, spot: Boolean, bootMs: Long): String {
         val name = "n-" + (next++).toString().padStart(6, '0')
         val worker = makeWorker(name, type, zone, spot)
-        val never = bootMs > 0 && world.chance(0.03)
-        val upAt = if (never) Long.MAX_VALUE else world.time + bootMs
-        machines[name] = Rented(worker, world.time, upAt)
-        if (!never) world.after(bootMs) { if (machines.containsKey(name)) worker.boot() }
+        val never = bootMs > 0 && clock.chance(0.03)
+        val upAt = if (never) Long.MAX_VALUE else clock.time + bootMs
+        machines[name] = Rented(worker, clock.time, upAt)
+        if (!never) clock.after(bootMs) { if (machines.containsKey(name)) worker.boot() }
         return name
     }
 
     private fun list(): ListedPage =
         ListedPage(
-            machines.entries.filter { world.time - it.value.at > LAG_MS }.map { (name, r) ->
+            machines.entries.filter { clock.time - it.value.at > LAG_MS }.map { (name, r) ->
                 val status =
                     when {
                         r.failed -> ListedMachine.Status.FAILED
-                        world.time >= r.upAt -> ListedMachine.Status.RUNNING
+                        clock.time >= r.upAt -> ListedMachine.Status.RUNNING
                         else -> ListedMachine.Status.STARTING
                     }
                 ListedMachine(
@@ -96,7 +96,7 @@
                     r.worker.zone,
                     r.worker.spot,
                     status,
-                    (world.time - r.at) / 1000.0,
+                    (clock.time - r.at) / 1000.0,
                 )
             },
             false,
@@ -106,7 +106,7 @@
     fun kill(name: String) {
         val r = machines[name] ?: return
         r.worker.gone()
-        world.after(8000) { r.failed = true }
+        clock.after(8000) { r.failed = true }
     }
 
     companion object {
--- a/src/test/kotlin/org/chalkhollow/rehearsal/StateStand.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.core.StateOp
 import org.chalkhollow.core.StateReply
@@ -8,8 +8,8 @@
 import org.chalkhollow.wire.Rows
 import java.util.TreeMap
 
-/** A stand-in for the state service, as its published protocol describes it. */
-class StateStand(private val world: World, private val network: Network, private val limits: StateLimits) {
+/** A fake of the state service, as its published protocol describes it. */
+class FakeStateService(private val clock: VirtualClock, private val network: Network, private val limits: StateLimits) {
     private class Entry(val value: Any?, val stamp: Long)
 
     private val keys = TreeMap<String, Entry>()
@@ -29,7 +29,7 @@
         set(value) {
             field = value
             tokens = value?.writeRps ?: 0.0
-            refilledAt = world.time
+            refilledAt = clock.time
         }
 
     /** How many transactions were refused for their size and for the rate since the limits were [lowered]. */
@@ -51,8 +51,8 @@
             rejections++
             return StateReply.Rejected(if (large != null) "value of ${large.key} is too large" else "too many changes")
         }
-        tokens = minOf(now.writeRps, tokens + (world.time - refilledAt) * now.writeRps / 1000)
-        refilledAt = world.time
+        tokens = minOf(now.writeRps, tokens + (clock.time - refilledAt) * now.writeRps / 1000)
+        refilledAt = clock.time
         if (tokens < op.changes.size) {
             throttled++
             return StateReply.Unavailable
@@ -65,11 +65,11 @@
     var onWrite: (String, ByteArray?) -> Unit = { _, _ -> }
 
     fun outage(forMs: Long) {
-        outageUntil = world.time + forMs
+        outageUntil = clock.time + forMs
     }
 
     fun refuse(node: String, forMs: Long) {
-        refusedUntil[node] = world.time + forMs
+        refusedUntil[node] = clock.time + forMs
     }
 
     private var lateUntil = 0L
@@ -80,13 +80,13 @@
     /** For [forMs], [share] of the commits get no answer and are carried out 2 to 12 s later, after newer ones. */
     fun lateWrites(share: Double, forMs: Long) {
         lateShare = share
-        lateUntil = world.time + forMs
+        lateUntil = clock.time + forMs
     }
 
     /** For [forMs], answers take about [ms]; requests are carried out somewhere on the way. */
     fun slow(ms: Long, forMs: Long) {
         slowMs = ms
-        slowUntil = world.time + forMs
+        slowUntil = clock.time + forMs
     }
 
     /** Runs [op] for [node]; [reply] comes once, at the latest after the caller's time-out. */
@@ -98,22 +98,22 @@
                 reply(r)
             }
         }
-        world.after(TIMEOUT_MS) { answer(StateReply.NoResponse) }
+        clock.after(TIMEOUT_MS) { answer(StateReply.NoResponse) }
         network.send(node, NAME) {
-            if (op is StateOp.Commit) network.copyAfter()?.let { late -> world.after(late) { if (world.time >= outageUntil) execute(op) } }
-            if (world.time < slowUntil) {
-                world.after(world.between(slowMs / 4, slowMs / 2)) { serve(node, op) { r -> world.after(world.between(slowMs / 4, slowMs)) { answer(r) } } }
+            if (op is StateOp.Commit) network.copyAfter()?.let { late -> clock.after(late) { if (clock.time >= outageUntil) execute(op) } }
+            if (clock.time < slowUntil) {
+                clock.after(clock.between(slowMs / 4, slowMs / 2)) { serve(node, op) { r -> clock.after(clock.between(slowMs / 4, slowMs)) { answer(r) } } }
             } else serve(node, op, ::answer)
         }
     }
 
     private fun serve(node: String, op: StateOp, answer: (StateReply) -> Unit) {
-        if (world.time < outageUntil || world.time < (refusedUntil[node] ?: 0)) {
+        if (clock.time < outageUntil || clock.time < (refusedUntil[node] ?: 0)) {
             network.send(NAME, node) { answer(StateReply.Unavailable) }
             return
         }
-        if (op is StateOp.Commit && world.time < lateUntil && world.chance(lateShare)) {
-            world.after(world.between(2000, 12_000)) { executeOnceUp(op) }
+        if (op is StateOp.Commit && clock.time < lateUntil && clock.chance(lateShare)) {
+            clock.after(clock.between(2000, 12_000)) { executeOnceUp(op) }
             return
         }
         val result = execute(op)
@@ -121,7 +121,7 @@
     }
 
     private fun executeOnceUp(op: StateOp) {
-        if (world.time < outageUntil) world.after(outageUntil - world.time + world.between(1, 50)) { executeOnceUp(op) } else execute(op)
+        if (clock.time < outageUntil) clock.after(outageUntil - clock.time + clock.between(1, 50)) { executeOnceUp(op) } else execute(op)
     }
 
     private fun execute(op: StateOp): StateReply = when (op) {
--- a/src/test/kotlin/org/chalkhollow/rehearsal/WorkerStand.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.core.DirectReply
 import org.chalkhollow.core.Effect
@@ -13,9 +13,9 @@
 import org.chalkhollow.wire.TaskReport
 import org.chalkhollow.wire.WorkerReport
 
-/** A stand-in for a worker: leases, sessions, tokens, reports to one controller at a time, direct commands. */
-class WorkerStand(
-    private val rehearsal: Rehearsal,
+/** A fake of a worker: leases, sessions, tokens, reports to one controller at a time, direct commands. */
+class FakeWorker(
+    private val simulation: Simulation,
     val name: String,
     val type: MachineType,
     val zone: String,
@@ -31,7 +31,7 @@
         val name get() = "$job/$index"
     }
 
-    private val world = rehearsal.world
+    private val clock = simulation.clock
     val tasks = LinkedHashMap<String, Task>()
     private var up = false
     private var dead = false
@@ -53,8 +53,8 @@
 
     fun boot() {
         up = true
-        leaseFrom = world.time
-        target = world.random.nextInt(rehearsal.nodes.size)
+        leaseFrom = clock.time
+        target = clock.random.nextInt(simulation.nodes.size)
         tick()
     }
 
@@ -64,50 +64,50 @@
     }
 
     fun hang(forMs: Long) {
-        hangUntil = world.time + forMs
-        if (rehearsal.verbose) println("${world.time} $name hangs for $forMs")
+        hangUntil = clock.time + forMs
+        if (simulation.verbose) println("${clock.time} $name hangs for $forMs")
     }
 
     private var muteUntil = 0L
 
     /** For [forMs] no connection to any controller can be opened, while direct commands come and are answered. */
     fun mute(forMs: Long) {
-        muteUntil = world.time + forMs
-        if (rehearsal.verbose) println("${world.time} $name is mute for $forMs")
+        muteUntil = clock.time + forMs
+        if (simulation.verbose) println("${clock.time} $name is mute for $forMs")
     }
 
     /** Up, awake, well, not to be taken, and answered lately: a machine that work can be given to. */
     val usable: Boolean
         get() =
-            present && !hanging && !sick && noticeAt == 0L && world.time >= muteUntil &&
-                world.time - leaseFrom < rehearsal.reportMs * 2 + 1000
+            present && !hanging && !sick && noticeAt == 0L && clock.time >= muteUntil &&
+                clock.time - leaseFrom < simulation.reportMs * 2 + 1000
 
-    val hanging: Boolean get() = world.time < hangUntil
+    val hanging: Boolean get() = clock.time < hangUntil
 
     private fun tick() {
         if (dead) return
-        world.after(100) { tick() }
+        clock.after(100) { tick() }
         expire() // a machine that hangs resumes within its lease or not at all with these tasks
         if (hanging) return
-        if (!inFlight && world.time >= reportDueAt) report()
+        if (!inFlight && clock.time >= reportDueAt) report()
     }
 
     private fun expire() {
-        if (world.time - leaseFrom <= leaseMs) return
-        if (rehearsal.verbose) println("${world.time} $name lease over, session $session ends")
+        if (clock.time - leaseFrom <= leaseMs) return
+        if (simulation.verbose) println("${clock.time} $name lease over, session $session ends")
         tasks.clear()
         session++
-        leaseFrom = world.time
+        leaseFrom = clock.time
         changed()
     }
 
     private fun changed() {
-        reportDueAt = minOf(reportDueAt, maxOf(world.time, lastReportAt + 500))
+        reportDueAt = minOf(reportDueAt, maxOf(clock.time, lastReportAt + 500))
     }
 
     private fun snapshot(): WorkerReport {
         seq++
-        val notice = if (noticeAt > 0) (noticeAt - world.time) / 1000.0 else null
+        val notice = if (noticeAt > 0) (noticeAt - clock.time) / 1000.0 else null
         return WorkerReport(
             name,
             name,
@@ -128,9 +128,9 @@
         tasks.clear()
         session++
         token = 0
-        leaseFrom = world.time
+        leaseFrom = clock.time
         lastReportAt = 0
-        reportDueAt = world.time
+        reportDueAt = clock.time
     }
 
     private fun wire(r: WorkerReport): ByteArray =
@@ -159,10 +159,10 @@
 
     /** A copy of a report turns up late, at whichever controller; nobody waits for the answer. */
     private fun copyLater(report: WorkerReport) {
-        val late = rehearsal.network.copyAfter() ?: return
-        world.after(late) {
-            val looks = if (rehearsal.copiesLookNew) report.copy(seq = seq + 1, session = session) else report
-            rehearsal.nodes[world.random.nextInt(rehearsal.nodes.size)].report(wire(looks)) {}
+        val late = simulation.network.copyAfter() ?: return
+        clock.after(late) {
+            val looks = if (simulation.copiesLookNew) report.copy(seq = seq + 1, session = session) else report
+            simulation.nodes[clock.random.nextInt(simulation.nodes.size)].report(wire(looks)) {}
         }
     }
 
@@ -171,24 +171,24 @@
      */
     fun holdReport(afterMs: Long) {
         val body = wire(snapshot())
-        world.after(afterMs) { (rehearsal.nodes.firstOrNull { it.leads } ?: rehearsal.nodes.first()).report(body) {} }
+        clock.after(afterMs) { (simulation.nodes.firstOrNull { it.leads } ?: simulation.nodes.first()).report(body) {} }
     }
 
     /** Keeps a report as it is now, to be delivered whenever what is returned is called. */
-    fun keepReport(): (NodeStand) -> Unit {
+    fun keepReport(): (SimulatedController) -> Unit {
         val body = wire(snapshot())
         return { it.report(body) {} }
     }
 
     /** Sabotage for tests of the checks: takes a start for [job] as if a controller had sent it now. */
     fun startUnasked(job: String) {
-        execute(Command.Start(job, 0, 1_000_000L + world.time), world.time)
+        execute(Command.Start(job, 0, 1_000_000L + clock.time), clock.time)
     }
 
     /** Delivers its last report once more, to every controller. */
     fun repeatLastReport() {
         val body = wire(lastReport ?: return)
-        rehearsal.nodes.forEach { it.report(body) {} }
+        simulation.nodes.forEach { it.report(body) {} }
     }
 
     private var lastReport: WorkerReport? = null
@@ -201,15 +201,15 @@
     private var lastStart: Effect.Direct? = null
 
     private fun report() {
-        if (world.time < muteUntil) return nextNode()
+        if (clock.time < muteUntil) return nextNode()
         val report = snapshot()
         lastReport = report
         copyLater(report)
-        val sentAt = world.time
+        val sentAt = clock.time
         lastReportAt = sentAt
-        reportDueAt = sentAt + world.between(rehearsal.reportMs * 3 / 4, rehearsal.reportMs * 5 / 4)
+        reportDueAt = sentAt + clock.between(simulation.reportMs * 3 / 4, simulation.reportMs * 5 / 4)
         inFlight = true
-        val node = rehearsal.nodes[target]
+        val node = simulation.nodes[target]
         var settled = false
 
         fun settle(run: () -> Unit) {
@@ -218,31 +218,31 @@
             inFlight = false
             run()
         }
-        world.after(4000) { settle(::nextNode) }
-        rehearsal.network.send(name, node.label) {
+        clock.after(4000) { settle(::nextNode) }
+        simulation.network.send(name, node.label) {
             val heard =
                 node.report(wire(report)) { answer ->
-                    val answeredAt = world.time
-                    rehearsal.network.send(node.label, name) {
+                    val answeredAt = clock.time
+                    simulation.network.send(node.label, name) {
                         if (!hanging) settle { answered(answer, report, sentAt, answeredAt) }
                     }
                 }
-            if (!heard) rehearsal.network.send(node.label, name) { settle(::nextNode) }
+            if (!heard) simulation.network.send(node.label, name) { settle(::nextNode) }
         }
     }
 
     private fun nextNode() {
-        target = (target + 1) % rehearsal.nodes.size
-        reportDueAt = world.time + 1000
+        target = (target + 1) % simulation.nodes.size
+        reportDueAt = clock.time + 1000
     }
 
     private fun answered(answer: Effect.Answer, report: WorkerReport, sentAt: Long, answeredAt: Long) {
         val body = answer.body?.let(Pack::decodeMap)
         if (answer.status == 421) {
-            val to = rehearsal.nodes.indexOfFirst { it.label == body?.textOrNull("overseer") }
+            val to = simulation.nodes.indexOfFirst { it.label == body?.textOrNull("overseer") }
             if (to < 0 || to == target) return nextNode()
             target = to
-            reportDueAt = world.time
+            reportDueAt = clock.time
             return
         }
         if (answer.status != 200 || body == null) return nextNode()
@@ -272,13 +272,13 @@
         if (!present) return
         if (e.commands.any { it is Command.Start }) lastStart = e
         if (e !in repeated) {
-            rehearsal.network.copyAfter()?.let { late ->
+            simulation.network.copyAfter()?.let { late ->
                 repeated.add(e)
-                world.after(late) { direct(e, sentAt) {} }
+                clock.after(late) { direct(e, sentAt) {} }
             }
         }
         if (hanging) {
-            world.after(hangUntil - world.time + 1) { direct(e, sentAt, reply) }
+            clock.after(hangUntil - clock.time + 1) { direct(e, sentAt, reply) }
             return
         }
         expire()
@@ -289,7 +289,7 @@
     }
 
     private fun execute(c: Command, sentAt: Long) {
-        if (rehearsal.verbose) println("${world.time} $name $c token $token session $session")
+        if (simulation.verbose) println("${clock.time} $name $c token $token session $session")
         val key = "${c.jobId}/${c.index}#${c.attempt}"
         val known = tasks[key]
         when (c) {
@@ -305,7 +305,7 @@
      * without any.
      */
     private fun stop(task: Task, graceS: Double, key: String) {
-        val spec = rehearsal.users.spec(task.job)
+        val spec = simulation.users.spec(task.job)
         when {
             task.phase == TaskReport.Phase.SAVING -> if (graceS <= 0.0) exit(task, ExitCause.HALTED)
             task.phase == TaskReport.Phase.RUNNING && spec != null && spec.checkpointS > 0 && graceS >= spec.saveS -> {
@@ -319,13 +319,13 @@
     private fun start(key: String, c: Command.Start, sentAt: Long) {
         val task = Task(c.jobId, c.index, c.attempt, sentAt)
         val same = tasks.values.any { it.name == task.name && it.phase != TaskReport.Phase.EXITED }
-        val spec = rehearsal.users.spec(c.jobId)
+        val spec = simulation.users.spec(c.jobId)
         tasks[key] = task
         when {
             spec == null -> exit(task, ExitCause.NO_SUCH)
             same -> exit(task, ExitCause.BUSY)
             usedCpus() > type.room.cpus + 1e-6 -> exit(task, ExitCause.FULL)
-            else -> at(task, world.between(200, 3000), key) { begin(task, spec, key) }
+            else -> at(task, clock.between(200, 3000), key) { begin(task, spec, key) }
         }
     }
 
@@ -337,7 +337,7 @@
         val here =
             tasks.values
                 .filter { it.phase != TaskReport.Phase.EXITED }
-                .mapNotNull { rehearsal.users.spec(it.job) }
+                .mapNotNull { simulation.users.spec(it.job) }
                 .filter { !stopsLower || it.priority <= spec.priority }
         return here.sumOf { it.each.cpus } + spec.each.cpus <= type.room.cpus + 1e-6 &&
             here.sumOf { it.each.memoryGb } + spec.each.memoryGb <= type.room.memoryGb + 1e-6
@@ -345,7 +345,7 @@
 
     private fun usedCpus(): Double =
         tasks.values.filter { it.phase != TaskReport.Phase.EXITED }.sumOf {
-            rehearsal.users
+            simulation.users
                 .spec(it.job)
                 ?.each
                 ?.cpus
@@ -354,19 +354,19 @@
 
     private fun begin(task: Task, spec: JobSpec, key: String) {
         task.phase = TaskReport.Phase.RUNNING
-        rehearsal.rules.touched()
-        rehearsal.rules.started(task, spec, this)
+        simulation.rules.touched()
+        simulation.rules.started(task, spec, this)
         changed()
         if (spec.shape == Shape.SERVICE) return serve(task, key)
         if (task.name in completed) return exit(task, ExitCause.DONE)
-        val ms = (spec.expectedS * 1000 * (0.5 + world.random.nextDouble())).toLong()
-        task.endsAt = world.time + ms
-        rehearsal.users.runs(task, ms)
+        val ms = (spec.expectedS * 1000 * (0.5 + clock.random.nextDouble())).toLong()
+        task.endsAt = clock.time + ms
+        simulation.users.runs(task, ms)
         at(task, if (sick) 300 else ms, key) {
             if (task.phase != TaskReport.Phase.RUNNING) return@at // it was told to save and ends by that
             if (!sick) {
                 completed.add(task.name)
-                rehearsal.rules.completed(task)
+                simulation.rules.completed(task)
             }
             exit(task, if (sick) ExitCause.ERROR else ExitCause.DONE)
         }
@@ -391,10 +391,10 @@
 
     /** Goes on with [task] later, if it is still there; a hanging machine goes on when it resumes. */
     private fun at(task: Task, ms: Long, key: String, run: () -> Unit) {
-        world.after(ms) {
+        clock.after(ms) {
             if (dead || tasks[key] !== task || task.phase == TaskReport.Phase.EXITED) return@after
             if (hanging) {
-                at(task, hangUntil - world.time + 1, key, run)
+                at(task, hangUntil - clock.time + 1, key, run)
             } else {
                 expire()
                 if (tasks[key] === task) run()
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Troubles.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultInjection.kt
@@ -1,64 +1,64 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
-/** Draws troubles of every kind that the protocol names, alone and on top of each other. */
-class Troubles(private val r: Rehearsal) {
-    private val world = r.world
+/** Draws faults of every kind that the protocol names, alone and on top of each other. */
+class FaultInjection(private val r: Simulation) {
+    private val clock = r.clock
 
     fun draw(count: Int, fromMs: Long, toMs: Long) {
-        repeat(count) { world.after(world.between(fromMs, toMs)) { one() } }
+        repeat(count) { clock.after(clock.between(fromMs, toMs)) { one() } }
     }
 
     private fun one() {
-        if (r.verbose) println("${world.time} -- trouble")
-        val node = r.nodes[world.random.nextInt(r.nodes.size)]
+        if (r.verbose) println("${clock.time} -- fault")
+        val node = r.nodes[clock.random.nextInt(r.nodes.size)]
         val worker =
             r.cloud.workers.filter { it.present }.let {
                 if (it.isEmpty()) {
                     null
                 } else {
                     it[
-                        world.random.nextInt(
+                        clock.random.nextInt(
                             it.size,
                         ),
                     ]
                 }
             }
-        when (world.random.nextInt(KINDS)) {
-            0 -> crash(node, world.between(5000, 9000))
-            1 -> crash(node, world.between(50, 500))
-            2 -> r.nodes.filter { it.leads }.forEach { crash(it, world.between(3000, 9000)) }
-            3 -> r.nodes.forEach { crash(it, world.between(3000, 9000)) }
-            4 -> r.state.outage(world.between(2000, 25_000))
-            5 -> r.state.refuse(node.label, world.between(3000, 20_000))
+        when (clock.random.nextInt(KINDS)) {
+            0 -> crash(node, clock.between(5000, 9000))
+            1 -> crash(node, clock.between(50, 500))
+            2 -> r.nodes.filter { it.leads }.forEach { crash(it, clock.between(3000, 9000)) }
+            3 -> r.nodes.forEach { crash(it, clock.between(3000, 9000)) }
+            4 -> r.state.outage(clock.between(2000, 25_000))
+            5 -> r.state.refuse(node.label, clock.between(3000, 20_000))
             6 ->
                 r.nodes
                     .filter {
                         it !== node
-                    }.forEach { r.network.cut(node.label, it.label, world.between(3000, 20_000), world.chance(0.5)) }
+                    }.forEach { r.network.cut(node.label, it.label, clock.between(3000, 20_000), clock.chance(0.5)) }
             7 ->
                 worker?.let { w ->
-                    r.nodes.forEach { r.network.cut(it.label, w.name, world.between(3000, 30_000), world.chance(0.6)) }
+                    r.nodes.forEach { r.network.cut(it.label, w.name, clock.between(3000, 30_000), clock.chance(0.6)) }
                 }
-            8 -> worker?.hang(world.between(1000, 15_000))
+            8 -> worker?.hang(clock.between(1000, 15_000))
             9 -> worker?.let { r.cloud.kill(it.name) }
             10 ->
                 worker?.let { w ->
                     w.sick = true
-                    world.after(20_000) { w.sick = false }
+                    clock.after(20_000) { w.sick = false }
                 }
             11 ->
                 worker?.let { w ->
-                    r.nodes.forEach { r.network.cutOneWay(it.label, w.name, world.between(5000, 40_000)) }
+                    r.nodes.forEach { r.network.cutOneWay(it.label, w.name, clock.between(5000, 40_000)) }
                 }
-            12 -> isolate(node, world.between(3000, 30_000), world.chance(0.5))
-            13 -> r.nodes.filter { it.leads || world.chance(0.3) }.forEach { flap(it, 1 + world.random.nextInt(4)) }
+            12 -> isolate(node, clock.between(3000, 30_000), clock.chance(0.5))
+            13 -> r.nodes.filter { it.leads || clock.chance(0.3) }.forEach { flap(it, 1 + clock.random.nextInt(4)) }
             14 -> worker?.reboot()
             else ->
                 r.network.cut(
                     node.label,
-                    if (world.chance(0.5)) StateStand.NAME else CloudStand.NAME,
-                    world.between(2000, 15_000),
-                    world.chance(0.5),
+                    if (clock.chance(0.5)) FakeStateService.NAME else FakeCloud.NAME,
+                    clock.between(2000, 15_000),
+                    clock.chance(0.5),
                 )
         }
     }
@@ -67,17 +67,17 @@
     fun mass(kind: Int) {
         val up = r.cloud.workers.filter { it.present }
 
-        fun some(share: Int) = up.filter { world.random.nextInt(share) == 0 }
+        fun some(share: Int) = up.filter { clock.random.nextInt(share) == 0 }
         when (kind) {
             0 -> some(15).forEach { r.cloud.kill(it.name) }
-            1 -> some(12).forEach { it.hang(world.between(10_000, 35_000)) }
+            1 -> some(12).forEach { it.hang(clock.between(10_000, 35_000)) }
             2 ->
-                up.filter { it.spot && world.chance(0.5) }.forEach { w ->
-                    world.after(world.between(0, 5000)) { r.cloud.kill(w.name) }
+                up.filter { it.spot && clock.chance(0.5) }.forEach { w ->
+                    clock.after(clock.between(0, 5000)) { r.cloud.kill(w.name) }
                 }
             3 -> cutZone(r.zones.last(), 47_000)
-            4 -> r.nodes.forEach { crash(it, world.between(200, 8000)) }
-            5 -> r.nodes.forEachIndexed { i, n -> world.after(i * 12_000L) { crash(n, 8000) } }
+            4 -> r.nodes.forEach { crash(it, clock.between(200, 8000)) }
+            5 -> r.nodes.forEachIndexed { i, n -> clock.after(i * 12_000L) { crash(n, 8000) } }
             6 ->
                 r.nodes.filter { it.leads }.forEach { n ->
                     up.forEach { r.network.cut(n.label, it.name, 37_000, true) }
@@ -98,25 +98,25 @@
                 r.cloud.workers
                     .filter { it.zone != zone }
                     .map { it.name } +
-                listOf(StateStand.NAME, CloudStand.NAME, Users.USERS)
+                listOf(FakeStateService.NAME, FakeCloud.NAME, Users.USERS)
         for (a in inside) for (b in outside) r.network.cut(a, b, forMs, true)
     }
 
     /** A controller loses the state service and its peers, while workers and users still reach it. */
-    fun isolate(node: NodeStand, forMs: Long, holds: Boolean) {
-        r.network.cut(node.label, StateStand.NAME, forMs, holds)
+    fun isolate(node: SimulatedController, forMs: Long, holds: Boolean) {
+        r.network.cut(node.label, FakeStateService.NAME, forMs, holds)
         r.nodes.filter { it !== node }.forEach { r.network.cut(node.label, it.label, forMs, holds) }
     }
 
     /** A process ends and is back in no time, over and over, so that some of it falls into an election. */
-    fun flap(node: NodeStand, times: Int) {
-        crash(node, world.between(50, 500))
-        if (times > 1) world.after(world.between(500, 3500)) { flap(node, times - 1) }
+    fun flap(node: SimulatedController, times: Int) {
+        crash(node, clock.between(50, 500))
+        if (times > 1) clock.after(clock.between(500, 3500)) { flap(node, times - 1) }
     }
 
-    private fun crash(node: NodeStand, backAfterMs: Long) {
+    private fun crash(node: SimulatedController, backAfterMs: Long) {
         node.crash()
-        world.after(backAfterMs) { node.start() }
+        clock.after(backAfterMs) { node.start() }
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Stage.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Resources
@@ -6,13 +6,14 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * A day on which troubles meet on purpose: work under way when they begin at [START_MS], and what must hold at its end.
+ * A day on which faults coincide on purpose: work under way when they begin at [START_MS], and what must hold at its
+ * end.
  */
-class Stage(seed: Long, leaseMs: Long = 16_000, verbose: Boolean = false, controllers: Int = 3) {
+class FaultScenario(seed: Long, leaseMs: Long = 16_000, verbose: Boolean = false, controllers: Int = 3) {
     val r =
-        Rehearsal(seed, leaseMs = leaseMs, toldLeaseS = leaseMs / 1000.0, controllers = controllers, verbose = verbose)
-    val troubles = Troubles(r)
-    val world get() = r.world
+        Simulation(seed, leaseMs = leaseMs, toldLeaseS = leaseMs / 1000.0, controllers = controllers, verbose = verbose)
+    val faults = FaultInjection(r)
+    val clock get() = r.clock
 
     /** Jobs that run for minutes. */
     val long = ArrayList<String>()
@@ -32,16 +33,16 @@
         r.users.cancel(id)
     }
 
-    fun leader(): NodeStand? = r.nodes.firstOrNull { it.leads }
+    fun leader(): SimulatedController? = r.nodes.firstOrNull { it.leads }
 
     fun at(ms: Long, run: () -> Unit) {
-        world.after(ms - world.time, run)
+        clock.after(ms - clock.time, run)
     }
 
     /** Machines that run something now. */
-    fun busy(): List<WorkerStand> = r.cloud.workers.filter { it.onMachine().isNotEmpty() }
+    fun busy(): List<FakeWorker> = r.cloud.workers.filter { it.onMachine().isNotEmpty() }
 
-    /** Short jobs that go on arriving, and [long] ones that run from before the troubles. */
+    /** Short jobs that go on arriving, and [long] ones that run from before the faults. */
     fun begin(jobs: Int = 24, long: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
         r.begin(jobs, overMs, machines = 6)
         repeat(long) { i ->
@@ -82,7 +83,7 @@
             dueS = null,
         )
 
-    /** Plays the day; its troubles are over at [calmMs]. */
+    /** Plays the day; its faults are over at [calmMs]. */
     fun play(calmMs: Long, servesAll: Boolean = true) {
         at(calmMs) {
             r.network.copies = 0.0
@@ -90,7 +91,7 @@
             r.users.cancelAtEnd = 0.0
         }
         r.rules.calmFrom = calmMs
-        world.runUntil(calmMs + AFTER_MS)
+        clock.runUntil(calmMs + AFTER_MS)
         holds()
         if (servesAll) assertEquals(emptyList<String>(), r.rules.starved())
     }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/RollingUpgrade.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RollingUpgrade.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.settings.StateLimits
 
@@ -8,12 +8,12 @@
  * the state service has the limits [then].
  */
 class RollingUpgrade(
-    private val r: Rehearsal,
+    private val r: Simulation,
     private val next: StateLimits,
     private val atOnce: Int,
     private val then: StateLimits = next,
 ) {
-    private val world = r.world
+    private val clock = r.clock
 
     /** When all controllers ran the new version, and when the limits were lowered. */
     var allNewAt = Long.MAX_VALUE
@@ -26,7 +26,7 @@
     }
 
     /** Whoever starts connects to all that run, and they to it. */
-    private fun greetings(node: NodeStand) {
+    private fun greetings(node: SimulatedController) {
         for (other in r.nodes) {
             if (other === node || !other.alive) continue
             other.greet(r.indexAt(other.label, node.label), node.label, node.version)
@@ -35,27 +35,27 @@
     }
 
     fun begin(fromMs: Long) {
-        val order = r.nodes.sortedBy { world.random.nextInt() }.chunked(atOnce)
+        val order = r.nodes.sortedBy { clock.random.nextInt() }.chunked(atOnce)
         var at = fromMs
         for (group in order) {
-            world.after(at) { group.forEach(::replace) }
-            at += world.between(9000, 20_000)
+            clock.after(at) { group.forEach(::replace) }
+            at += clock.between(9000, 20_000)
         }
-        world.after(at) { awaitNew() }
+        clock.after(at) { awaitNew() }
     }
 
-    private fun replace(node: NodeStand) {
+    private fun replace(node: SimulatedController) {
         node.crash()
         node.upgrade(r.settingsWith(node.label, next))
-        world.after(world.between(4000, 8000)) { node.start() }
+        clock.after(clock.between(4000, 8000)) { node.start() }
     }
 
     private fun awaitNew() {
-        if (r.nodes.any { !it.alive }) return world.after(200) { awaitNew() }
-        allNewAt = world.time
-        world.after(world.between(100, 15_000)) {
+        if (r.nodes.any { !it.alive }) return clock.after(200) { awaitNew() }
+        allNewAt = clock.time
+        clock.after(clock.between(100, 15_000)) {
             r.state.lowered = then
-            loweredAt = world.time
+            loweredAt = clock.time
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Rules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
@@ -1,13 +1,13 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
 import org.chalkhollow.wire.TaskReport
 
-/** The rules of the protocol, held against what the stand-ins see; [check] runs after each step. */
-class Rules(private val rehearsal: Rehearsal) {
+/** The rules of the protocol, held against what the fakes see; [check] runs after each step. */
+class Rules(private val simulation: Simulation) {
     val violations = ArrayList<String>()
-    private val world = rehearsal.world
+    private val clock = simulation.clock
     private val acceptedIds = HashSet<String>()
     private val finalTold = HashMap<String, String>()
     private val finalToldAt = HashMap<String, Long>()
@@ -20,7 +20,7 @@
         private set
 
     /** When replicas of services ran. */
-    val services = ServiceRules(rehearsal)
+    val services = ServiceRules(simulation)
 
     /** Tasks that have begun at least once, by job. */
     private val begun = HashMap<String, HashSet<Int>>()
@@ -31,16 +31,16 @@
     /** Accepted jobs whose end nobody was told yet. */
     fun pending(): List<String> =
         acceptedIds.filter { it !in finalTold }.sorted().map { id ->
-            "$id: ${done[id]?.size ?: 0} of ${rehearsal.users.spec(id)?.tasks} tasks, ${rehearsal.users.spec(id)}"
+            "$id: ${done[id]?.size ?: 0} of ${simulation.users.spec(id)?.tasks} tasks, ${simulation.users.spec(id)}"
         }
 
     fun broken(rule: String, what: String) {
-        if (violations.size < 20) violations.add("$rule at ${world.time}: $what")
+        if (violations.size < 20) violations.add("$rule at ${clock.time}: $what")
     }
 
-    fun started(task: WorkerStand.Task, spec: JobSpec, on: WorkerStand) {
+    fun started(task: FakeWorker.Task, spec: JobSpec, on: FakeWorker) {
         starts++
-        begunAt.putIfAbsent(task.job, world.time)
+        begunAt.putIfAbsent(task.job, clock.time)
         begun.getOrPut(task.job) { HashSet() }.add(task.index)
         val cancelled = cancelledAt[task.job]
         if (cancelled != null &&
@@ -48,7 +48,7 @@
         ) {
             broken("ran_cancelled", "${task.name} was told to start after its user was told that it is cancelled")
         }
-        for (w in rehearsal.cloud.workers) {
+        for (w in simulation.cloud.workers) {
             if (w !== on &&
                 w.onMachine().any { it.name == task.name }
             ) {
@@ -62,7 +62,7 @@
         }
         if (spec.zone != null && spec.zone != on.zone) broken("wrong_place", "${task.name} in ${on.zone}")
         if (on.spot && !spec.spotAllowed) broken("wrong_place", "${task.name} on a spot machine")
-        val zones = rehearsal.cloud.workers.flatMap { w -> w.onMachine().filter { it.job == spec.id }.map { w.zone } }
+        val zones = simulation.cloud.workers.flatMap { w -> w.onMachine().filter { it.job == spec.id }.map { w.zone } }
         if (spec.together && zones.toSet().size > 1) broken("wrong_place", "${spec.id} is in two zones")
         if (spec.spread &&
             zones.count { it == on.zone } > (spec.tasks + 1) / 2
@@ -71,11 +71,11 @@
         }
     }
 
-    fun completed(task: WorkerStand.Task) {
+    fun completed(task: FakeWorker.Task) {
         val ended = done.getOrPut(task.job) { HashSet() }
-        if (ended.add(task.index) && ended.size == rehearsal.users.spec(task.job)?.tasks) {
-            endedAt[task.job] = world.time
-            rehearsal.users.ended(task.job)
+        if (ended.add(task.index) && ended.size == simulation.users.spec(task.job)?.tasks) {
+            endedAt[task.job] = clock.time
+            simulation.users.ended(task.job)
         }
     }
 
@@ -86,15 +86,15 @@
     val onTimeCount: Int
         get() =
             acceptedIds.count { id ->
-                val dueS = rehearsal.users.spec(id)?.dueS
+                val dueS = simulation.users.spec(id)?.dueS
                 val end = endedAt[id]
                 dueS != null && end != null && end - acceptedAt.getValue(id) <= dueS * 1000
             }
 
     /** Whether all other tasks of its job are done. */
-    fun isLast(task: WorkerStand.Task): Boolean {
+    fun isLast(task: FakeWorker.Task): Boolean {
         val ended = done[task.job] ?: emptySet()
-        return task.index !in ended && ended.size + 1 == rehearsal.users.spec(task.job)?.tasks
+        return task.index !in ended && ended.size + 1 == simulation.users.spec(task.job)?.tasks
     }
 
     /** Whether a user was told that [id] is over. */
@@ -112,10 +112,10 @@
 
     /** Notes that a user was told that [id] is accepted; true the first time. */
     fun accepted(id: String): Boolean {
-        acceptedAt.putIfAbsent(id, world.time)
+        acceptedAt.putIfAbsent(id, clock.time)
         val first = acceptedIds.add(id)
         if (first) {
-            rehearsal.users
+            simulation.users
                 .spec(id)
                 ?.takeIf { it.shape == Shape.SERVICE }
                 ?.let(services::accepted)
@@ -134,7 +134,7 @@
         services.share(
             id,
             acceptedAt.getValue(id) + afterMs,
-            wantedAt[id] ?: world.time,
+            wantedAt[id] ?: clock.time,
         )
 
     fun refused(id: String, status: Int) {
@@ -152,7 +152,7 @@
 
     fun asksToCancel(id: String) {
         if (isDone(id)) return
-        if (wanted.add(id)) wantedAt[id] = world.time
+        if (wanted.add(id)) wantedAt[id] = clock.time
     }
 
     /**
@@ -164,8 +164,8 @@
         if (before != null && before != status && askedAt <= (finalToldAt[id] ?: 0L)) return
         if (before != null && before != status) broken("went_back", "$id was $before and is now $status")
         if (status == "done") {
-            val tasks = rehearsal.users.spec(id)?.tasks ?: 0
-            if (rehearsal.users.spec(id)?.shape ==
+            val tasks = simulation.users.spec(id)?.tasks ?: 0
+            if (simulation.users.spec(id)?.shape ==
                 Shape.SERVICE
             ) {
                 broken("not_done", "$id is a service, which is never done")
@@ -175,17 +175,17 @@
                 broken("not_done", "$id has ${done[id]?.size ?: 0} of $tasks tasks done")
             }
             finalTold[id] = status
-            finalToldAt.putIfAbsent(id, world.time)
+            finalToldAt.putIfAbsent(id, clock.time)
         }
         if (status == "aborted") {
             if (id !in wanted) broken("went_back", "$id was not cancelled by its user")
             finalTold[id] = status
-            finalToldAt.putIfAbsent(id, world.time)
-            cancelledAt.putIfAbsent(id, world.time)
+            finalToldAt.putIfAbsent(id, clock.time)
+            cancelledAt.putIfAbsent(id, clock.time)
         }
     }
 
-    /** When the last trouble ends; what has to hold from then on is checked from then on. */
+    /** When the last fault ends; what has to hold from then on is checked from then on. */
     var calmFrom = Long.MAX_VALUE
     private val answeredAt = HashMap<String, Long>()
     private val acceptedAt = HashMap<String, Long>()
@@ -194,19 +194,19 @@
 
     /** A poll about [id] was answered. */
     fun answered(id: String) {
-        answeredAt[id] = world.time
+        answeredAt[id] = clock.time
     }
 
-    /** Once all troubles are over, each open job's user gets an answer now and then, however others fare. */
+    /** Once all faults are over, each open job's user gets an answer now and then, however others fare. */
     private fun checkSlowly() {
-        if (world.time < slowChecksAt) return
-        slowChecksAt = world.time + 1000
-        if (world.time < calmFrom) return
+        if (clock.time < slowChecksAt) return
+        slowChecksAt = clock.time + 1000
+        if (clock.time < calmFrom) return
         for (id in acceptedIds) {
             if (id in finalTold) continue
             if (id in wanted) {
                 val since = maxOf(calmFrom, wantedAt[id] ?: 0)
-                if (world.time - since >
+                if (clock.time - since >
                     UNANSWERED_MS
                 ) {
                     broken("forgotten", "$id: its cancellation was not answered since $since")
@@ -214,15 +214,15 @@
                 continue
             }
             val since = maxOf(calmFrom, acceptedAt[id] ?: 0, answeredAt[id] ?: 0)
-            if (world.time - since > UNANSWERED_MS) broken("forgotten", "$id: no answer since $since")
+            if (clock.time - since > UNANSWERED_MS) broken("forgotten", "$id: no answer since $since")
         }
         checkWaiting()
     }
 
     /** At no moment may two controllers take themselves for entitled. */
     private fun checkLeaders() {
-        var leading: NodeStand? = null
-        for (n in rehearsal.nodes) {
+        var leading: SimulatedController? = null
+        for (n in simulation.nodes) {
             if (!n.leads) continue
             if (leading != null) broken("two_lead", "${leading.label}, ${n.label}")
             leading = n
@@ -230,12 +230,12 @@
     }
 
     /**
-     * Once all troubles are over, no task waits for long while a machine that fits has room and its team is under its
+     * Once all faults are over, no task waits for long while a machine that fits has room and its team is under its
      * limit.
      */
     private fun checkWaiting() {
         val placed =
-            rehearsal.cloud.workers.filter { it.present }.flatMap { w ->
+            simulation.cloud.workers.filter { it.present }.flatMap { w ->
                 w.tasks.values
                     .filter {
                         it.phase !=
@@ -244,10 +244,10 @@
             }
         val byJob = placed.groupBy { it.first.job }
         val used = HashMap<String, Double>()
-        for ((t, _) in placed) rehearsal.users.spec(t.job)?.let { used.merge(it.team, it.each.cpus, Double::plus) }
-        val usable = rehearsal.cloud.workers.filter { it.usable }
+        for ((t, _) in placed) simulation.users.spec(t.job)?.let { used.merge(it.team, it.each.cpus, Double::plus) }
+        val usable = simulation.cloud.workers.filter { it.usable }
         for (id in acceptedIds) {
-            val spec = rehearsal.users.spec(id)
+            val spec = simulation.users.spec(id)
             val here = byJob[id] ?: emptyList()
             val ended = done[id] ?: emptySet()
             val waits =
@@ -258,13 +258,13 @@
                 waitingSince.remove(id)
                 continue
             }
-            val since = waitingSince.getOrPut(id) { world.time }
-            if (world.time - since > WAITING_MS) {
+            val since = waitingSince.getOrPut(id) { clock.time }
+            if (clock.time - since > WAITING_MS) {
                 broken(
                     "left_waiting",
                     "$id: a machine that fits has had room since $since: $spec, ${here.size} of its tasks are on machines, ${ended.size} done",
                 )
-                waitingSince[id] = world.time
+                waitingSince[id] = clock.time
             }
         }
         services.checkDown(::isOpen) { couldBegin(it, byJob[it.id] ?: emptyList(), used, usable, stopsLower = true) }
@@ -272,12 +272,12 @@
 
     private fun couldBegin(
         spec: JobSpec,
-        here: List<Pair<WorkerStand.Task, WorkerStand>>,
+        here: List<Pair<FakeWorker.Task, FakeWorker>>,
         used: Map<String, Double>,
-        usable: List<WorkerStand>,
+        usable: List<FakeWorker>,
         stopsLower: Boolean = false,
     ): Boolean {
-        val limit = rehearsal.limits.first { it.name == spec.team }.cpusMax
+        val limit = simulation.limits.first { it.name == spec.team }.cpusMax
         if ((used[spec.team] ?: 0.0) + spec.each.cpus > limit + 1e-6) return false
         return usable.any { w ->
             (spec.types == null || w.type.name in spec.types) && (spec.zone == null || spec.zone == w.zone) &&
@@ -291,7 +291,7 @@
      * To be called when a day is over: what was put off for good, by class, by team, and among a class's largest jobs.
      */
     fun starved(): List<String> {
-        val jobs = acceptedIds.filter { it !in wanted }.mapNotNull { rehearsal.users.spec(it) }
+        val jobs = acceptedIds.filter { it !in wanted }.mapNotNull { simulation.users.spec(it) }
 
         fun served(some: List<JobSpec>) =
             some.count {
@@ -310,7 +310,7 @@
             if (served(largest) * 2 < largest.size) out.add("largest of $name: ${served(largest)} of ${largest.size}")
             for (job in largest) {
                 val from = acceptedAt.getValue(job.id)
-                val waited = (begunAt[job.id] ?: world.time) - from
+                val waited = (begunAt[job.id] ?: clock.time) - from
                 if (waited > BEGIN_MS) out.add("${job.id}, among the largest of $name, waited $waited ms")
             }
         }
@@ -330,23 +330,23 @@
         checkLeaders()
         services.sample()
         checkSlowly()
-        if (!touched && world.time < fullCheckAt) return
+        if (!touched && clock.time < fullCheckAt) return
         touched = false
-        fullCheckAt = world.time + 200
+        fullCheckAt = clock.time + 200
         val usage = HashMap<String, Double>()
-        for (w in rehearsal.cloud.workers) {
+        for (w in simulation.cloud.workers) {
             for (t in w.onMachine()) {
-                val spec = rehearsal.users.spec(t.job) ?: continue
+                val spec = simulation.users.spec(t.job) ?: continue
                 usage.merge(spec.team, spec.each.cpus, Double::plus)
                 val since = cancelledAt[t.job]
                 if (since != null &&
-                    world.time - since > rehearsal.cancelMs
+                    clock.time - since > simulation.cancelMs
                 ) {
                     broken("ran_cancelled", "${t.name} on ${w.name}")
                 }
             }
         }
-        for (team in rehearsal.limits) {
+        for (team in simulation.limits) {
             val used = usage[team.name] ?: continue
             if (used > team.cpusMax + 1e-6) broken("quota", "${team.name} uses $used of ${team.cpusMax}")
         }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/ServiceRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.wire.TaskReport
@@ -7,8 +7,8 @@
  * What is counted of services, whose tasks (replicas) run until they are withdrawn: when each ran, and which is down
  * for too long.
  */
-class ServiceRules(private val rehearsal: Rehearsal) {
-    private val world = rehearsal.world
+class ServiceRules(private val simulation: Simulation) {
+    private val clock = simulation.clock
     private val services = ArrayList<JobSpec>()
 
     /** Since when a replica runs, by name, and the spans of time in which it ran before. */
@@ -23,10 +23,10 @@
 
     /** Notes which replicas run; one on a machine that hangs does not. */
     fun sample() {
-        if (services.isEmpty() || world.time < sampledAt + SAMPLE_MS) return
-        sampledAt = world.time
+        if (services.isEmpty() || clock.time < sampledAt + SAMPLE_MS) return
+        sampledAt = clock.time
         val running =
-            rehearsal.cloud.workers
+            simulation.cloud.workers
                 .filter { !it.hanging }
                 .flatMap { it.onMachine() }
                 .filter { it.phase == TaskReport.Phase.RUNNING }
@@ -35,10 +35,10 @@
             for (name in names(spec)) {
                 val since = upSince[name]
                 if (name in running) {
-                    if (since == null) upSince[name] = world.time
+                    if (since == null) upSince[name] = clock.time
                 } else if (since != null) {
                     upSince.remove(name)
-                    spans.getOrPut(name) { ArrayList() }.add(since..world.time)
+                    spans.getOrPut(name) { ArrayList() }.add(since..clock.time)
                 }
             }
         }
@@ -55,10 +55,10 @@
                 continue
             }
             for (name in down) {
-                val since = downSince.getOrPut(name) { world.time }
-                if (world.time - since <= DOWN_MS) continue
-                rehearsal.rules.broken("replica_down", "$name is down since $since: $spec")
-                downSince[name] = world.time
+                val since = downSince.getOrPut(name) { clock.time }
+                if (clock.time - since <= DOWN_MS) continue
+                simulation.rules.broken("replica_down", "$name is down since $since: $spec")
+                downSince[name] = clock.time
             }
         }
     }
@@ -83,11 +83,11 @@
                 longest = maxOf(longest, span.first - last)
                 last = maxOf(last, span.last)
             }
-            maxOf(longest, world.time - last)
+            maxOf(longest, clock.time - last)
         }
 
     private fun ran(name: String): List<LongRange> =
-        (spans[name] ?: emptyList()) + listOfNotNull(upSince[name]?.let { it..world.time })
+        (spans[name] ?: emptyList()) + listOfNotNull(upSince[name]?.let { it..clock.time })
 
     private fun specOf(id: String): JobSpec = services.first { it.id == id }
 
--- a/src/test/kotlin/org/chalkhollow/rehearsal/NodeStand.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.core.Controller
 import org.chalkhollow.core.Effect
@@ -7,23 +7,23 @@
 import org.chalkhollow.core.Now
 import org.chalkhollow.core.StatusView
 import org.chalkhollow.core.UserAsk
-import org.chalkhollow.mesh.Frames
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.Frames
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.ReportReader
 
 /** One controller process: the real state machine, with a clock of its own, that can be killed and started again. */
-class NodeStand(
-    private val rehearsal: Rehearsal,
+class SimulatedController(
+    private val simulation: Simulation,
     val label: String,
     private var settings: PlatformSettings,
     private val options: OperatorSettings,
 ) {
-    private val world = rehearsal.world
-    private val drift = 1.0 + world.random.nextDouble() * 0.0005
-    private val offset = world.between(0, 1_000_000)
-    private val skew = world.between(-25, 25)
+    private val clock = simulation.clock
+    private val drift = 1.0 + clock.random.nextDouble() * 0.0005
+    private val offset = clock.between(0, 1_000_000)
+    private val skew = clock.between(-25, 25)
     private var controller: Controller? = null
     private var life = 0
     private val calls = HashMap<Int, (Effect.Answer) -> Unit>()
@@ -38,7 +38,7 @@
 
     fun jobStatus(id: String): JobView? = controller?.jobStatus(now(), id)
 
-    private fun now() = Now(offset + (world.time * drift).toLong(), 1_700_000_000_000 + world.time + skew)
+    private fun now() = Now(offset + (clock.time * drift).toLong(), 1_700_000_000_000 + clock.time + skew)
 
     /** The version that this process runs, as it tells the others. */
     var version = 0
@@ -68,9 +68,9 @@
         if (alive) return
         life++
         reports = ReportReader()
-        controller = Controller(settings, options, world.random.nextLong(1, Long.MAX_VALUE), now())
+        controller = Controller(settings, options, clock.random.nextLong(1, Long.MAX_VALUE), now())
         feed(Input.Tick)
-        rehearsal.onStart(this)
+        simulation.onStart(this)
     }
 
     fun crash() {
@@ -108,24 +108,24 @@
             if (life == inLife) feed(make())
         }
         for (e in effects) {
-            rehearsal.onEffect(world.time, label, e)
+            simulation.onEffect(clock.time, label, e)
             when (e) {
                 is Effect.Answer -> calls.remove(e.call)?.invoke(e)
-                is Effect.State -> rehearsal.state.call(label, e.op) { r -> back { Input.State(e.ticket, r) } }
-                is Effect.Cloud -> rehearsal.cloud.call(label, e.op) { r -> back { Input.Cloud(e.ticket, r) } }
-                is Effect.Direct -> rehearsal.direct(label, e) { r -> back { Input.Direct(e.ticket, r) } }
+                is Effect.State -> simulation.state.call(label, e.op) { r -> back { Input.State(e.ticket, r) } }
+                is Effect.Cloud -> simulation.cloud.call(label, e.op) { r -> back { Input.Cloud(e.ticket, r) } }
+                is Effect.Direct -> simulation.direct(label, e) { r -> back { Input.Direct(e.ticket, r) } }
                 is Effect.Send -> {
-                    val to = rehearsal.peerOf(label, e.peer)
+                    val to = simulation.peerOf(label, e.peer)
                     val frame = Frames.encode(e.message)
-                    rehearsal.onFrame(frame)
-                    rehearsal.network.send(label, to.label) { to.peer(rehearsal.indexAt(to.label, label), frame) }
+                    simulation.onFrame(frame)
+                    simulation.network.send(label, to.label) { to.peer(simulation.indexAt(to.label, label), frame) }
                 }
                 is Effect.Timer -> {
                     val timer = ++timers
-                    world.after(e.at - now().steady + world.between(0, 3)) { if (timer == timers) back { Input.Tick } }
+                    clock.after(e.at - now().steady + clock.between(0, 3)) { if (timer == timers) back { Input.Tick } }
                 }
                 is Effect.Sample -> Unit
-                is Effect.Note -> if (rehearsal.verbose) println("${world.time} $label ${e.text}")
+                is Effect.Note -> if (simulation.verbose) println("${clock.time} $label ${e.text}")
             }
         }
     }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Rehearsal.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.core.DirectReply
 import org.chalkhollow.core.Effect
@@ -12,8 +12,8 @@
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.settings.StateLimits
 
-/** Controllers, stand-ins and rules in one world; [Troubles] makes its days hard. */
-class Rehearsal(
+/** Controllers, fakes and rules on one virtual clock; [FaultInjection] adds faults. */
+class Simulation(
     seed: Long,
     val options: OperatorSettings = OperatorSettings(idleReturnS = 20.0),
     /** The workers' true lease, and what the controllers are told; they differ only in tests of the checks. */
@@ -37,8 +37,8 @@
     /** Sabotage for tests of the checks: a machine type that only the controllers believe in. */
     phantomType: MachineType? = null,
 ) {
-    val world = World(seed)
-    val network = Network(world)
+    val clock = VirtualClock(seed)
+    val network = Network(clock)
     val zones = listOf("east", "west")
     val limits = listOf("red", "blue").map { Team(it, 16.0 * scale, 40.0 * scale, 0.0, 0.0) }
     val cancelMs = 25_000L
@@ -49,18 +49,18 @@
         )
     private val labels = List(controllers) { "abcde"[it].toString() }
     val settings = settingsOf("a", toldLeaseS, toldLimitFactor)
-    val state = StateStand(world, network, settings.stateLimits)
+    val state = FakeStateService(clock, network, settings.stateLimits)
     val cloud =
-        CloudStand(
-            world,
+        FakeCloud(
+            clock,
             network,
             types,
             types + listOfNotNull(phantomType),
             capacity,
-        ) { name, type, zone, spot -> WorkerStand(this, name, type, zone, spot, leaseMs) }
+        ) { name, type, zone, spot -> FakeWorker(this, name, type, zone, spot, leaseMs) }
     val nodes =
         labels.map {
-            NodeStand(
+            SimulatedController(
                 this,
                 it,
                 settingsOf(it, toldLeaseS, toldLimitFactor),
@@ -71,7 +71,7 @@
     val rules = Rules(this)
 
     /** Told of every start of a controller. */
-    var onStart: (NodeStand) -> Unit = {}
+    var onStart: (SimulatedController) -> Unit = {}
 
     /** Told of every effect of a controller: when, whose, and which. */
     var onEffect: (Long, String, Effect) -> Unit = { _, _, _ -> }
@@ -90,7 +90,7 @@
             label = label,
             location = "east",
             clientListen = Address("127.0.0.1", 1),
-            meshAddress = Address("127.0.0.1", 2),
+            peerAddress = Address("127.0.0.1", 2),
             peers = labels.filter { it != label }.map { Peer(it, Address("127.0.0.1", 3)) },
             state = Address("127.0.0.1", 4),
             cloud = Address("127.0.0.1", 5),
@@ -107,7 +107,7 @@
             skewMs = 25.0,
         )
 
-    fun peerOf(label: String, index: Int): NodeStand =
+    fun peerOf(label: String, index: Int): SimulatedController =
         nodes.first {
             it.label ==
                 labels.filter { l -> l != label }[index]
@@ -124,19 +124,19 @@
                 reply(r)
             }
         }
-        val sentAt = world.time
-        world.after(3000) { settle(DirectReply.NoResponse) }
+        val sentAt = clock.time
+        clock.after(3000) { settle(DirectReply.NoResponse) }
         network.send(node, e.address) {
             fun arrive() {
                 cloud.worker(e.address)?.direct(e, sentAt) { r ->
                     network.send(e.address, node) {
                         val held = network.holdUp()
-                        if (held > 0) world.after(held) { settle(r) } else settle(r)
+                        if (held > 0) clock.after(held) { settle(r) } else settle(r)
                     }
                 }
             }
             val held = network.holdUp()
-            if (held > 0) world.after(held) { arrive() } else arrive()
+            if (held > 0) clock.after(held) { arrive() } else arrive()
         }
     }
 
@@ -146,9 +146,9 @@
      */
     fun begin(jobs: Int, overMs: Long, machines: Int = 4, firstMs: Long = 0) {
         repeat(machines) { cloud.add(types[0], zones[it % 2], false, 0) }
-        nodes.forEach { n -> world.after(firstMs + world.between(0, 500)) { n.start() } }
-        repeat(jobs) { world.after(world.between(0, overMs)) { users.arrive() } }
-        repeat(jobs / 3) { world.after(world.between(0, overMs)) { users.askUnknown() } }
-        world.afterEach = rules::check
+        nodes.forEach { n -> clock.after(firstMs + clock.between(0, 500)) { n.start() } }
+        repeat(jobs) { clock.after(clock.between(0, overMs)) { users.arrive() } }
+        repeat(jobs / 3) { clock.after(clock.between(0, overMs)) { users.askUnknown() } }
+        clock.afterEach = rules::check
     }
 }
--- a/src/test/kotlin/org/chalkhollow/rehearsal/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.rehearsal
+package org.chalkhollow.simulation
 
 import org.chalkhollow.core.Effect
 import org.chalkhollow.core.UserAsk
@@ -11,9 +11,9 @@
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
 
-/** Stand-in users: submit, repeat, poll, withdraw, and ask about what nobody submitted. */
-class Users(private val rehearsal: Rehearsal) {
-    private val world = rehearsal.world
+/** Simulated users: submit, repeat, poll, withdraw, and ask about what nobody submitted. */
+class Users(private val simulation: Simulation) {
+    private val clock = simulation.clock
     private val specs = HashMap<String, JobSpec>()
     private var next = 0
 
@@ -28,7 +28,7 @@
         val spec = draw()
         specs[spec.id] = spec
         submit(spec, 0)
-        if (world.chance(0.12)) world.after(world.between(500, 30_000)) { withdraw(spec.id, 0) }
+        if (clock.chance(0.12)) clock.after(clock.between(500, 30_000)) { withdraw(spec.id, 0) }
     }
 
     /** Submits a drawn job after [change], and returns its id. */
@@ -55,7 +55,7 @@
             workload = "portal",
             shape = Shape.SERVICE,
             priority = Priority.PRODUCTION,
-            tasks = world.random.nextInt(2, 5),
+            tasks = clock.random.nextInt(2, 5),
             each = Resources(1.0, 0.0, 1.6),
             types = null,
             zone = null,
@@ -69,7 +69,7 @@
         )
 
     /** Sends the body [raw] to [node] as a submission, and says which status it got, 0 for no answer. */
-    fun submitRaw(raw: ByteArray, node: NodeStand, then: (Int) -> Unit) {
+    fun submitRaw(raw: ByteArray, node: SimulatedController, then: (Int) -> Unit) {
         val ask = UserAsk.ofSubmission(raw) ?: return then(400) // what the front does with a body without an id
         var settled = false
 
@@ -78,33 +78,33 @@
             settled = true
             then(status)
         }
-        world.after(5000) { settle(0) }
+        clock.after(5000) { settle(0) }
         if (!node.user(ask) { settle(it.status) }) settle(0)
     }
 
     private fun draw(): JobSpec {
-        val id = "j-" + (world.random.nextInt(1_000_000)).toString().padStart(6, '0') + (next++)
-        val zone = if (world.chance(0.1)) rehearsal.zones[world.random.nextInt(2)] else null
-        val checkpoint = if (world.chance(0.3)) 2.0 else 0.0
+        val id = "j-" + (clock.random.nextInt(1_000_000)).toString().padStart(6, '0') + (next++)
+        val zone = if (clock.chance(0.1)) simulation.zones[clock.random.nextInt(2)] else null
+        val checkpoint = if (clock.chance(0.3)) 2.0 else 0.0
         return JobSpec(
             id = id,
-            workload = "w" + world.random.nextInt(3),
-            team = rehearsal.settings.teams[world.random.nextInt(2)].name,
+            workload = "w" + clock.random.nextInt(3),
+            team = simulation.settings.teams[clock.random.nextInt(2)].name,
             shape = Shape.ARRAY,
-            priority = Priority.entries[world.random.nextInt(4)],
-            tasks = world.random.nextInt(1, 14),
-            each = Resources(world.random.nextInt(1, 5).toDouble(), 0.0, 4.0),
-            image = "img-" + world.random.nextInt(3),
+            priority = Priority.entries[clock.random.nextInt(4)],
+            tasks = clock.random.nextInt(1, 14),
+            each = Resources(clock.random.nextInt(1, 5).toDouble(), 0.0, 4.0),
+            image = "img-" + clock.random.nextInt(3),
             imageGb = 1.0,
-            types = if (world.chance(0.1)) listOf(rehearsal.types[world.random.nextInt(2)].name) else null,
+            types = if (clock.chance(0.1)) listOf(simulation.types[clock.random.nextInt(2)].name) else null,
             zone = zone,
-            together = zone == null && world.chance(0.15),
-            spread = world.chance(0.15),
-            spotAllowed = world.chance(0.7),
-            expectedS = 1.0 + world.random.nextInt(15),
+            together = zone == null && clock.chance(0.15),
+            spread = clock.chance(0.15),
+            spotAllowed = clock.chance(0.7),
+            expectedS = 1.0 + clock.random.nextInt(15),
             checkpointS = checkpoint,
             saveS = 1.0,
-            dueS = if (world.chance(0.5)) 60.0 else null,
+            dueS = if (clock.chance(0.5)) 60.0 else null,
         )
     }
 
@@ -120,54 +120,54 @@
                 then(a)
             }
         }
-        world.after(waitMs) { settle(null) }
-        val node = rehearsal.nodes[world.random.nextInt(rehearsal.nodes.size)]
-        rehearsal.network.send(USERS, node.label) {
+        clock.after(waitMs) { settle(null) }
+        val node = simulation.nodes[clock.random.nextInt(simulation.nodes.size)]
+        simulation.network.send(USERS, node.label) {
             val heard =
                 node.user(ask) { a ->
-                    val said = world.time
-                    rehearsal.network.send(node.label, USERS) {
+                    val said = clock.time
+                    simulation.network.send(node.label, USERS) {
                         saidAt = said
                         settle(a)
                     }
                 }
             if (!heard) settle(null)
             if (ask !is UserAsk.Poll) {
-                rehearsal.network.copyAfter()?.let { late ->
-                    world.after(late) { node.user(ask) {} }
+                simulation.network.copyAfter()?.let { late ->
+                    clock.after(late) { node.user(ask) {} }
                 }
             }
         }
     }
 
     private fun submit(spec: JobSpec, tries: Int) {
-        val askedAt = world.time
+        val askedAt = clock.time
         // Through the wire's form, so that the controller gets what a process would.
         val raw = Pack.encode(UserCodec.map(spec))
         call(UserAsk.Submit(UserCodec.job(raw), raw), 5000) { a ->
             when (a?.status) {
                 200, 201 -> {
-                    val first = rehearsal.rules.accepted(spec.id)
+                    val first = simulation.rules.accepted(spec.id)
                     told(spec.id, a, askedAt)
-                    if (first) world.after(3000) { poll(spec.id) }
-                    if (world.chance(0.2)) world.after(world.between(1000, 90_000)) { submit(spec, 1) }
+                    if (first) clock.after(3000) { poll(spec.id) }
+                    if (clock.chance(0.2)) clock.after(clock.between(1000, 90_000)) { submit(spec, 1) }
                 }
-                400, 422 -> rehearsal.rules.refused(spec.id, a.status)
-                else -> if (tries < 60) world.after(1000) { submit(spec, tries + 1) }
+                400, 422 -> simulation.rules.refused(spec.id, a.status)
+                else -> if (tries < 60) clock.after(1000) { submit(spec, tries + 1) }
             }
         }
     }
 
     private fun poll(id: String, again: Boolean = true) {
-        val askedAt = world.time
+        val askedAt = clock.time
         call(UserAsk.Poll(id), 2000) { a ->
-            if (a?.status == 200) rehearsal.rules.answered(id)
+            if (a?.status == 200) simulation.rules.answered(id)
             val status = told(id, a, askedAt)
             if (!again) return@call
             if (status != "done" && status != "aborted") {
-                world.after(5000) { poll(id) }
-            } else if (world.chance(0.5)) {
-                world.after(world.between(5000, 60_000)) { poll(id) }
+                clock.after(5000) { poll(id) }
+            } else if (clock.chance(0.5)) {
+                clock.after(clock.between(5000, 60_000)) { poll(id) }
             }
         }
     }
@@ -175,13 +175,13 @@
     fun cancel(id: String) = withdraw(id, 0)
 
     private fun withdraw(id: String, tries: Int) {
-        rehearsal.rules.asksToCancel(id)
-        val askedAt = world.time
+        simulation.rules.asksToCancel(id)
+        val askedAt = clock.time
         call(UserAsk.Withdraw(id), 5000) { a ->
             val status = told(id, a, askedAt)
             // A job whose acceptance is still under way is not known yet: the request is repeated until it is answered
             // with 200.
-            if (status == null && tries < 100) world.after(1000) { withdraw(id, tries + 1) }
+            if (status == null && tries < 100) clock.after(1000) { withdraw(id, tries + 1) }
         }
     }
 
@@ -189,18 +189,18 @@
     var cancelAtEnd = 0.0
 
     /** A task of a job has begun and will take [ms]; when all others are done its end is the job's. */
-    fun runs(task: WorkerStand.Task, ms: Long) {
-        if (cancelAtEnd <= 0 || !rehearsal.rules.isLast(task) || !world.chance(cancelAtEnd)) return
-        world.after(ms + world.between(-250, 400)) { cancel(task.job) }
-        if (world.chance(0.5)) world.after(ms + world.between(-250, 400)) { repeat(task.job) }
-        world.after(ms + world.between(-250, 400)) { poll(task.job) }
+    fun runs(task: FakeWorker.Task, ms: Long) {
+        if (cancelAtEnd <= 0 || !simulation.rules.isLast(task) || !clock.chance(cancelAtEnd)) return
+        clock.after(ms + clock.between(-250, 400)) { cancel(task.job) }
+        if (clock.chance(0.5)) clock.after(ms + clock.between(-250, 400)) { repeat(task.job) }
+        clock.after(ms + clock.between(-250, 400)) { poll(task.job) }
     }
 
     /** The last task of [id] has just completed. */
     fun ended(id: String) {
-        if (cancelAtEnd <= 0 || !world.chance(cancelAtEnd)) return
-        world.after(world.between(0, 300)) { cancel(id) }
-        world.after(world.between(0, 300)) { repeat(id) }
+        if (cancelAtEnd <= 0 || !clock.chance(cancelAtEnd)) return
+        clock.after(clock.between(0, 300)) { cancel(id) }
+        clock.after(clock.between(0, 300)) { repeat(id) }
     }
 
     /**
@@ -209,8 +209,8 @@
      */
     fun cancelNow(count: Int, hangMs: Long = 0): List<String> {
         val running =
-            rehearsal.cloud.workers.flatMap { w ->
-                w.onMachine().filter { it.endsAt - world.time > 40_000 }.map {
+            simulation.cloud.workers.flatMap { w ->
+                w.onMachine().filter { it.endsAt - clock.time > 40_000 }.map {
                     it.job to
                         w
                 }
@@ -219,9 +219,9 @@
             running
                 .map { it.first }
                 .distinct()
-                .filter { !rehearsal.rules.isFinal(it) }
+                .filter { !simulation.rules.isFinal(it) }
                 .take(count)
-        for (id in ids) world.after(world.between(0, 200)) { cancel(id) }
+        for (id in ids) clock.after(clock.between(0, 200)) { cancel(id) }
         if (hangMs > 0) {
             val machines =
                 running
@@ -229,7 +229,7 @@
                     .map { it.second }
                     .distinct()
                     .take(8)
-            for (w in machines) world.after(world.between(0, 300)) { w.hang(hangMs) }
+            for (w in machines) clock.after(clock.between(0, 300)) { w.hang(hangMs) }
         }
         return ids
     }
@@ -245,14 +245,14 @@
      */
     fun odd(forMs: Long) {
         for (at in 0L until forMs step 700) {
-            world.after(at) {
+            clock.after(at) {
                 val known = specs.keys.sorted()
-                val id = known.getOrNull(world.random.nextInt(maxOf(1, known.size)))
-                when (world.random.nextInt(5)) {
+                val id = known.getOrNull(clock.random.nextInt(maxOf(1, known.size)))
+                when (clock.random.nextInt(5)) {
                     0 -> submitUnfit()
                     1 -> submitLacking()
                     2 -> id?.let(::repeat)
-                    3 -> known.firstOrNull { rehearsal.rules.isDone(it) && world.chance(0.2) }?.let(::cancel)
+                    3 -> known.firstOrNull { simulation.rules.isDone(it) && clock.chance(0.2) }?.let(::cancel)
                     else -> id?.let { poll(it, again = false) }
                 }
             }
@@ -261,15 +261,15 @@
 
     /** A job that no machine has room for; it must never be accepted. */
     fun submitUnfit() {
-        val spec = draw().copy(each = Resources(17.0 + world.random.nextInt(50), 0.0, 4.0), types = null, zone = null)
+        val spec = draw().copy(each = Resources(17.0 + clock.random.nextInt(50), 0.0, 4.0), types = null, zone = null)
         val raw = Pack.encode(UserCodec.map(spec))
         call(
             UserAsk.Submit(UserCodec.job(raw), raw),
             5000,
-        ) { a -> rehearsal.rules.answeredUnfit(spec.id, a?.status ?: 0) }
+        ) { a -> simulation.rules.answeredUnfit(spec.id, a?.status ?: 0) }
     }
 
-    /** A job without one of its fields; it must not pass the door. */
+    /** A job without one of its fields; it must be refused. */
     private fun submitLacking() {
         val spec = draw()
         val map = UserCodec.map(spec)
@@ -287,7 +287,7 @@
                 "snapshotS",
                 "flushS",
             )
-        val lacks = needed[world.random.nextInt(needed.size)]
+        val lacks = needed[clock.random.nextInt(needed.size)]
         val raw = Pack.encode(map - lacks)
         val parsed =
             try {
@@ -295,26 +295,26 @@
             } catch (e: Malformed) {
                 return
             }
-        rehearsal.rules.broken("accepted_unfit", "${parsed.id} without $lacks was read as a job")
+        simulation.rules.broken("accepted_unfit", "${parsed.id} without $lacks was read as a job")
     }
 
     fun askUnknown() {
-        val id = "j-9" + world.random.nextInt(1_000_000)
+        val id = "j-9" + clock.random.nextInt(1_000_000)
         call(UserAsk.Poll(id), 2000) { a ->
             if (a?.status == 200 &&
                 id !in specs
             ) {
-                rehearsal.rules.broken("invented", "$id was answered with 200")
+                simulation.rules.broken("invented", "$id was answered with 200")
             }
         }
     }
 
     private fun told(id: String, a: Effect.Answer?, askedAt: Long): String? {
         if (a == null) return null
-        if (a.status == 404) rehearsal.rules.notFound(id, saidAt)
+        if (a.status == 404) simulation.rules.notFound(id, saidAt)
         if (a.status != 200 && a.status != 201) return null
         val status = Fields.of(Pack.decode(a.body ?: return null), "answer").text("status")
-        rehearsal.rules.told(id, status, askedAt)
+        simulation.rules.told(id, status, askedAt)
         val before = said.getOrPut(id) { ArrayList() }
         if (before.lastOrNull() != status) before.add(status)
         return status
