--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -20,27 +20,41 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.EnumSource
 import java.nio.file.Path
 import java.util.Base64
 import java.util.BitSet
 
-/** This version and the one in production, each reading what the other writes and says. */
+/** This version and those before it: each reads what the others write and say. */
 class CompatTest {
-    private val limits = StateLimits(80.0, 20.0, 4096, 8)
-    private val recorded = Recording.kept(PRODUCTION)
+    /** The versions whose stored values and messages are recorded; [number] is what they tell in their greeting. */
+    enum class Version(val number: Int) {
+        /** The version in production. */
+        PRODUCTION(0),
+        FIRST(1),
+        ;
+
+        val recorded: List<Recording.Line> by lazy { Recording.kept("version-$number") }
+
+        val frames: List<Recording.Line> get() = recorded.filter { it.of == "peer" }
+
+        fun records(prefix: String): List<Recording.Line> =
+            recorded
+                .filter {
+                    it.of == "state" && it.name.startsWith(prefix)
+                }.also { assertTrue(it.isNotEmpty(), "no $prefix") }
+    }
 
-    private fun records(prefix: String) =
-        recorded
-            .filter {
-                it.of == "state" && it.name.startsWith(prefix)
-            }.also { assertTrue(it.isNotEmpty(), "no $prefix") }
+    private val limits = StateLimits(80.0, 20.0, 4096, 8)
 
     private fun row(line: Recording.Line) = Row(line.name, Pack.decode(line.bytes), 1)
 
     private fun fields(line: Recording.Line) = Pack.decodeMap(line.bytes)
 
-    @Test
-    fun `production's recording has every kind of record and message`() {
+    @ParameterizedTest
+    @EnumSource
+    fun `a version's recording has every kind of record and message`(version: Version) {
         assertEquals(
             setOf(
                 "job open batch",
@@ -54,19 +68,35 @@
                 "fleet/base",
                 "fleet/images",
             ),
-            recorded.filter { it.of == "state" }.map { Recording.kind(it.name, it.bytes) }.toSet(),
+            version.recorded
+                .filter { it.of == "state" }
+                .map { Recording.kind(it.name, it.bytes) }
+                .toSet(),
         )
         assertEquals(
             setOf("Hello", "PromiseAsk", "Promise", "Release", "VoteAsk", "Vote", "Forward", "Forwarded"),
-            recorded.filter { it.of == "peer" }.map { it.name }.toSet(),
+            version.frames.map { it.name }.toSet(),
+        )
+        val messages = version.frames.map { Frames.decode(it.bytes) }
+        assertEquals(setOf(1, 2, 3), messages.filterIsInstance<PeerMessage.Forward>().map { it.kind }.toSet())
+        val promises = messages.filterIsInstance<PeerMessage.Promise>()
+        assertTrue(promises.any { it.reports > 0 }, "no promise counts reports")
+        assertTrue(promises.any { it.prepared }, "no promise of a prepared peer")
+        val described = version.records(JobTable.JOB).mapNotNull { fields(it).map["j"] as? Map<*, *> }
+        val optional = setOf("bundle", "pullGb", "flavours", "site", "dueS")
+        assertEquals(emptySet<String>(), optional - described.flatMap { it.keys }.toSet(), "no job has these")
+        assertEquals(
+            setOf("production", "high", "standard", "best_effort"),
+            described.map { it["urgency"] }.toSet(),
         )
     }
 
-    @Test
-    fun `production's jobs are read as they were written`() {
+    @ParameterizedTest
+    @EnumSource
+    fun `a version's jobs are read as they were written`(version: Version) {
         val names = Names().apply { listOf("red", "blue").forEach(teams::intern) }
         val jobs = JobTable(Desk(1), names, limits)
-        for (line in records(JobTable.JOB)) {
+        for (line in version.records(JobTable.JOB)) {
             jobs.loadJob(row(line))
             val f = fields(line)
             val entry = checkNotNull(jobs.find(line.name.removePrefix(JobTable.JOB)))
@@ -85,14 +115,15 @@
         }
     }
 
-    @Test
-    fun `production's pages count for the tasks that they name, also where ours are smaller`() {
-        for (line in records(JobTable.PROGRESS)) {
+    @ParameterizedTest
+    @EnumSource
+    fun `a version's pages count for the tasks that they name, also where ours are smaller`(version: Version) {
+        for (line in version.records(JobTable.PROGRESS)) {
             val (id, from) = line.name.removePrefix(JobTable.PROGRESS).split('/')
             val bits = BitSet.valueOf(Base64.getDecoder().decode(fields(line).text("b")))
             val job =
                 Pack.decodeMap(
-                    records(JobTable.JOB).first { Recording.kind(it.name, it.bytes) == "job open batch" }.bytes,
+                    version.records(JobTable.JOB).first { Recording.kind(it.name, it.bytes) == "job open batch" }.bytes,
                 )
             val spec = Fields.of(job.map["j"], "j").map + mapOf("nameId" to id, "pieces" to 100_000)
             val jobs = JobTable(Desk(1), Names(), limits.copy(valueBytes = 1024))
@@ -112,40 +143,43 @@
         }
     }
 
-    @Test
-    fun `production's leadership record, markers and machines are read as they were written`() {
-        for (line in records(LeadRecord.KEY)) {
+    @ParameterizedTest
+    @EnumSource
+    fun `a version's leadership record, markers and machines are read as they were written`(version: Version) {
+        for (line in version.records(LeadRecord.KEY)) {
             val f = fields(line)
             val lead = LeadRecord.of(row(line))
             assertEquals(LeadRecord(f.text("owner"), f.long("life"), f.long("generation"), f.long("writes")), lead)
             assertArrayEquals(line.bytes, Pack.encode(lead.value()))
         }
-        for (line in records(DispatchLog.MARK)) {
+        for (line in version.records(DispatchLog.MARK)) {
             for (item in fields(line).list("a")) {
                 val ranges = (item as List<*>)[2].toString()
                 assertEquals(ranges, DispatchLog.ranges(DispatchLog.indices(ranges).toIntArray()))
             }
         }
-        for (line in records(BaseFleet.KEY)) {
+        for (line in version.records(BaseFleet.KEY)) {
             val base = BaseFleet(Desk(1), limits).also { it.load(row(line)) }
             assertEquals(fields(line).texts("names").toSet(), base.names)
             assertTrue(base.known)
         }
     }
 
-    @Test
-    fun `production's messages are read and would be said in the same bytes`() {
-        for (line in recorded.filter { it.of == "peer" }) {
+    @ParameterizedTest
+    @EnumSource
+    fun `a version's messages are read and would be said in the same bytes`(version: Version) {
+        for (line in version.frames) {
             val message = checkNotNull(Frames.decode(line.bytes)) { line.name }
             assertEquals(line.name, message.javaClass.simpleName)
             assertArrayEquals(line.bytes, Frames.encode(message), line.name)
-            if (message is PeerMessage.Hello) assertEquals(0, message.version)
+            if (message is PeerMessage.Hello) assertEquals(version.number, message.version)
         }
     }
 
-    @Test
-    fun `production's own recording is within what it reads`() {
-        for (line in recorded) {
+    @ParameterizedTest
+    @EnumSource
+    fun `a version's own recording is within what production reads`(version: Version) {
+        for (line in version.recorded) {
             assertNull(
                 if (line.of ==
                     "peer"
@@ -198,7 +232,7 @@
         foreign("mark/000000000001/1", mapOf("n" to 65537L, "a" to listOf(listOf("j-1", "n-1", "0-3", 2L))))
         foreign("fleet/spares", mapOf("names" to listOf("n-1")))
         foreign("fleet/images/0", mapOf("images" to listOf("i"), "held" to mapOf("n-1" to "i")))
-        val open = records(JobTable.JOB).first { fields(it).text("s") == "open" }
+        val open = Version.PRODUCTION.records(JobTable.JOB).first { fields(it).text("s") == "open" }
         val spec = Fields.of(fields(open).map["j"], "j").map
         for (change in listOf(
             "shape" to "stream",
@@ -217,12 +251,7 @@
     @Test
     fun `what this version writes and says is recorded for the next one`() {
         val path = Path.of("target/compat/recorded.txt")
-        Recording.record(21, path)
+        Recording.record(21L..23L, path)
         assertTrue(path.toFile().readLines().size > 30)
     }
-
-    private companion object {
-        /** The recording of the version in production. */
-        const val PRODUCTION = "version-0"
-    }
 }
--- a/src/test/kotlin/org/chalkhollow/compat/Recording.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/Recording.kt
@@ -1,5 +1,8 @@
 package org.chalkhollow.compat
 
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.descriptors.elementDescriptors
+import kotlinx.serialization.descriptors.elementNames
 import org.chalkhollow.mesh.Frames
 import org.chalkhollow.mesh.PeerMessage
 import org.chalkhollow.model.Shape
@@ -19,6 +22,13 @@
 
     private const val EACH = 3
 
+    /** A field whose map has names of machines for keys. */
+    private const val MACHINES = "held"
+    private val NAMED_VALUES = setOf("shape", "urgency")
+
+    /** What a controller says first on a connection; its process makes it, which takes no part in the recorded days. */
+    private val GREETING = PeerMessage.Hello("b", 12_345_678_901, PeerMessage.VERSION)
+
     /** What kind of record [value] under [key] is. */
     fun kind(key: String, value: ByteArray): String {
         val prefix =
@@ -81,32 +91,63 @@
         return r
     }
 
-    /** Records a day into [path]. */
-    fun record(seed: Long, path: Path) {
+    /**
+     * Records the days of [seeds] into [path]: the first [EACH] of each kind, and further ones that have a field
+     * or a named value which those before them lack.
+     */
+    fun record(seeds: LongRange, path: Path) {
         val found = sortedMapOf<String, ArrayList<String>>()
+        val covered = HashSet<String>()
+
+        fun note(kind: String, name: String, bytes: ByteArray, features: Set<String>) {
+            val lines = found.getOrPut(kind) { ArrayList() }
+            val adds = covered.addAll(features.map { "$kind $it" })
+            if (lines.size < EACH || adds) lines.add("$name ${Base64.getEncoder().encodeToString(bytes)}")
+        }
 
-        fun note(kind: String, line: () -> String) {
-            val list = found.getOrPut(kind) { ArrayList() }
-            if (list.size < EACH) list.add(line())
+        fun noteFrame(frame: ByteArray) {
+            val message = checkNotNull(Frames.decode(frame))
+            val kind = "peer ${message.javaClass.simpleName}"
+            note(kind, kind, frame, features(message, frame))
         }
-        day(
-            seed,
-            {
-                key,
-                bytes,
-                ->
-                note("state ${kind(key, bytes)}") { "state $key ${Base64.getEncoder().encodeToString(bytes)}" }
-            },
-            { frame -> frameLine(frame).let { (kind, line) -> note(kind) { line } } },
-        )
-        frameLine(Frames.encode(PeerMessage.Hello("b", 12_345_678_901))).let { (kind, line) -> note(kind) { line } }
+        for (seed in seeds) {
+            day(
+                seed,
+                { key, bytes -> note("state ${kind(key, bytes)}", "state $key", bytes, features(Pack.decode(bytes))) },
+                ::noteFrame,
+            )
+        }
+        noteFrame(Frames.encode(GREETING))
         Files.createDirectories(path.parent)
         Files.write(path, found.values.flatten())
     }
 
-    private fun frameLine(frame: ByteArray): Pair<String, String> {
-        val kind = checkNotNull(Frames.decode(frame)).javaClass.simpleName
-        return "peer $kind" to "peer $kind ${Base64.getEncoder().encodeToString(frame)}"
+    /** The fields of a record and of the maps in it, with the values of those that name something. */
+    private fun features(value: Any?): Set<String> {
+        val fields = (value as? Map<*, *>).orEmpty()
+        return fields.entries
+            .flatMap { (name, inner) ->
+                val named = if (name in NAMED_VALUES) setOf("$name=$inner") else emptySet()
+                val within = if (name == MACHINES) emptySet() else features(inner)
+                named + name.toString() + within
+            }.toSet()
+    }
+
+    /** The fields that stand in [frame], and which request or answer is passed on in it. */
+    @OptIn(ExperimentalSerializationApi::class)
+    private fun features(message: PeerMessage, frame: ByteArray): Set<String> {
+        val text = String(frame, Charsets.ISO_8859_1)
+        val subclasses = PeerMessage.serializer().descriptor.getElementDescriptor(1)
+        val fields = subclasses.elementDescriptors.flatMap { it.elementNames }.filter { it in text }
+        val passedOn =
+            when (message) {
+                is PeerMessage.Forward -> setOf("kind=${message.kind}")
+                is PeerMessage.Forwarded -> setOf("status=${message.status}")
+                is PeerMessage.Promise -> setOf("granted=${message.granted}", "stateServed=${message.stateServed}")
+                is PeerMessage.Vote -> setOf("granted=${message.granted}")
+                else -> emptySet()
+            }
+        return fields.toSet() + passedOn
     }
 
     /** The recordings kept with the tests, by version. */
