--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -79,7 +79,7 @@
     }
 
     /** For gauges. */
-    val view: View get() = View(leadership.entitled(), leadership.generation, jobs.open.size, jobs.size, fleet.machines.size, versions.all, overview.replicas())
+    val view: View get() = View(leadership.entitled(), leadership.generation, jobs.open.size, jobs.size, fleet.machines.size, versions.all, overview.replicas(), desk.dropped.counts())
 
     /** Numbers for gauges, and which version each controller runs as far as known. */
     data class View(
@@ -91,6 +91,8 @@
         val versions: Map<String, Int?> = emptyMap(),
         /** Replicas of services that are wanted and that are up, as the leader knows. */
         val replicas: Pair<Int, Int> = 0 to 0,
+        /** How many inputs were dropped since this controller began. */
+        val dropped: Map<DroppedInput, Long> = emptyMap(),
     )
 
     /** Whether this controller is entitled to act for all at this moment. */
@@ -301,7 +303,11 @@
         val session = m.session
         val commands = stops.map(settlement::stop) + starts.map { Command.Start(it.job.spec.id, it.index, it.number) }
         desk.direct({ Effect.Direct(it, m.address, leadership.generation, session, commands) }) { reply ->
-            if (term == inTerm) onDirect(m, session, starts, reply)
+            if (term == inTerm) {
+                onDirect(m, session, starts, reply)
+            } else {
+                desk.dropped.count(DroppedInput.REPLY_LATE)
+            }
         }
     }
 
@@ -315,7 +321,8 @@
             val inTerm = term
             val session = m.session
             desk.direct({ Effect.Direct(it, m.address, leadership.generation, session, emptyList()) }) { reply ->
-                if (term == inTerm && m.session == session && reply is DirectReply.Executed) fleet.reached(m)
+                if (term != inTerm) return@direct desk.dropped.count(DroppedInput.REPLY_LATE)
+                if (m.session == session && reply is DirectReply.Executed) fleet.reached(m)
             }
         }
     }
@@ -334,7 +341,11 @@
             return
         }
         if (report.session == session && m.session == session) fleet.reached(m)
-        if (report.session == session && m.session == session && report.seq > m.seq && report.machine == m.name) {
+        if (report.session != session || m.session != session || report.machine != m.name) {
+            desk.dropped.count(DroppedInput.REPORT_OTHER_LIFE)
+        } else if (report.seq <= m.seq) {
+            desk.dropped.count(DroppedInput.REPORT_LATE)
+        } else {
             m.seq = report.seq
             settlement.reconcile(m, report, beat = false)
         }
--- a/src/main/kotlin/org/chalkhollow/core/Desk.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Desk.kt
@@ -10,6 +10,7 @@
 class Desk(seed: Long) {
     var now = Now(0, 0)
     val random = SplittableRandom(seed)
+    val dropped = DroppedInputs()
     private var effects = ArrayList<Effect>()
     private val stateWaits = Int2ObjectHashMap<(StateReply) -> Unit>()
     private val cloudWaits = Int2ObjectHashMap<(CloudReply) -> Unit>()
@@ -47,11 +48,15 @@
         emit(make(nextTicket++))
     }
 
-    fun reply(input: Input.State) = stateWaits.remove(input.ticket)?.invoke(input.reply)
+    fun reply(input: Input.State) = deliver(stateWaits.remove(input.ticket), input.reply)
 
-    fun reply(input: Input.Cloud) = cloudWaits.remove(input.ticket)?.invoke(input.reply)
+    fun reply(input: Input.Cloud) = deliver(cloudWaits.remove(input.ticket), input.reply)
 
-    fun reply(input: Input.Direct) = directWaits.remove(input.ticket)?.invoke(input.reply)
+    fun reply(input: Input.Direct) = deliver(directWaits.remove(input.ticket), input.reply)
+
+    private fun <R> deliver(waiting: ((R) -> Unit)?, reply: R) {
+        if (waiting == null) dropped.count(DroppedInput.REPLY_REPEATED) else waiting(reply)
+    }
 
     fun info(text: String) = emit(Effect.Note(Effect.Level.INFO, text))
 
--- a/src/main/kotlin/org/chalkhollow/core/Door.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Door.kt
@@ -31,7 +31,8 @@
     private val passed = Long2ObjectLinkedOpenHashMap<Passed>()
 
     // Not from 1: an answer meant for an earlier life of this controller must not be taken for one of ours.
-    private var nextSeq = desk.random.nextLong(1L shl 61)
+    private val firstSeq = desk.random.nextLong(1L shl 61)
+    private var nextSeq = firstSeq
     private val origins = Int2ObjectOpenHashMap<Origin>()
     private var nextRemoteCall = -1
 
@@ -77,7 +78,12 @@
     }
 
     fun onForwarded(m: PeerMessage.Forwarded) {
-        val p = passed.remove(m.seq) ?: return
+        val p = passed.remove(m.seq)
+        if (p == null) {
+            val asked = m.seq in firstSeq until nextSeq
+            desk.dropped.count(if (asked) DroppedInput.MESSAGE_LATE else DroppedInput.MESSAGE_OTHER_LIFE)
+            return
+        }
         desk.emit(Effect.Answer(p.call, m.status, m.body.takeIf { it.isNotEmpty() }, m.retryAfterS))
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -133,14 +133,18 @@
      * what is known, such as a copy that was held up on its way, changes nothing.
      */
     fun observe(report: WorkerReport): Machine? {
-        if (report.machine in gone) return null
+        if (report.machine in gone) return dropped(DroppedInput.REPORT_OTHER_LIFE)
         val m = known(report.machine)
         if (report.session <= m.lapsedSession || report.session < m.session ||
             m.state == Machine.State.DELETING
         ) {
-            return null
+            return dropped(DroppedInput.REPORT_OTHER_LIFE)
+        }
+        if (report.session == m.session && report.seq <= m.beatSeq) {
+            val repeated = report.seq == m.beatSeq
+            desk.dropped.count(if (repeated) DroppedInput.REPORT_REPEATED else DroppedInput.REPORT_LATE)
+            return m
         }
-        if (report.session == m.session && report.seq <= m.beatSeq) return m
         m.type = names.types.intern(report.type)
         m.zone = names.zones.intern(report.zone)
         m.spot = report.spot
@@ -173,6 +177,11 @@
         return m
     }
 
+    private fun dropped(input: DroppedInput): Machine? {
+        desk.dropped.count(input)
+        return null
+    }
+
     /** It carried out what we sent it directly: our commands reach it. */
     fun reached(m: Machine) = hearing.proved(m)
 
@@ -266,7 +275,7 @@
         listBusy = true
         val inGeneration = generation
         desk.cloud(CloudOp.Machines(after)) { reply ->
-            if (inGeneration != generation) return@cloud
+            if (inGeneration != generation) return@cloud desk.dropped.count(DroppedInput.REPLY_LATE)
             listBusy = false
             if (reply !is CloudReply.MachinesAre) {
                 listAt = desk.steady - LIST_MS / 2
@@ -479,7 +488,7 @@
         val inGeneration = generation
         desk.info("returning ${list.joinToString(" ") { it.name }}")
         desk.cloud(CloudOp.Delete(list.map { it.name })) { reply ->
-            if (inGeneration != generation) return@cloud
+            if (inGeneration != generation) return@cloud desk.dropped.count(DroppedInput.REPLY_LATE)
             changeBusy = false
             if (reply is CloudReply.Deleted) {
                 list.forEach(::remove)
@@ -627,7 +636,7 @@
         val inGeneration = generation
         val offer = Offer(names.types.intern(rent.type), names.zones.intern(rent.zone), rent.spot)
         desk.cloud(rent) { reply ->
-            if (inGeneration != generation) return@cloud
+            if (inGeneration != generation) return@cloud desk.dropped.count(DroppedInput.REPLY_LATE)
             changeBusy = false
             when (reply) {
                 is CloudReply.Rented -> {
--- a/src/main/kotlin/org/chalkhollow/core/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Leadership.kt
@@ -96,7 +96,8 @@
     private var votedStamp = 0L
 
     // Votes asked for.
-    private var voteSeq = desk.random.nextLong(1L shl 61) // votes for an earlier life must not count
+    private val firstVoteSeq = desk.random.nextLong(1L shl 61) // votes for an earlier life must not count
+    private var voteSeq = firstVoteSeq
     private var voteAskedAt = NEVER
     private val votes = BooleanArray(peers.size)
 
@@ -399,19 +400,24 @@
         when (message) {
             is PeerMessage.PromiseAsk -> onPromiseAsk(from, message, t)
             is PeerMessage.Promise -> onPromise(from, message, t)
-            is PeerMessage.Release -> if (from == leaderPeer && message.generation == generation) {
-                promisedUntil = NEVER
-                leaderHeardAt = NEVER
-                releasedGeneration = message.generation
-                releasedAt = t
-                readDueAt = t
-            }
+            is PeerMessage.Release -> onRelease(from, message, t)
             is PeerMessage.VoteAsk -> onVoteAsk(from, message, t)
             is PeerMessage.Vote -> onVote(from, message)
             else -> Unit
         }
     }
 
+    private fun onRelease(from: Int, release: PeerMessage.Release, t: Long) {
+        if (from != leaderPeer || release.generation != generation) {
+            return desk.dropped.count(DroppedInput.MESSAGE_LATE)
+        }
+        promisedUntil = NEVER
+        leaderHeardAt = NEVER
+        releasedGeneration = release.generation
+        releasedAt = t
+        readDueAt = t
+    }
+
     private fun onPromiseAsk(from: Int, ask: PeerMessage.PromiseAsk, t: Long) {
         val granted = knowsRecord && ask.generation >= generation && ask.generation >= votedGeneration && role == Role.FOLLOWER
         if (granted) {
@@ -428,8 +434,9 @@
     }
 
     private fun onPromise(from: Int, promise: PeerMessage.Promise, t: Long) {
-        if (role != Role.LEADER || promise.generation != generation) return
-        if (promise.seq <= promiseSeq - SENDS) return
+        if (role != Role.LEADER || promise.generation != generation || promise.seq <= promiseSeq - SENDS) {
+            return desk.dropped.count(DroppedInput.MESSAGE_LATE)
+        }
         val sentAt = promiseSends[(promise.seq % SENDS).toInt()]
         if (promise.granted) promises[from] = maxOf(promises[from], sentAt + shrunk(options.promiseMs))
         reach.told(from, promise.reports, t)
@@ -448,9 +455,12 @@
     }
 
     private fun onVote(from: Int, vote: PeerMessage.Vote) {
-        if (role != Role.FOLLOWER || vote.seq != voteSeq || !vote.granted || desk.steady < promisedUntil) return
+        if (vote.seq !in firstVoteSeq..voteSeq) return desk.dropped.count(DroppedInput.MESSAGE_OTHER_LIFE)
+        if (role != Role.FOLLOWER || vote.seq != voteSeq) return desk.dropped.count(DroppedInput.MESSAGE_LATE)
+        if (!vote.granted || desk.steady < promisedUntil) return
         val record = seen ?: return
-        if (vote.generation != record.generation + 1) return
+        if (vote.generation != record.generation + 1) return desk.dropped.count(DroppedInput.MESSAGE_LATE)
+        if (votes[from]) desk.dropped.count(DroppedInput.MESSAGE_REPEATED)
         votes[from] = true
         if (votes.count { it } + 1 >= majority && events.prepared(seenStamp) && (released(record, 0) || desk.steady - seenSince >= stretched(options.leaderLeaseMs))) {
             votesUsedAt = voteAskedAt
--- a/src/main/kotlin/org/chalkhollow/core/StateLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StateLog.kt
@@ -176,7 +176,9 @@
         lastSentAt = desk.steady
         val sentAt = desk.steady
         val inTerm = term
-        desk.state(b.op) { reply -> if (term == inTerm) onReply(b, reply, sentAt) }
+        desk.state(b.op) { reply ->
+            if (term == inTerm) onReply(b, reply, sentAt) else desk.dropped.count(DroppedInput.REPLY_LATE)
+        }
     }
 
     private fun onReply(b: Batch, reply: StateReply, sentAt: Long) {
@@ -274,7 +276,7 @@
     private fun lookAtRecord(b: Batch, unchanged: (() -> Unit)? = null) {
         val inTerm = term
         desk.state(StateOp.Read(LeadRecord.KEY)) { reply ->
-            if (term != inTerm) return@state
+            if (term != inTerm) return@state desk.dropped.count(DroppedInput.REPLY_LATE)
             when (reply) {
                 is StateReply.Found -> {
                     val stands = LeadRecord.of(reply.row)
--- a/src/main/kotlin/org/chalkhollow/core/Survey.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Survey.kt
@@ -57,7 +57,7 @@
 
     private fun read(r: Reading, prefix: Int, after: String?) {
         desk.state(StateOp.List(prefixes[prefix], after)) { reply ->
-            if (reading !== r) return@state
+            if (reading !== r) return@state desk.dropped.count(DroppedInput.REPLY_LATE)
             if (reply !is StateReply.Page) {
                 r.retry = { read(r, prefix, after) }
                 r.retryAt = desk.steady + RETRY_MS
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -16,8 +16,21 @@
 import org.chalkhollow.wire.ServiceCodec
 import org.chalkhollow.wire.WorkerCodec
 
+/** Reads replies; one that is malformed is told of, and counts as none. */
+class ReplyReader(private val onMalformed: (Malformed) -> Unit) {
+    inline fun <T> read(ifMalformed: T, decode: () -> T): T =
+        try {
+            decode()
+        } catch (e: Malformed) {
+            malformed(e)
+            ifMalformed
+        }
+
+    fun malformed(e: Malformed) = onMalformed(e)
+}
+
 /** The state service within its request budget; what the budget refuses counts as not executed. */
-class StateClient(private val link: HttpLink, rps: Double) {
+class StateClient(private val link: HttpLink, rps: Double, private val replies: ReplyReader) {
     @Suppress("UnstableApiUsage")
     private val budget = RateLimiter.create(rps)
 
@@ -36,11 +49,7 @@
             HttpResult.NotSent -> StateReply.Unavailable
             HttpResult.NoResponse -> StateReply.NoResponse
             is HttpResult.Answered ->
-                try {
-                    decode(op, result)
-                } catch (e: Malformed) {
-                    StateReply.NoResponse
-                }
+                replies.read(ifMalformed = StateReply.NoResponse) { decode(op, result) }
         }
     }
 
@@ -78,7 +87,7 @@
     }
 
 /** The cloud; the core spends its rate budget, see `Fleet`. */
-class CloudClient(private val link: HttpLink) {
+class CloudClient(private val link: HttpLink, private val replies: ReplyReader) {
     suspend fun run(op: CloudOp): CloudReply {
         val result =
             when (op) {
@@ -103,11 +112,7 @@
             HttpResult.NotSent -> CloudReply.Unavailable
             HttpResult.NoResponse -> CloudReply.NoResponse
             is HttpResult.Answered ->
-                try {
-                    decode(op, result)
-                } catch (e: Malformed) {
-                    CloudReply.NoResponse
-                }
+                replies.read(ifMalformed = CloudReply.NoResponse) { decode(op, result) }
         }
     }
 
@@ -137,7 +142,7 @@
 }
 
 /** Direct commands to workers, over one kept connection each for as many workers as [links] holds. */
-class WorkerClient(private val links: (String) -> HttpLink?) {
+class WorkerClient(private val links: (String) -> HttpLink?, private val replies: ReplyReader) {
     suspend fun run(e: Effect.Direct): DirectReply {
         val link = links(e.address) ?: return DirectReply.NotSent
         val body = Pack.encode(WorkerCodec.direct(e.token, e.session, e.commands))
@@ -145,15 +150,13 @@
             HttpResult.NotSent -> DirectReply.NotSent
             HttpResult.NoResponse -> DirectReply.NoResponse
             is HttpResult.Answered ->
-                try {
+                replies.read(ifMalformed = DirectReply.NoResponse) {
                     when (result.status) {
                         200 -> DirectReply.Executed(WorkerCodec.report(result.body))
                         409 -> DirectReply.Refused(WorkerCodec.report(result.body))
                         400 -> DirectReply.NotSent
                         else -> DirectReply.NoResponse
                     }
-                } catch (e: Malformed) {
-                    DirectReply.NoResponse
                 }
         }
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
@@ -15,6 +15,7 @@
     private var malformedReports = 0L
     private var malformedFrames = 0L
     private var newerFrames = 0L
+    private var malformedReplies = 0L
     private val histograms = LinkedHashMap<String, Histogram>()
     private val registry by lazy {
         SimpleMeterRegistry().also { r ->
@@ -26,6 +27,12 @@
                 .register(r)
             FunctionCounter.builder("chalkhollow.frames.malformed", this) { it.malformedFrames.toDouble() }.register(r)
             FunctionCounter.builder("chalkhollow.frames.newer", this) { it.newerFrames.toDouble() }.register(r)
+            FunctionCounter
+                .builder(
+                    "chalkhollow.replies.malformed",
+                    this,
+                ) { it.malformedReplies.toDouble() }
+                .register(r)
         }
     }
 
@@ -47,6 +54,11 @@
         newerFrames++
     }
 
+    /** A reply of the state service, the cloud or a worker that could not be read. */
+    fun malformedReply() {
+        malformedReplies++
+    }
+
     /** How long something of this kind took. */
     fun took(kind: String, micros: Long) =
         histograms.getOrPut(kind) { Histogram(MOST_MICROS, 2) }.recordValue(micros.coerceIn(0, MOST_MICROS))
@@ -68,6 +80,7 @@
                     appendLine("chalkhollow_version{controller=\"$label\"} $version")
                 }
             }
+            for ((input, count) in view.dropped) appendLine("chalkhollow_${input.metric}_total $count")
             for ((kind, h) in histograms) {
                 for (q in QUANTILES) {
                     appendLine("chalkhollow_micros{kind=\"$kind\",quantile=\"$q\"} ${h.getValueAtPercentile(q * 100)}")
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -46,11 +46,17 @@
     /** Bounds how often malformed messages are logged; the meters count them all. */
     @Suppress("UnstableApiUsage")
     private val complaints = RateLimiter.create(COMPLAINTS_PER_S)
-    private val state = StateClient(HttpLink(scope, loop, settings.state, STATE_BODY, 4), settings.stateLimits.rps * 0.5)
-    private val cloud = CloudClient(HttpLink(scope, loop, settings.cloud, STATE_BODY, 2))
+    private val replies = ReplyReader { e ->
+        meters.malformedReply()
+        if (complaints.tryAcquire()) log.warn("a reply is malformed and counts as none: {}", e.message)
+    }
+    private val state = StateClient(
+        HttpLink(scope, loop, settings.state, STATE_BODY, 4), settings.stateLimits.rps * 0.5, replies,
+    )
+    private val cloud = CloudClient(HttpLink(scope, loop, settings.cloud, STATE_BODY, 2), replies)
     private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
     private val workerLinks: WorkerLinks = WorkerLinks(scope, loop, settings.maxConnections - spareSockets) { server.connected }
-    private val workers = WorkerClient(workerLinks::to)
+    private val workers = WorkerClient(workerLinks::to, replies)
     private val mesh = MeshNode(
         scope, selector, settings.meshAddress, settings.peers, PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION), FrameComplaints(log, meters),
     ) { from, message -> feed(Input.Peer(from, message)) }
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/DroppedInputsTest.kt
@@ -0,0 +1,214 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.mesh.Frames
+import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.rehearsal.NodeStand
+import org.chalkhollow.rehearsal.Rehearsal
+import org.chalkhollow.runtime.Meters
+import org.chalkhollow.runtime.ReplyReader
+import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.settings.StateLimits
+import org.chalkhollow.wire.Change
+import org.chalkhollow.wire.ListedPage
+import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.Row
+import org.chalkhollow.wire.Rows
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** What comes late, repeated or from another life changes nothing, and is counted. */
+class DroppedInputsTest {
+    private class Events : Leadership.Events {
+        override fun prepare(stamp: Long) = Unit
+
+        override fun prepared(stamp: Long) = true
+
+        override fun unprepare() = Unit
+
+        override fun onElected(generation: Long, stamp: Long, writes: Long, basis: Long) = Unit
+
+        override fun onDeposed() = Unit
+    }
+
+    private val desk = Desk(1).also { it.now = Now(0, 0) }
+    private val options = OperatorSettings()
+    private val limits = StateLimits(80.0, 40.0, 8192, 12)
+
+    private fun leadership(peers: Int) = Leadership(desk, "m", List(peers) { "p$it" }, 77, options, 0, 0, Events())
+
+    private fun assertDropped(expected: Map<DroppedInput, Long>) =
+        assertEquals(expected, desk.dropped.counts().filterValues { it > 0 })
+
+    /** Three controllers after their first election, on a network that loses nothing. */
+    private fun rehearsal(seed: Long): Rehearsal =
+        Rehearsal(seed).also { r ->
+            r.network.loss = 0.0
+            r.network.late = 0.0
+            r.begin(0, 1)
+            r.world.runUntil(15_000)
+        }
+
+    private val Rehearsal.leader: NodeStand get() = nodes.single { it.leads }
+
+    /** What [node] drops while [run] runs. */
+    private fun dropsOf(node: NodeStand, run: () -> Unit): Map<DroppedInput, Long> {
+        val before = node.dropped
+        run()
+        return node.dropped.mapValues { (input, count) -> count - (before[input] ?: 0) }.filterValues { it > 0 }
+    }
+
+    @Test
+    fun `reports that are late, repeated or of an ended session are counted`() {
+        val r = rehearsal(1)
+        r.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
+        r.world.runUntil(40_000)
+        val worker = r.cloud.workers.single { it.onMachine().isNotEmpty() }
+        val old = worker.keepReport()
+        r.world.runUntil(50_000)
+        assertEquals(mapOf(DroppedInput.REPORT_LATE to 1L), dropsOf(r.leader) { old(r.leader) })
+        assertEquals(mapOf(DroppedInput.REPORT_REPEATED to 1L), dropsOf(r.leader) { worker.repeatLastReport() })
+        worker.reboot()
+        r.world.runUntil(65_000)
+        assertEquals(mapOf(DroppedInput.REPORT_OTHER_LIFE to 1L), dropsOf(r.leader) { old(r.leader) })
+    }
+
+    @Test
+    fun `a report in the answer to a command that is older than the last one is counted`() {
+        val r = rehearsal(2)
+        r.network.heldMs = 1400L..1450L
+        r.network.held = 1.0
+        val drops =
+            dropsOf(r.leader) {
+                repeat(20) { r.users.submit { it.copy(types = null, zone = null, expectedS = 1.0) } }
+                r.world.runUntil(60_000)
+            }
+        assertTrue((drops[DroppedInput.REPORT_LATE] ?: 0) > 0, "$drops")
+    }
+
+    @Test
+    fun `a passed on request's answer that comes again or was never asked for is counted`() {
+        val r = rehearsal(3)
+        val follower = r.nodes.first { !it.leads }
+        val leader = r.indexAt(follower.label, r.leader.label)
+        val answers = ArrayList<PeerMessage.Forwarded>()
+        r.onFrame = { frame -> (Frames.decode(frame) as? PeerMessage.Forwarded)?.let(answers::add) }
+        follower.user(UserAsk.Poll("j-000001")) {}
+        r.world.runUntil(16_000)
+        val answer = answers.single()
+        val again = Frames.encode(answer)
+        assertEquals(mapOf(DroppedInput.MESSAGE_LATE to 1L), dropsOf(follower) { follower.peer(leader, again) })
+        val foreign = Frames.encode(PeerMessage.Forwarded(answer.seq - 1_000_000, 200, ByteArray(0), 0))
+        assertEquals(mapOf(DroppedInput.MESSAGE_OTHER_LIFE to 1L), dropsOf(follower) { follower.peer(leader, foreign) })
+    }
+
+    @Test
+    fun `votes, promises and releases that nobody waits for are counted`() {
+        val leadership = leadership(4)
+        val record = LeadRecord("p0", 1, 5, 9).value()
+        var ask: PeerMessage.VoteAsk? = null
+        for (t in 0L..5000L step 100) {
+            desk.now = Now(t, t)
+            leadership.tick()
+            for (e in desk.drain()) {
+                if (e is Effect.State) {
+                    desk.reply(
+                        Input.State(e.ticket, StateReply.Found(Row(LeadRecord.KEY, record, 4))),
+                    )
+                }
+                if (e is Effect.Send) ask = e.message as? PeerMessage.VoteAsk ?: ask
+            }
+        }
+        val asked = checkNotNull(ask) { "no votes were asked for" }
+        val vote = PeerMessage.Vote(asked.generation, asked.seq, granted = true)
+        leadership.onPeer(0, vote)
+        assertDropped(emptyMap())
+        leadership.onPeer(0, vote)
+        assertDropped(mapOf(DroppedInput.MESSAGE_REPEATED to 1L))
+        leadership.onPeer(1, vote.copy(seq = asked.seq - 1))
+        leadership.onPeer(1, vote.copy(generation = asked.generation + 1))
+        leadership.onPeer(0, PeerMessage.Promise(5, 1, granted = true, stateServed = true))
+        leadership.onPeer(2, PeerMessage.Release(5))
+        assertDropped(mapOf(DroppedInput.MESSAGE_REPEATED to 1L, DroppedInput.MESSAGE_LATE to 4L))
+        leadership.onPeer(1, vote.copy(seq = asked.seq + 1))
+        leadership.onPeer(1, vote.copy(seq = asked.seq - 1_000_000))
+        assertEquals(2, desk.dropped.counts()[DroppedInput.MESSAGE_OTHER_LIFE])
+        assertEquals(Leadership.Role.FOLLOWER, leadership.role)
+    }
+
+    @Test
+    fun `a reply to a call that has had one is counted`() {
+        var replies = 0
+        desk.state(StateOp.Read("x")) { replies++ }
+        val call = desk.drain().filterIsInstance<Effect.State>().single()
+        repeat(3) { desk.reply(Input.State(call.ticket, StateReply.Missing)) }
+        desk.reply(Input.Cloud(77, CloudReply.Deleted))
+        desk.reply(Input.Direct(78, DirectReply.NotSent))
+        assertEquals(1, replies)
+        assertDropped(mapOf(DroppedInput.REPLY_REPEATED to 4L))
+    }
+
+    @Test
+    fun `a reply to a write of a term that is over is counted`() {
+        val log = StateLog(desk, limits, options, leadership(0))
+        var durable = false
+        val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
+        log.source { write }
+        desk.now = Now(1000, 1000)
+        log.start(LeadRecord("m", 77, 1, 0), 1)
+        desk.now = Now(2000, 2000)
+        log.pump()
+        val call = desk.drain().filterIsInstance<Effect.State>().single()
+        log.stop()
+        desk.reply(Input.State(call.ticket, StateReply.Committed(2)))
+        assertEquals(false, durable)
+        assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
+    }
+
+    @Test
+    fun `a page of what a candidate reads no more is counted`() {
+        val survey = Survey(desk, listOf("x/")) {}
+        survey.begin(7)
+        val call = desk.drain().filterIsInstance<Effect.State>().single()
+        survey.begin(8)
+        desk.reply(Input.State(call.ticket, StateReply.Page(Rows(emptyList(), false))))
+        assertEquals(false, survey.complete(7))
+        assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
+    }
+
+    @Test
+    fun `a reply of the cloud to an earlier term is counted`() {
+        val fleet = Fleet(desk, Names(), Rehearsal(1).settings, options, "a", BaseFleet(desk, limits))
+        fleet.start(1)
+        desk.now = Now(1000, 1000)
+        fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
+        val catalog = desk.drain().filterIsInstance<Effect.Cloud>().single()
+        desk.reply(Input.Cloud(catalog.ticket, CloudReply.CatalogIs(emptyList())))
+        desk.now = Now(2000, 2000)
+        fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
+        val list = desk.drain().filterIsInstance<Effect.Cloud>().single { it.op is CloudOp.Machines }
+        fleet.start(2)
+        desk.reply(Input.Cloud(list.ticket, CloudReply.MachinesAre(ListedPage(emptyList(), false))))
+        assertEquals(false, fleet.heardFromListed())
+        assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
+    }
+
+    @Test
+    fun `a reply that cannot be read counts as none, and is counted`() {
+        val meters = Meters()
+        val replies = ReplyReader { meters.malformedReply() }
+        assertEquals(1, replies.read(ifMalformed = 0) { 1 })
+        assertEquals(0, replies.read(ifMalformed = 0) { throw Malformed("junk") })
+        assertTrue("chalkhollow_replies_malformed_total 1.0" in lines(meters, emptyMap()))
+    }
+
+    @Test
+    fun `every count is among the metrics`() {
+        val counts = DroppedInput.entries.associateWith { it.ordinal + 1L }
+        val lines = lines(Meters(), counts)
+        for ((input, count) in counts) assertTrue("chalkhollow_${input.metric}_total $count" in lines, input.metric)
+    }
+
+    private fun lines(meters: Meters, dropped: Map<DroppedInput, Long>): List<String> =
+        meters.text(Controller.View(false, 0, 0, 0, 0, dropped = dropped)).lines()
+}
--- a/src/test/kotlin/org/chalkhollow/rehearsal/NodeStand.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/NodeStand.kt
@@ -1,6 +1,7 @@
 package org.chalkhollow.rehearsal
 
 import org.chalkhollow.core.Controller
+import org.chalkhollow.core.DroppedInput
 import org.chalkhollow.core.Effect
 import org.chalkhollow.core.Input
 import org.chalkhollow.core.JobView
@@ -34,6 +35,9 @@
     val alive: Boolean get() = controller != null
     val leads: Boolean get() = controller?.leads(now()) == true
 
+    /** What this process has dropped since it began. */
+    val dropped: Map<DroppedInput, Long> get() = checkNotNull(controller) { "$label does not run" }.view.dropped
+
     fun status(): StatusView? = controller?.status(now())
 
     fun jobStatus(id: String): JobView? = controller?.jobStatus(now(), id)
