--- a/src/main/kotlin/org/chalkhollow/core/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CandidateSnapshot.kt
@@ -61,7 +61,7 @@
 
     private fun read(r: Reading, prefix: Int, after: String?) {
         context.state(StateOp.List(prefixes[prefix], after)) { reply ->
-            if (reading !== r) return@state
+            if (reading !== r) return@state context.dropped.count(DroppedInput.REPLY_LATE)
             if (reply !is StateReply.Page) {
                 r.retry = { read(r, prefix, after) }
                 r.retryAt = context.steady + RETRY_MS
--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -133,14 +133,18 @@
      * what is known, such as a copy that was held up on its way, changes nothing.
      */
     fun observe(report: WorkerReport): Machine? {
-        if (report.machine in gone) return null
+        if (report.machine in gone) return dropped(DroppedInput.REPORT_OTHER_LIFE)
         val m = known(report.machine)
         if (report.session <= m.lapsedSession || report.session < m.session ||
             m.state == Machine.State.DELETING
         ) {
-            return null
+            return dropped(DroppedInput.REPORT_OTHER_LIFE)
+        }
+        if (report.session == m.session && report.seq <= m.beatSeq) {
+            val repeated = report.seq == m.beatSeq
+            context.dropped.count(if (repeated) DroppedInput.REPORT_REPEATED else DroppedInput.REPORT_LATE)
+            return m
         }
-        if (report.session == m.session && report.seq <= m.beatSeq) return m
         m.type = names.types.intern(report.type)
         m.zone = names.zones.intern(report.zone)
         m.spot = report.spot
@@ -173,6 +177,11 @@
         return m
     }
 
+    private fun dropped(input: DroppedInput): Machine? {
+        context.dropped.count(input)
+        return null
+    }
+
     /** It carried out what we sent it directly: our commands reach it. */
     fun reached(m: Machine) = reachability.proved(m)
 
@@ -267,7 +276,7 @@
         listBusy = true
         val inGeneration = generation
         context.cloud(CloudOp.Machines(after)) { reply ->
-            if (inGeneration != generation) return@cloud
+            if (inGeneration != generation) return@cloud context.dropped.count(DroppedInput.REPLY_LATE)
             listBusy = false
             if (reply !is CloudReply.MachinesAre) {
                 listAt = context.steady - LIST_MS / 2
@@ -481,7 +490,7 @@
         val inGeneration = generation
         context.info("returning ${list.joinToString(" ") { it.name }}")
         context.cloud(CloudOp.Delete(list.map { it.name })) { reply ->
-            if (inGeneration != generation) return@cloud
+            if (inGeneration != generation) return@cloud context.dropped.count(DroppedInput.REPLY_LATE)
             changeBusy = false
             if (reply is CloudReply.Deleted) {
                 list.forEach(::remove)
@@ -629,7 +638,7 @@
         val inGeneration = generation
         val offer = Offer(names.types.intern(rent.type), names.zones.intern(rent.zone), rent.spot)
         context.cloud(rent) { reply ->
-            if (inGeneration != generation) return@cloud
+            if (inGeneration != generation) return@cloud context.dropped.count(DroppedInput.REPLY_LATE)
             changeBusy = false
             when (reply) {
                 is CloudReply.Rented -> {
--- a/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
@@ -31,7 +31,8 @@
     private val passed = Long2ObjectLinkedOpenHashMap<Passed>()
 
     // Not from 1: an answer meant for an earlier life of this controller must not be taken for one of ours.
-    private var nextSeq = context.random.nextLong(1L shl 61)
+    private val firstSeq = context.random.nextLong(1L shl 61)
+    private var nextSeq = firstSeq
     private val origins = Int2ObjectOpenHashMap<Origin>()
     private var nextRemoteCall = -1
 
@@ -77,7 +78,12 @@
     }
 
     fun onForwarded(m: PeerMessage.Forwarded) {
-        val p = passed.remove(m.seq) ?: return
+        val p = passed.remove(m.seq)
+        if (p == null) {
+            val asked = m.seq in firstSeq until nextSeq
+            context.dropped.count(if (asked) DroppedInput.MESSAGE_LATE else DroppedInput.MESSAGE_OTHER_LIFE)
+            return
+        }
         context.emit(Effect.Answer(p.call, m.status, m.body.takeIf { it.isNotEmpty() }, m.retryAfterS))
     }
 
