--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -12,6 +12,7 @@
 import java.util.PriorityQueue
 import java.util.concurrent.ConcurrentLinkedQueue
 import kotlin.coroutines.CoroutineContext
+import kotlin.coroutines.resume
 
 /**
  * The one thread of a controller: it runs coroutines, their timers and the sockets of the HTTP side. ktor-network pumps
@@ -24,16 +25,27 @@
     CoroutineDispatcher(),
     Delay {
     /** What a channel's key calls when the channel is ready. */
-    fun interface Ready {
+    interface Ready {
+        /** Whether leadership depends on this channel, so that it goes before all others. */
+        val isControl: Boolean get() = false
+
         fun onReady(key: SelectionKey)
     }
 
+    private class Channel(val ready: Ready) {
+        /** Whether its key waits in [readyKeys]. */
+        var queued = false
+    }
+
     private class Timer(val at: Long, val order: Long, val run: Runnable) {
         var cancelled = false
     }
 
     private val selector = Selector.open()
-    private val local = ArrayDeque<Runnable>()
+    private val queues = TaskQueues()
+
+    /** Channels that are ready and wait for their turn. */
+    private val readyKeys = ArrayDeque<SelectionKey>()
 
     /**
      * What other threads hand over: that is what other controllers say. It goes before all else, since an election must
@@ -50,12 +62,12 @@
     /** Registers [channel]; must be called on the loop's thread. */
     fun register(channel: SelectableChannel, interest: Int, ready: Ready): SelectionKey {
         channel.configureBlocking(false)
-        return channel.register(selector, interest, ready)
+        return channel.register(selector, interest, Channel(ready))
     }
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
         if (Thread.currentThread() === thread) {
-            local.addLast(block)
+            queues.add(context[TaskPriority], block)
         } else {
             foreign.add(block)
             selector.wakeup()
@@ -63,8 +75,13 @@
     }
 
     override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
-        val handle =
-            invokeOnTimeout(timeMillis, { with(continuation) { resumeUndispatched(Unit) } }, continuation.context)
+        val resume =
+            if (continuation.context[TaskPriority]?.level == Priority.IDLE) {
+                Runnable { continuation.resume(Unit) } // queued, since something else may be due by then
+            } else {
+                Runnable { with(continuation) { resumeUndispatched(Unit) } }
+            }
+        val handle = invokeOnTimeout(timeMillis, resume, continuation.context)
         continuation.invokeOnCancellation { handle.dispose() }
     }
 
@@ -84,16 +101,41 @@
         while (true) {
             runTimers()
             runQueued()
-            val wait = if (local.isNotEmpty() || foreign.isNotEmpty()) 0 else waitMs()
+            val busy = queues.holdsIdle || isWorkWaiting()
+            val wait = if (busy) 0 else waitMs()
             if (wait == 0L) selector.selectNow() else selector.select(wait)
-            val ready = selector.selectedKeys()
-            if (ready.isEmpty()) continue
-            for (key in ready) {
-                if (key.isValid) (key.attachment() as Ready).onReady(key)
-                (foreign.poll() ?: continue).run()
+            serveReady()
+            if (!isWorkWaiting() && !timerIsDue()) queues.takeIdle()?.run()
+        }
+    }
+
+    private fun isWorkWaiting(): Boolean = !queues.isEmpty() || !foreign.isEmpty() || readyKeys.isNotEmpty()
+
+    /**
+     * Serves channels that are ready: those that leadership depends on at once, the others in the order in which they
+     * became ready and up to a bound, so that hundreds of reports cannot hold a renewal of the lead back.
+     */
+    private fun serveReady() {
+        for (key in selector.selectedKeys()) {
+            val channel = key.attachment() as Channel
+            if (channel.ready.isControl) {
+                serve(key)
+            } else if (!channel.queued) {
+                channel.queued = true
+                readyKeys.addLast(key)
             }
-            ready.clear()
         }
+        selector.selectedKeys().clear()
+        var left = READY_AT_ONCE
+        while (left-- > 0) {
+            val key = readyKeys.removeFirstOrNull() ?: return
+            (key.attachment() as Channel).queued = false
+            serve(key)
+        }
+    }
+
+    private fun serve(key: SelectionKey) {
+        if (key.isValid) (key.attachment() as Channel).ready.onReady(key)
     }
 
     private fun runTimers() {
@@ -105,10 +147,21 @@
         }
     }
 
-    /** Runs what is queued now and what that queues, up to a bound, so that sockets and timers get their turn. */
+    /**
+     * Runs what is queued, most important first and up to a bound, so that sockets get their turn. Timers, which
+     * renewals of the lead hang on, and other controllers' messages go between any two tasks.
+     */
     private fun runQueued() {
         var left = MOST_AT_ONCE
-        while (left-- > 0) (foreign.poll() ?: local.removeFirstOrNull() ?: return).run()
+        while (left-- > 0) {
+            (foreign.poll() ?: queues.take() ?: return).run()
+            if (timerIsDue()) runTimers()
+        }
+    }
+
+    private fun timerIsDue(): Boolean {
+        val next = timers.peek() ?: return false
+        return next.at <= System.nanoTime()
     }
 
     private fun waitMs(): Long {
@@ -119,7 +172,12 @@
 
     private companion object {
         const val SCRATCH = 64 * 1024
-        const val MOST_AT_ONCE = 256
+
+        /** At a hundredth of a core this many reports take a tenth of a second. */
+        const val MOST_AT_ONCE = 16
+
+        /** Channels that are read from in one pass; what they bring is queued by priority. */
+        const val READY_AT_ONCE = 16
         const val IDLE_MS = 10_000L
         const val MOST_DELAY_MS = 1L shl 40
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpLink.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpLink.kt
@@ -13,16 +13,21 @@
 
     /** It certainly never left this process. */
     data object NotSent : HttpResult
+
     data object NoResponse : HttpResult
 }
 
-/** Requests to one address over a few persistent connections, one request at a time on each. */
+/**
+ * Requests to one address over a few persistent connections, one request at a time on each. Leadership depends on a link
+ * that [isControl], which is served before all others.
+ */
 class HttpLink(
     private val scope: CoroutineScope,
     private val loop: EventLoop,
     private val address: Address,
     private val maxBody: Int,
     private val maxIdle: Int,
+    private val isControl: Boolean = false,
 ) {
     private val idle = ArrayDeque<LoopSocket>()
     private var closed = false
@@ -31,17 +36,18 @@
         val socket = idleSocket() ?: connect(minOf(timeoutMs, CONNECT_MS)) ?: return HttpResult.NotSent
         var keep = false
         try {
-            val result = withTimeoutOrNull(timeoutMs) {
-                socket.send(Http.request(method, address.toString(), path, body))
-                val response = parseResponse(socket) ?: return@withTimeoutOrNull null
-                val status = response.status
-                val closes = Http.closes(response.headers)
-                val content = Http.body(scope, response.headers, socket, maxBody)
-                response.release()
-                if (content == null) return@withTimeoutOrNull null
-                keep = !closes
-                HttpResult.Answered(status, content)
-            }
+            val result =
+                withTimeoutOrNull(timeoutMs) {
+                    socket.send(Http.request(method, address.toString(), path, body))
+                    val response = parseResponse(socket) ?: return@withTimeoutOrNull null
+                    val status = response.status
+                    val closes = Http.closes(response.headers)
+                    val content = Http.body(scope, response.headers, socket, maxBody)
+                    response.release()
+                    if (content == null) return@withTimeoutOrNull null
+                    keep = !closes
+                    HttpResult.Answered(status, content)
+                }
             return result ?: HttpResult.NoResponse
         } catch (e: CancellationException) {
             throw e
@@ -60,13 +66,14 @@
         }
     }
 
-    private suspend fun connect(timeoutMs: Long): LoopSocket? = try {
-        withTimeoutOrNull(timeoutMs) { LoopSocket.connect(loop, address) }
-    } catch (e: CancellationException) {
-        throw e
-    } catch (e: Throwable) {
-        null
-    }
+    private suspend fun connect(timeoutMs: Long): LoopSocket? =
+        try {
+            withTimeoutOrNull(timeoutMs) { LoopSocket.connect(loop, address, isControl) }
+        } catch (e: CancellationException) {
+            throw e
+        } catch (e: Throwable) {
+            null
+        }
 
     fun close() {
         closed = true
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
@@ -30,6 +30,7 @@
     private val maxConnections: Int,
     private val clock: () -> Long,
     private val beforeAccept: () -> Unit,
+    private val priorityOf: (firstBytes: ByteArray) -> Priority,
     private val handler: suspend (method: String, path: String, body: ByteArray) -> HttpReply,
 ) {
     private class Connection(val socket: LoopSocket) {
@@ -61,7 +62,9 @@
         val connection = Connection(socket)
         connection.activeAt = clock()
         connections.add(connection)
-        scope.launch(start = CoroutineStart.UNDISPATCHED) { talk(connection) }
+        val priority = TaskPriority(Priority.USER)
+        socket.onFirstBytes = { priority.level = priorityOf(it) }
+        scope.launch(priority, CoroutineStart.UNDISPATCHED) { talk(connection) }
     }
 
     private fun sweep(idleMs: Long) {
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -46,7 +46,7 @@
     /** Bounds how often malformed messages are logged; the meters count them all. */
     @Suppress("UnstableApiUsage")
     private val complaints = RateLimiter.create(COMPLAINTS_PER_S)
-    private val state = StateClient(HttpLink(scope, loop, settings.state, STATE_BODY, 4), settings.stateLimits.rps * 0.5)
+    private val state = StateClient(HttpLink(scope, loop, settings.state, STATE_BODY, 4, isControl = true), settings.stateLimits.rps * 0.5)
     private val cloud = CloudClient(HttpLink(scope, loop, settings.cloud, STATE_BODY, 2))
     private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
     private val workerLinks: WorkerLinks = WorkerLinks(scope, loop, settings.maxConnections - spareSockets) { server.connected }
@@ -55,7 +55,7 @@
         scope, selector, settings.meshAddress, settings.peers, PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION), FrameComplaints(log, meters),
     ) { from, message -> feed(Input.Peer(from, message)) }
     private val server: HttpServer = HttpServer(
-        scope, loop, settings.clientListen, maxOf(8, settings.maxConnections * 8 / 10 - spareSockets), { steady() }, { workerLinks.trim(1) }, ::handle,
+        scope, loop, settings.clientListen, maxOf(8, settings.maxConnections * 8 / 10 - spareSockets), { steady() }, { workerLinks.trim(1) }, ::priorityOf, ::handle,
     )
     private val reports = ReportReader()
     private val calls = HashMap<Int, CompletableDeferred<HttpReply>>()
@@ -77,7 +77,7 @@
         this.mesh.run(mesh)
         log.info("{} listens on {}", settings.label, settings.clientListen)
         feed(Input.Tick)
-        scope.launch { practise() }
+        scope.launch(TaskPriority(Priority.IDLE)) { practise() }
     }
 
     /** Goes through a take-over in memory while this controller follows a leader and has nothing else to do. */
@@ -112,9 +112,9 @@
     private fun carryOut(effect: Effect) {
         when (effect) {
             is Effect.Answer -> calls.remove(effect.call)?.complete(HttpReply(effect.status, effect.body, effect.retryAfterS))
-            is Effect.State -> run("state") { Input.State(effect.ticket, state.run(effect.op)) }
-            is Effect.Cloud -> run("cloud") { Input.Cloud(effect.ticket, cloud.run(effect.op)) }
-            is Effect.Direct -> run("direct") { Input.Direct(effect.ticket, workers.run(effect)) }
+            is Effect.State -> run("state", Priority.CONTROL) { Input.State(effect.ticket, state.run(effect.op)) }
+            is Effect.Cloud -> run("cloud", Priority.WORKER) { Input.Cloud(effect.ticket, cloud.run(effect.op)) }
+            is Effect.Direct -> run("direct", Priority.WORKER) { Input.Direct(effect.ticket, workers.run(effect)) }
             is Effect.Sample -> meters.took(effect.kind, effect.ms * 1000)
             is Effect.Send -> mesh.send(effect.peer, effect.message)
             is Effect.Timer -> {
@@ -129,8 +129,8 @@
         }
     }
 
-    private fun run(kind: String, work: suspend () -> Input) {
-        scope.launch {
+    private fun run(kind: String, priority: Priority, work: suspend () -> Input) {
+        scope.launch(TaskPriority(priority)) {
             val from = System.nanoTime()
             val input = work()
             meters.took(kind, (System.nanoTime() - from) / 1000)
@@ -145,6 +145,10 @@
         Effect.Level.DEBUG -> log.debug(n.text)
     }
 
+    /** What a connection carries, by its first request: whoever reports is a worker, and goes on to report. */
+    private fun priorityOf(firstBytes: ByteArray): Priority =
+        if (REPORT_LINE.indices.all { it < firstBytes.size && firstBytes[it] == REPORT_LINE[it] }) Priority.WORKER else Priority.USER
+
     private suspend fun handle(method: String, uri: String, body: ByteArray): HttpReply {
         val path = uri.substringBefore('?')
         val arrived = System.nanoTime()
@@ -230,6 +234,7 @@
 
         /** Scripts find every field, also those with nothing in them. */
         val JSON = Json { encodeDefaults = true }
+        val REPORT_LINE = "POST /agent/beat".encodeToByteArray()
         const val COMPLAINTS_PER_S = 0.2
         fun steady(): Long = System.nanoTime() / 1_000_000
         fun now(): Now = Now(steady(), System.currentTimeMillis())
