--- a/src/main/kotlin/org/chalkhollow/runtime/HttpLink.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpLink.kt
@@ -18,8 +18,8 @@
 }
 
 /**
- * Requests to one address over a few persistent connections, one request at a time on each. Leadership depends on a link
- * that [isControl], which is served before all others.
+ * Requests to one address over a few persistent connections, one request at a time on each. Leadership depends on a
+ * link that [isControl], which is served before all others.
  */
 class HttpLink(
     private val scope: CoroutineScope,
--- a/src/main/kotlin/org/chalkhollow/runtime/LoopSocket.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/LoopSocket.kt
@@ -200,6 +200,14 @@
 
         private const val ACCEPTED_AT_ONCE = 16
 
+        /** The next connection; null when none waits or out of sockets, when the rest waits in the backlog. */
+        private fun acceptFrom(server: ServerSocketChannel): SocketChannel? =
+            try {
+                server.accept()
+            } catch (e: java.io.IOException) {
+                null
+            }
+
         /** Takes connections to [server] as they come. */
         private class Acceptor(
             private val loop: EventLoop,
@@ -209,13 +217,7 @@
             override fun onReady(key: SelectionKey) {
                 var left = ACCEPTED_AT_ONCE
                 while (left-- > 0) {
-                    // Out of sockets: the rest waits in the backlog until some are closed.
-                    val channel =
-                        try {
-                            server.accept()
-                        } catch (e: java.io.IOException) {
-                            null
-                        } ?: break
+                    val channel = acceptFrom(server) ?: break
                     channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
                     val socket = LoopSocket(loop, channel)
                     socket.want(SelectionKey.OP_READ, true)
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -46,7 +46,8 @@
     /** Bounds how often malformed messages are logged; the meters count them all. */
     @Suppress("UnstableApiUsage")
     private val complaints = RateLimiter.create(COMPLAINTS_PER_S)
-    private val state = StateClient(HttpLink(scope, loop, settings.state, STATE_BODY, 4, isControl = true), settings.stateLimits.rps * 0.5)
+    private val stateLink = HttpLink(scope, loop, settings.state, STATE_BODY, 4, isControl = true)
+    private val state = StateClient(stateLink, settings.stateLimits.rps * 0.5)
     private val cloud = CloudClient(HttpLink(scope, loop, settings.cloud, STATE_BODY, 2))
     private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
     private val workerLinks: WorkerLinks = WorkerLinks(scope, loop, settings.maxConnections - spareSockets) { server.connected }
@@ -146,8 +147,10 @@
     }
 
     /** What a connection carries, by its first request: whoever reports is a worker, and goes on to report. */
-    private fun priorityOf(firstBytes: ByteArray): Priority =
-        if (REPORT_LINE.indices.all { it < firstBytes.size && firstBytes[it] == REPORT_LINE[it] }) Priority.WORKER else Priority.USER
+    private fun priorityOf(firstBytes: ByteArray): Priority {
+        val isReport = REPORT_LINE.indices.all { it < firstBytes.size && firstBytes[it] == REPORT_LINE[it] }
+        return if (isReport) Priority.WORKER else Priority.USER
+    }
 
     private suspend fun handle(method: String, uri: String, body: ByteArray): HttpReply {
         val path = uri.substringBefore('?')
--- a/src/main/kotlin/org/chalkhollow/runtime/TaskQueues.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/TaskQueues.kt
@@ -18,15 +18,18 @@
     IDLE,
 }
 
-/** The priority of a coroutine's tasks. [level] may change, since what a connection carries is known only from its first request. */
+/**
+ * The priority of a coroutine's tasks. [level] may change, since what a connection carries is known only from its first
+ * request.
+ */
 class TaskPriority(var level: Priority) : AbstractCoroutineContextElement(Key) {
     companion object Key : CoroutineContext.Key<TaskPriority>
 }
 
 /**
- * The tasks that wait for their turn on an [EventLoop]. Control goes before all else. Workers and users share what is left:
- * users are few and wait for their answers, so they need not queue behind hundreds of reports, but get at most one turn in
- * [WORKERS_PER_USER] + 1 while workers wait, so that a flood of requests costs no worker its lease.
+ * The tasks that wait for their turn on an [EventLoop]. Control goes before all else. Workers and users share what is
+ * left: users are few and wait for their answers, so they need not queue behind hundreds of reports, but get at most
+ * one turn in [WORKERS_PER_USER] + 1 while workers wait, so that a flood of requests costs no worker its lease.
  */
 class TaskQueues {
     private val control = ArrayDeque<Runnable>()
