--- a/src/test/kotlin/org/chalkhollow/core/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/DroppedInputsTest.kt
@@ -167,12 +167,12 @@
 
     @Test
     fun `a page of what a candidate reads no more is counted`() {
-        val survey = Survey(context, listOf("x/")) {}
-        survey.begin(7)
+        val snapshot = CandidateSnapshot(context, listOf("x/")) {}
+        snapshot.begin(7)
         val call = context.drain().filterIsInstance<Effect.State>().single()
-        survey.begin(8)
+        snapshot.begin(8)
         context.reply(Input.State(call.ticket, StateReply.Page(Rows(emptyList(), false))))
-        assertEquals(false, survey.complete(7))
+        assertEquals(false, snapshot.complete(7))
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
 
