--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -17,6 +17,10 @@
         return maxOf(0, n.toInt())
     }
 
+    /** What is left of this room beside [n] tasks of size [each]. */
+    fun without(each: Resources, n: Int) =
+        Resources(cpus - n * each.cpus, cards - n * each.cards, memoryGb - n * each.memoryGb)
+
     companion object {
         const val EPSILON = 1e-6
     }
