--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -161,7 +161,7 @@
         }
     }
 
-    fun tick(leading: Boolean, unplaced: List<Placement.Unplaced>, mayRent: Boolean) {
+    fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayRent: Boolean) {
         cloud.refill()
         rental.moreNow = false
         listing.readCatalog(leading)
--- a/src/main/kotlin/org/chalkhollow/core/Job.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Job.kt
@@ -5,6 +5,7 @@
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
+import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Shape
 import java.util.BitSet
 
@@ -90,6 +91,21 @@
     val cancelled: Boolean get() = entry.state == JobState.CANCELLED
     val placeable: Boolean get() = !cancelling && !complete && entry.state == JobState.OPEN && !ready.isEmpty
 
+    /** Whether all its tasks have to be in one zone, or to be spread over zones. */
+    val boundToZones: Boolean get() = spec.together || spec.spread
+
+    /** CPUs of a task where it is counted how many may start; those that take hardly any count for a little. */
+    val countedCpus: Double get() = maxOf(each.cpus, LEAST_COUNTED_CPUS)
+
+    /** Whether a machine of this type could ever run a task of it. */
+    fun fitsType(index: Int, type: MachineType): Boolean = (types == null || index in types) && each.fitsIn(type.room)
+
+    /**
+     * Whether some of it has waited for so long that room kept for other work is no longer kept from it. An earlier
+     * version kept it for ever, so that work waited beside machines with room for it.
+     */
+    fun waitsLong(wall: Long): Boolean = wall - allPlacedWall > KEPT_FROM_MS
+
     fun taken(index: Int) {
         live.addTo(index, 1)
         ready.clear(index)
@@ -113,6 +129,8 @@
 
     private companion object {
         const val AVOID_MS = 45_000L
+        const val KEPT_FROM_MS = 60_000L
+        const val LEAST_COUNTED_CPUS = 0.1
     }
 }
 
--- a/src/main/kotlin/org/chalkhollow/core/MachineRental.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineRental.kt
@@ -64,7 +64,7 @@
     /**
      * Rents for the most urgent class of tasks that neither the machines that are up nor those booting have room for.
      */
-    fun rentFor(unplaced: List<Placement.Unplaced>) {
+    fun rentFor(unplaced: List<UnplacedTasks>) {
         if (unplaced.isEmpty()) return
         val (offer, count) = wanted(unplaced).entries.firstOrNull() ?: return
         if (!cloud.spend()) return
@@ -83,7 +83,7 @@
     }
 
     /** How many of each offer are wanted for [unplaced], the most urgent first. */
-    private fun wanted(unplaced: List<Placement.Unplaced>): Map<Offer, Int> {
+    private fun wanted(unplaced: List<UnplacedTasks>): Map<Offer, Int> {
         val rooms = roomsOnTheirWay()
         val wanted = LinkedHashMap<Offer, Int>()
         val inZone = HashMap<Int, Int>()
@@ -129,7 +129,7 @@
     private fun overdue(m: Machine, t: Long): Boolean = t - m.bornAt > table.bootS(m) * 2 * MS_PER_S
 
     /** Deals [rooms] out to [u]; returns how many tasks are left. */
-    private fun fill(u: Placement.Unplaced, rooms: List<ExpectedRoom>): Int {
+    private fun fill(u: UnplacedTasks, rooms: List<ExpectedRoom>): Int {
         var left = u.count
         for (v in rooms) {
             if (left == 0) break
@@ -156,10 +156,10 @@
     private class PricedOffer(val offer: Offer, val price: Double)
 
     /** The offer with the lowest price for one task of [u], among those not refused lately. */
-    private fun cheapest(u: Placement.Unplaced, inZone: Map<Int, Int>): Offer? {
+    private fun cheapest(u: UnplacedTasks, inZone: Map<Int, Int>): Offer? {
         var best: PricedOffer? = null
         for ((index, type) in table.types.withIndex()) {
-            if (type == null || !Placement.fitsType(u.job, index, type)) continue
+            if (type == null || !u.job.fitsType(index, type)) continue
             for (zoneName in type.zones) {
                 val zone = names.zones.intern(zoneName)
                 if (zone in unreached || !u.admits(zone)) continue
@@ -172,7 +172,7 @@
     /** The better of [best] and what [type] costs in [zone], where there are [inZone] machines already. */
     private fun cheaper(
         best: PricedOffer?,
-        u: Placement.Unplaced,
+        u: UnplacedTasks,
         index: Int,
         type: MachineType,
         zone: Int,
@@ -191,7 +191,7 @@
         return better
     }
 
-    private fun mayRent(u: Placement.Unplaced, offer: Offer, type: MachineType): Boolean {
+    private fun mayRent(u: UnplacedTasks, offer: Offer, type: MachineType): Boolean {
         if (!table.allows(u.job, offer.type, offer.zone, offer.spot)) return false
         if (context.steady < (refusedUntil[offer] ?: 0)) return false
         // What spot machines may run can wait for them, unless it would be late.
--- a/src/main/kotlin/org/chalkhollow/core/MachineReturn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineReturn.kt
@@ -25,7 +25,7 @@
     var reserve: () -> Double = { 0.0 }
 
     /** Deletes what is of no use any more; true if a request was sent. */
-    fun returnMachines(unplaced: List<Placement.Unplaced>): Boolean {
+    fun returnMachines(unplaced: List<UnplacedTasks>): Boolean {
         val t = context.steady
         val out = silent(t)
         for (m in table.all) {
@@ -173,7 +173,7 @@
 
     private fun couldTake(m: Machine, job: OpenJob): Boolean {
         val type = table.types.getOrNull(m.type) ?: return false
-        return table.allows(job, m.type, m.zone, m.spot) && Placement.fitsType(job, m.type, type) &&
+        return table.allows(job, m.type, m.zone, m.spot) && job.fitsType(m.type, type) &&
             !job.avoids(m.id, context.steady)
     }
 
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementRound.kt
@@ -0,0 +1,137 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.model.Resources
+
+/** Replicas of one service that their team's limit keeps from running. */
+class ReplicasAtLimit(val job: OpenJob, val count: Int)
+
+/**
+ * What one round has given away so far: which tasks go to which of [machines], and what is left over. Teams' limits,
+ * the room kept for urgent work and for services, and what jobs are owed hold over all that the round gives. Made and
+ * called by [Placement], job by job in their order.
+ */
+class PlacementRound(
+    private val context: CoreContext,
+    private val quotas: Quotas,
+    private val fleet: Fleet,
+    private val order: JobOrder,
+    private val aging: Aging,
+    private val choice: MachineChoice,
+    private val replicas: Replicas,
+    private val room: Room,
+) {
+    /** The machines with room for any task that waits, and CPUs that are to stay free for urgent work. */
+    class Room(val machines: List<Machine>, val reserve: Double)
+
+    val out = ArrayList<Allocation>()
+    val left = ArrayList<UnplacedTasks>()
+
+    /** Replicas that their team's limit keeps from running. */
+    val limited = ArrayList<ReplicasAtLimit>()
+    private val machines get() = room.machines
+    private var free = machines.sumOf { it.left.cpus }
+    private val capacity = order.capacity
+
+    /** CPU seconds of waiting work, this job's and what goes before it. */
+    private var backlog = 0.0
+    private val givenCpus = HashMap<Int, Double>() // by team
+    private val givenCards = HashMap<Int, Double>()
+    private val taken = HashMap<OpenJob, Int>()
+
+    /** Whether room for services has been taken off what is left for other work. */
+    private var kept = false
+    private var exceptions = MOST_EXCEPTIONS
+
+    /** Gives the job what it may have; with [heldOnly] only on machines that hold its image. */
+    fun serve(job: OpenJob, heldOnly: Boolean) {
+        keepRoomFrom(job)
+        val ready = job.ready.cardinality() - (taken[job] ?: 0)
+        val wanted = minOf(ready, headroom(job))
+        if (job.service && wanted < ready) limited.add(ReplicasAtLimit(job, ready - wanted))
+        // Rules on zones are counted over what one call places, so such jobs are placed in one.
+        val want = if (heldOnly && (job.gang || job.boundToZones)) 0 else wanted(job, wanted, ready)
+        val placed = if (want > 0) placeAlsoWhereKept(job, want, heldOnly) else 0
+        if (placed > 0) note(job, placed)
+        if (placed == ready) job.allPlacedWall = context.now.wall
+        if (heldOnly || placed >= wanted) return
+        if (want > 0) backlog += (wanted - placed) * job.each.cpus * job.spec.expectedS
+        leaveOver(job, wanted - placed, want > 0 && order.pressing(job, backlog / maxOf(1.0, capacity)))
+    }
+
+    /** Before the first job that is neither a service nor owed anything, room is kept for services. */
+    private fun keepRoomFrom(job: OpenJob) {
+        if (kept || job.service || aging.goesFirst(job)) return
+        kept = true
+        free -= replicas.keepRoom(machines)
+    }
+
+    /** How many of the [most] tasks that the team's limit allows this round should give the job. */
+    private fun wanted(job: OpenJob, most: Int, ready: Int): Int {
+        var want = most
+        // A probe, not the whole array.
+        if (job.failures > 0 && job.failsAround(context.steady)) want = minOf(want, 1)
+        if (aging.goesFirst(job) && !job.gang) {
+            want = minOf(want, aging.most(job))
+        } else if (order.yields(job)) {
+            want = minOf(want, ((free - room.reserve) / job.countedCpus).toInt())
+        }
+        if (job.gang && (!job.live.isEmpty() || want < ready)) want = 0 // all at once or not at all
+        return want
+    }
+
+    private fun placeAlsoWhereKept(job: OpenJob, want: Int, heldOnly: Boolean): Int {
+        val placed = place(job, want, 0, heldOnly)
+        if (heldOnly || placed >= want || !mayUseKeptRoom(job, placed)) return placed
+        replicas.giveBack()
+        val more = place(job, want - placed, placed, false)
+        replicas.keepRoom(machines)
+        return placed + more
+    }
+
+    private fun place(job: OpenJob, want: Int, placed: Int, heldOnly: Boolean): Int =
+        if (job.gang) {
+            choice.placeGang(job, want, machines, out)
+        } else {
+            choice.place(job, want, machines, out, (taken[job] ?: 0) + placed, heldOnly)
+        }
+
+    /** Room for services is no longer kept from what waits long, see [OpenJob.waitsLong]. */
+    private fun mayUseKeptRoom(job: OpenJob, placed: Int): Boolean {
+        if (!kept || job.service) return false
+        if (placed > 0 && job.boundToZones) return false
+        return job.waitsLong(context.now.wall) && exceptions-- > 0
+    }
+
+    private fun headroom(job: OpenJob): Int {
+        val given = Resources(givenCpus[job.team] ?: 0.0, givenCards[job.team] ?: 0.0, 0.0)
+        return quotas.headroom(job.team, job.each, given)
+    }
+
+    private fun leaveOver(job: OpenJob, count: Int, pressing: Boolean) {
+        val zones = if (job.boundToZones) zonesAfter(job) else null
+        left.add(UnplacedTasks(job, count, pressing, zones))
+    }
+
+    /** The rule on zones as it stands with what this round has given the job. */
+    private fun zonesAfter(job: OpenJob): ZoneRule {
+        val zones = ZoneRule(job, fleet)
+        for (a in out) if (a.job === job) zones.take(a.machine.zone, a.tasks.size)
+        return zones
+    }
+
+    private fun note(job: OpenJob, placed: Int) {
+        free -= placed * job.each.cpus
+        taken.merge(job, placed, Int::plus)
+        aging.placed(job, placed)
+        givenCpus.merge(job.team, placed * job.each.cpus, Double::plus)
+        givenCards.merge(job.team, placed * job.each.cards, Double::plus)
+    }
+
+    private companion object {
+        /**
+         * Of the jobs that wait long only the first few are offered the room kept for services: each offer costs a
+         * pass.
+         */
+        const val MOST_EXCEPTIONS = 5
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/Preemption.kt
@@ -0,0 +1,171 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.model.Priority
+import org.chalkhollow.model.Resources
+import org.chalkhollow.model.Shape
+
+/**
+ * Owns which running tasks are stopped to make room for others: for urgent tasks whose start is still in time, work of
+ * lower priority; for tasks within a guarantee, what other teams run beyond theirs. Only what makes room for a task on
+ * the machine where it runs is stopped, and only what saves its progress or has hardly begun; replicas of services also
+ * take the place of other work of lower priority. Called by [Placement] at the end of a round.
+ */
+class Preemption(
+    private val context: CoreContext,
+    private val quotas: Quotas,
+    private val fleet: Fleet,
+    private val objectives: ServiceLevelObjectives,
+    private val order: JobOrder,
+    private val choice: MachineChoice,
+) {
+    /** Machines on which this round decided to stop tasks. */
+    val preempted = LinkedHashSet<Machine>()
+
+    /** Tasks that wait for room, and what entitles them to that of others. */
+    private class Claim(val tasks: UnplacedTasks, val urgent: Boolean, val owed: Boolean) {
+        val job: OpenJob get() = tasks.job
+    }
+
+    fun begin() = preempted.clear()
+
+    /** Makes room for what this round has [left] unplaced. */
+    fun makeRoom(left: List<UnplacedTasks>, placeable: List<Machine>) {
+        var places: List<Machine>? = null
+        for (u in left) {
+            val claim = claimOf(u) ?: continue
+            if (u.job.service) {
+                val some = placeable.filter { m -> m.attempts.any { it.stopping || yieldsTo(it, u.job) } }
+                makeRoom(claim, some)
+                continue
+            }
+            val some =
+                places ?: placeable.filter { m -> m.attempts.any { it.stopping || stoppable(it) } }.also { places = it }
+            if (some.isEmpty()) return
+            makeRoom(claim, some)
+        }
+    }
+
+    private fun claimOf(u: UnplacedTasks): Claim? {
+        val urgent = objectives.startable(u.job, context.now.wall) && u.job.spec.priority <= Priority.HIGH
+        val owed = order.freshGuarantee(u.job)
+        return if (u.job.gang || !urgent && !owed) null else Claim(u, urgent, owed)
+    }
+
+    /** Work of lower priority of its own team gives way to replicas that the team's limit would keep from running. */
+    fun makeRoomWithinLimit(job: OpenJob, count: Int) {
+        var need = count * job.each.cpus
+        val victims = ArrayList<Attempt>()
+        for (m in fleet.machines) {
+            for (a in m.attempts) {
+                if (a.job.team != job.team) continue
+                if (a.stopping && a.onMachine) {
+                    need -= a.job.each.cpus
+                } else if (yieldsTo(a, job)) {
+                    victims.add(a)
+                }
+            }
+        }
+        victims.sortWith(cheapestFirst)
+        for (a in victims) {
+            if (need <= Resources.EPSILON) return
+            a.stopping = true
+            need -= a.job.each.cpus
+            preempted.add(a.machine)
+        }
+    }
+
+    private fun makeRoom(claim: Claim, candidates: List<Machine>) {
+        val job = claim.job
+        val places = candidates.filter { usable(claim, it) }
+        var need = claim.tasks.count - places.sumOf { job.each.countIn(roomAfterStops(it)) }
+        if (need <= 0) return
+        val victims =
+            places
+                .associateWith { m -> m.attempts.filter { mayStop(it, claim) }.sortedWith(cheapestFirst) }
+                .filterValues { it.isNotEmpty() }
+        val heldFirst = compareBy<Map.Entry<Machine, List<Attempt>>> { if (choice.fetches(job, it.key)) 1 else 0 }
+        for ((m, some) in victims.entries.sortedWith(heldFirst.thenBy(cheapestFirst) { it.value.first() })) {
+            if (need <= 0) return
+            need -= stopOn(m, some, job, need)
+        }
+    }
+
+    private fun usable(claim: Claim, m: Machine): Boolean {
+        val job = claim.job
+        return (job.service || !choice.fetches(job, m)) && choice.allowed(job, m) && claim.tasks.admits(m.zone)
+    }
+
+    private val cheapestFirst =
+        compareBy<Attempt>(
+            { if (it.job.spec.checkpointS > 0) 0 else 1 },
+            { -it.placedAt },
+            { it.machine.id },
+            { it.index },
+        )
+
+    /**
+     * Stops as many of [victims] on [m] as make room there for tasks of [job], and none that do not: an earlier version
+     * counted CPUs over all machines, so what was stopped went back to where it had been, since the room was too small
+     * for the other.
+     */
+    private fun stopOn(m: Machine, victims: List<Attempt>, job: OpenJob, most: Int): Int {
+        var room = roomAfterStops(m)
+        var fitting = job.each.countIn(room)
+        var made = 0
+        val pending = ArrayList<Attempt>()
+        for (v in victims) {
+            if (made >= most) break
+            pending.add(v)
+            room += v.job.each
+            val now = job.each.countIn(room)
+            if (now == fitting) continue
+            made += now - fitting
+            fitting = now
+            for (p in pending) p.stopping = true
+            pending.clear()
+            preempted.add(m)
+        }
+        return made
+    }
+
+    /** The room that this round leaves on [m], and what its tasks that are being stopped will leave. */
+    private fun roomAfterStops(m: Machine): Resources {
+        var room = m.left
+        for (a in m.attempts) if (a.stopping && a.onMachine) room += a.job.each
+        return room
+    }
+
+    /** Whether little is lost by stopping [a], whatever for. */
+    private fun stoppable(a: Attempt): Boolean {
+        if (!a.onMachine || a.stopping || a.owed) return false
+        if (a.job.spec.shape != Shape.ARRAY) return false
+        val losesLittle = a.job.spec.checkpointS > 0 || context.steady - a.placedAt < YOUNG_MS
+        return losesLittle && !order.withinGuarantee(a.job)
+    }
+
+    /**
+     * For a replica any task of lower priority gives way, those that lose least first: who asks for a service waits for
+     * it all along.
+     */
+    private fun yieldsTo(a: Attempt, by: OpenJob): Boolean {
+        if (!a.onMachine || a.stopping) return false
+        return !a.job.service && !a.job.gang && a.job.spec.priority > by.spec.priority
+    }
+
+    private fun mayStop(a: Attempt, claim: Claim): Boolean {
+        val by = claim.job
+        if (by.service && yieldsTo(a, by)) return true
+        if (!stoppable(a)) return false
+        val lower = claim.urgent && a.job.spec.priority > by.spec.priority
+        return lower || claim.owed && borrows(a, by)
+    }
+
+    /** Whether [a] runs on what its team has beyond its guarantee, and [by] is another's and no less urgent. */
+    private fun borrows(a: Attempt, by: OpenJob): Boolean =
+        a.job.team != by.team && a.job.spec.priority >= by.spec.priority && quotas.beyond(a.job.team)
+
+    private companion object {
+        /** Less is lost by stopping a task that began this short a time ago than by letting others wait. */
+        const val YOUNG_MS = 12_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/ScarceTypes.kt
@@ -0,0 +1,66 @@
+package org.chalkhollow.core
+
+import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
+import org.chalkhollow.model.Priority
+
+/**
+ * Owns which machine types alone can hold some jobs' tasks. Those are left to such jobs, since their work has nowhere
+ * else to go. Called by [Placement], once a round, and read by [MachineChoice].
+ */
+class ScarceTypes(
+    private val context: CoreContext,
+    private val jobs: JobTable,
+    private val fleet: Fleet,
+    private val objectives: ServiceLevelObjectives,
+) {
+    /** When jobs that fit no other type were last seen, and last seen waiting, by type. */
+    private val seenAt = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
+    private val waitedAt = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
+
+    fun note() {
+        for (job in jobs.open) {
+            val type = onlyType(job)
+            job.onlyType = type
+            if (type < 0) continue
+            seenAt.put(type, context.steady)
+            if (!job.ready.isEmpty) waitedAt.put(type, context.steady)
+        }
+    }
+
+    private fun onlyType(job: OpenJob): Int {
+        var only = -1
+        var othersAreTooSmall = false
+        for ((index, type) in fleet.types.withIndex()) {
+            if (type == null || (job.types != null && index !in job.types)) continue
+            if (!job.each.fitsIn(type.room)) {
+                othersAreTooSmall = true
+            } else if (only >= 0) {
+                return -1
+            } else {
+                only = index
+            }
+        }
+        return if (othersAreTooSmall) only else -1
+    }
+
+    /** Whether tasks that fit no other type have lately waited for this one, which [job] does not need. */
+    fun wantedElsewhere(job: OpenJob, type: Int): Boolean =
+        context.steady - waitedAt.get(type) < WAITED_MS && job.onlyType != type
+
+    /**
+     * Whether [type] is kept from [job]. Urgent work may use it all the same, and so may work that has waited long
+     * while nothing waits for the type.
+     */
+    fun sparedFor(job: OpenJob, type: Int): Boolean {
+        val t = context.steady
+        if (t - seenAt.get(type) > SCARCE_MS || job.onlyType == type) return false
+        if (objectives.startsCount(job) || job.spec.priority < Priority.STANDARD) return false
+        if (job.waitsLong(context.now.wall)) return false
+        return context.now.wall - job.acceptedWall < WAITED_MS || t - waitedAt.get(type) < WAITED_MS
+    }
+
+    private companion object {
+        const val SCARCE_MS = 300_000L
+        const val WAITED_MS = 30_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/UrgentReserve.kt
@@ -0,0 +1,36 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.settings.OperatorSettings
+
+/**
+ * Owns how much room work that can wait leaves free for urgent work to come: as much as jobs of urgent classes mostly
+ * take, by the last ones seen. Room for services is kept by machine, see [Replicas]. Called by [Placement], once a
+ * round, and read by [MachineReturn].
+ */
+class UrgentReserve(
+    private val jobs: JobTable,
+    private val objectives: ServiceLevelObjectives,
+    private val options: OperatorSettings,
+) {
+    /** Sizes in CPUs of the last jobs of classes whose users wait for tasks to start. */
+    private val sizes = ArrayDeque<Double>()
+    private var newestSeen = -1
+
+    fun noteSizes() {
+        var newest = newestSeen
+        for (job in jobs.open) {
+            if (job.entry.id <= newestSeen || !objectives.startsCount(job)) continue
+            newest = maxOf(newest, job.entry.id)
+            if (job.service) continue
+            sizes.addLast(job.each.cpus * job.spec.tasks)
+            if (sizes.size > SIZES_KEPT) sizes.removeFirst()
+        }
+        newestSeen = newest
+    }
+
+    fun cpus(): Double = if (sizes.isEmpty()) 0.0 else options.urgentReserve * sizes.average()
+
+    private companion object {
+        const val SIZES_KEPT = 50
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -17,6 +17,8 @@
         return maxOf(0, n.toInt())
     }
 
+    operator fun plus(other: Resources) = Resources(cpus + other.cpus, cards + other.cards, memoryGb + other.memoryGb)
+
     /** What is left of this room beside [n] tasks of size [each]. */
     fun without(each: Resources, n: Int) =
         Resources(cpus - n * each.cpus, cards - n * each.cards, memoryGb - n * each.memoryGb)
