--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -168,6 +168,7 @@
         m.reportedAt = desk.steady
         m.token = maxOf(m.token, report.token)
         val notice = report.noticeS
+        if (notice != null && m.noticeAt == Machine.NEVER) desk.changed()
         m.noticeAt = if (notice == null) Machine.NEVER else desk.steady + (notice * 1000).toLong()
         if (notice != null) windDown(m)
         return m
@@ -187,9 +188,9 @@
     private fun windDown(m: Machine) {
         val leftS = (m.noticeAt - desk.steady) / 1000.0
         for (a in m.attempts) {
-            if (!a.onMachine || a.stopping) continue
+            if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMoves]
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
-            if (saves || a.job.service || !a.inherited && a.leastLeftS(desk.steady) > leftS) a.stopping = true
+            if (saves || !a.inherited && a.leastLeftS(desk.steady) > leftS) a.stopping = true
         }
     }
 
@@ -337,6 +338,7 @@
             }
             if (m.failedJobs.size >= SICK_JOBS && !m.draining) {
                 m.draining = true
+                desk.changed()
                 desk.info("${m.name} fails every task and is set aside")
             }
             if (useless(m, t)) out.add(m)
--- a/src/main/kotlin/org/chalkhollow/core/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Placement.kt
@@ -33,6 +33,7 @@
     var unplaced: List<Unplaced> = emptyList()
         private set
     private val replicas = Replicas(jobs, fleet)
+    private val moves = ReplicaMoves(desk, fleet, quotas, replicas, ::mayUse)
 
     /** Jobs with ready tasks, most urgent first. */
     fun order(): List<OpenJob> {
@@ -147,7 +148,7 @@
     fun round(): List<Allocation> {
         preempted.clear()
         unplaced = emptyList()
-        if (jobs.open.none { it.placeable }) return emptyList()
+        if (jobs.open.none { it.placeable } && !moves.pending()) return emptyList()
         pools.clear()
         lookForScarceTypes()
         findGuaranteed()
@@ -157,7 +158,10 @@
         noteOwed(capacity)
         val waiting = order()
         val placeable = fleet.placeable()
-        val round = Round(withRoom(placeable, waiting), capacity)
+        val withRoom = withRoom(placeable, waiting)
+        val restarts = moves.start(placeable)
+        val round = Round(placeable, withRoom, capacity)
+        round.take(restarts)
         var i = 0
         while (i < waiting.size) {
             val first = waiting[i]
@@ -169,6 +173,7 @@
             for (k in i until end) round.serve(waiting[k], heldOnly = false)
             i = end
         }
+        round.moveReplicas()
         unplaced = round.left
         preempt(round.left, placeable)
         for ((job, count) in round.limited) makeWayWithinLimit(job, count)
@@ -189,7 +194,11 @@
     }
 
     /** What one round has given away so far. */
-    private inner class Round(private val machines: List<Machine>, private val capacity: Double) {
+    private inner class Round(
+        private val placeable: List<Machine>,
+        private val machines: List<Machine>,
+        private val capacity: Double,
+    ) {
         val out = ArrayList<Allocation>()
         val left = ArrayList<Unplaced>()
         private var free = machines.sumOf { it.left.cpus }
@@ -204,9 +213,34 @@
         /** Replicas that their team's limit keeps from running. */
         val limited = ArrayList<Pair<OpenJob, Int>>()
 
+        /** Services of which a replica starts on the room held for it; the rest of them waits for the next round. */
+        private val moved = HashSet<OpenJob>()
+
+        /** Takes in [restarts] of replicas that move, which have their places already. */
+        fun take(restarts: List<Allocation>) {
+            for (allocation in restarts) {
+                out.add(allocation)
+                moved.add(allocation.job)
+                note(allocation.job, allocation.tasks.size)
+            }
+        }
+
+        private var planned = false
+
+        /** Plans moves of replicas, once in a round: after the starts of services and before any other work. */
+        fun moveReplicas() {
+            if (planned) return
+            planned = true
+            val plan = moves.plan(placeable)
+            preempted.addAll(plan.stoppedOn)
+            left.addAll(plan.lacking)
+        }
+
         fun serve(job: OpenJob, heldOnly: Boolean) {
+            if (job in moved) return
             if (!job.service && !goesFirst(job) && !kept) {
                 kept = true
+                moveReplicas()
                 free -= replicas.keepRoom(machines)
             }
             val ready = job.ready.cardinality() - (taken[job] ?: 0)
@@ -735,6 +769,13 @@
     private fun spreadRoom(zone: Int): Int =
         if (job.spec.spread) maxOf(0, most - unknown - (perZone[zone] ?: 0)) else Int.MAX_VALUE
 
+    /** A task in [zone] will be gone. */
+    fun leave(zone: Int) {
+        if (zone < 0) unknown--
+        if ((perZone[zone] ?: 0) > 1) perZone.merge(zone, -1, Int::plus) else perZone.remove(zone)
+        if (job.spec.together) only = perZone.keys.firstOrNull() ?: -1
+    }
+
     fun take(zone: Int, n: Int) {
         perZone.merge(zone, n, Int::plus)
         if (job.spec.together && only < 0) only = zone
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/ReplicaMovesTest.kt
@@ -0,0 +1,243 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.model.JobSpec
+import org.chalkhollow.model.MachineType
+import org.chalkhollow.model.Priority
+import org.chalkhollow.model.Resources
+import org.chalkhollow.model.Shape
+import org.chalkhollow.model.Team
+import org.chalkhollow.rehearsal.Rehearsal
+import org.chalkhollow.settings.OperatorSettings
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** Which replicas are stopped when, and that the room found for one is held for it. */
+class ReplicaMovesTest {
+    private val desk = Desk(1).also { it.now = Now(0, 0) }
+    private val settings = Rehearsal(1).settings
+    private val names = Names().apply { teams.intern("t") }
+    private val jobs = JobTable(desk, names, settings.stateLimits)
+    private val quotas = Quotas(listOf(Team("t", 6.0, 6.0, 0.0, 0.0)))
+    private val settlement = Settlement(desk, jobs, quotas) { 1 }
+    private val fleet =
+        Fleet(desk, names, settings, OperatorSettings(), "a", BaseFleet(desk, settings.stateLimits)).also {
+            it.types.add(MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west")))
+        }
+    private val moves = ReplicaMoves(desk, fleet, quotas, Replicas(jobs, fleet)) { _, _ -> true }
+
+    private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob {
+        val each = Resources(2.0, 0.0, 1.0)
+        val spec =
+            JobSpec(
+                id = "j-1",
+                workload = "portal",
+                team = "t",
+                shape = Shape.SERVICE,
+                priority = Priority.PRODUCTION,
+                tasks = tasks,
+                each = each,
+                image = "i",
+                imageGb = 1.0,
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = true,
+                expectedS = 0.0,
+                checkpointS = 0.0,
+                saveS = 0.0,
+                dueS = null,
+            )
+        jobs.accept(change(spec), refused = {}) {}
+        jobs.nextUrgent(StateLog.Room(10, 10_000))?.onDurable?.invoke()
+        return checkNotNull(jobs.find("j-1")?.open)
+    }
+
+    private fun machine(name: String, zone: Int = 0, cpus: Double = 0.0): Machine =
+        fleet.known(name).also {
+            it.state = Machine.State.UP
+            it.type = 0
+            it.zone = zone
+            offer(it, cpus)
+        }
+
+    /** What a placement round finds left of the machine. */
+    private fun offer(m: Machine, cpus: Double) {
+        m.left = Resources(cpus, 0.0, 64.0)
+    }
+
+    private fun running(job: OpenJob, index: Int, m: Machine): Attempt =
+        settlement.reserve(job, index, 100L + index, m, null).also {
+            it.phase = Attempt.Phase.RUNNING
+            job.running++
+        }
+
+    /** The attempt is certainly gone, as when its worker reports that it has obeyed. */
+    private fun gone(m: Machine) = settlement.machineGone(m)
+
+    private fun notice(m: Machine, inMs: Long) {
+        m.noticeAt = desk.steady + inMs
+    }
+
+    @Test
+    fun `nothing is stopped while there is no room elsewhere, and room is asked for`() {
+        val job = service(2)
+        val old = machine("n-1")
+        val full = machine("n-2", cpus = 1.0)
+        val replica = running(job, 0, old)
+        running(job, 1, full)
+        assertFalse(moves.pending())
+        notice(old, 15_000)
+        assertTrue(moves.pending())
+        val plan = moves.plan(listOf(full))
+        assertFalse(replica.stopping)
+        assertEquals(emptyList<Machine>(), plan.stoppedOn)
+        assertEquals(listOf(job to 1), plan.lacking.map { it.job to it.count })
+        desk.now = Now(13_600, 13_600)
+        assertEquals(listOf(old), moves.plan(listOf(full)).stoppedOn, "the notice is nearly over")
+        assertTrue(replica.stopping)
+    }
+
+    @Test
+    fun `replicas of a service move one at a time, and the room of each is held until it starts`() {
+        val job = service(3)
+        val old = machine("n-1")
+        val other = machine("n-2", cpus = 8.0)
+        val replicas = List(3) { running(job, it, old) }
+        old.draining = true
+        assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
+        assertEquals(listOf(true, false, false), replicas.map { it.stopping })
+        assertEquals(6.0, other.left.cpus)
+        offer(other, 8.0)
+        assertEquals(emptyList<Allocation>(), moves.start(listOf(other)), "the old attempt is not gone")
+        assertEquals(6.0, other.left.cpus, "the room is held in the next round, too")
+        assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "one is under way")
+
+        replicas[0].phase = Attempt.Phase.EXITED
+        job.running--
+        quotas.remove(job.team, job.each)
+        job.released(0)
+        offer(other, 8.0)
+        val started = moves.start(listOf(other)).single()
+        assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
+        assertEquals(6.0, other.left.cpus)
+        assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "the first does not run again yet")
+        running(job, 0, other)
+        assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
+        assertEquals(listOf(true, true, false), replicas.map { it.stopping })
+    }
+
+    @Test
+    fun `replicas move at once when the notice is too short for one after the other`() {
+        val job = service(3)
+        val old = machine("n-1")
+        val other = machine("n-2", cpus = 8.0)
+        val replicas = List(3) { running(job, it, old) }
+        notice(old, 10_000)
+        moves.plan(listOf(other))
+        assertTrue(replicas.all { it.stopping })
+        assertEquals(2.0, other.left.cpus)
+        gone(old)
+        // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
+        offer(other, 8.0)
+        val first = moves.start(listOf(other)).single()
+        running(job, first.tasks.single(), other)
+        offer(other, 6.0)
+        assertEquals(
+            listOf(1),
+            moves
+                .start(listOf(other))
+                .single()
+                .tasks
+                .toList(),
+        )
+        assertEquals(2.0, other.left.cpus, "room for this one and for the last")
+    }
+
+    @Test
+    fun `a machine that holds the image goes before a fuller one`() {
+        val job = service(1)
+        val old = machine("n-1")
+        val fuller = machine("n-2", cpus = 2.0)
+        val holder = machine("n-3", cpus = 4.0).also { it.images.add(job.image) }
+        running(job, 0, old)
+        old.retiring = true
+        moves.plan(listOf(fuller, holder))
+        assertEquals(listOf(2.0, 2.0), listOf(fuller.left.cpus, holder.left.cpus))
+    }
+
+    @Test
+    fun `spread holds for the place to move to, the old attempt left out`() {
+        val job = service(4) { it.copy(spread = true) }
+        val old = machine("n-1", zone = 0)
+        val sameZone = machine("n-2", zone = 0, cpus = 2.0)
+        val otherZone = machine("n-3", zone = 1, cpus = 8.0)
+        running(job, 0, old)
+        running(job, 1, sameZone)
+        running(job, 2, otherZone)
+        running(job, 3, otherZone)
+        old.draining = true
+        val plan = moves.plan(listOf(otherZone))
+        assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
+        assertEquals(listOf(true, false), listOf(0, 1).map { plan.lacking.single().admits(it) })
+        assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+        assertEquals(0.0, sameZone.left.cpus)
+    }
+
+    @Test
+    fun `together holds for the place to move to`() {
+        val job = service(2) { it.copy(together = true) }
+        val old = machine("n-1", zone = 0)
+        val sameZone = machine("n-2", zone = 0, cpus = 1.0)
+        val otherZone = machine("n-3", zone = 1, cpus = 8.0)
+        running(job, 0, old)
+        running(job, 1, sameZone)
+        old.draining = true
+        assertEquals(emptyList<Machine>(), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+        offer(sameZone, 2.0)
+        assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+    }
+
+    /** A move whose start would break a rule by now is given up: the replica is placed like any that is ready. */
+    @Test
+    fun `held room is given up when the replica may not start there any more`() {
+        fun startAfter(change: (OpenJob, Machine) -> Unit): Int {
+            val test = ReplicaMovesTest()
+            val job = test.service(3) { it.copy(spread = true) }
+            val old = test.machine("n-1", zone = 0)
+            val target = test.machine("n-2", zone = 0, cpus = 8.0)
+            test.running(job, 0, old)
+            test.running(job, 1, test.machine("n-3", zone = 1))
+            test.running(job, 2, test.machine("n-4", zone = 1))
+            old.draining = true
+            test.moves.plan(listOf(target))
+            test.gone(old)
+            change(job, target)
+            return test.moves.start(listOf(target).filter { it.noticeAt == Machine.NEVER }).size
+        }
+        assertEquals(1, startAfter { _, _ -> })
+        assertEquals(0, startAfter { _, target -> target.noticeAt = 5000 }, "it is about to be taken itself")
+        assertEquals(0, startAfter { _, target -> target.left = Resources(1.0, 0.0, 64.0) }, "it has no room")
+        assertEquals(0, startAfter { job, _ -> job.cancelling = true }, "the service is withdrawn")
+        assertEquals(0, startAfter { job, _ -> job.notBefore = 1000 }, "its replicas fail")
+    }
+
+    @Test
+    fun `moves do not take a team beyond its limit`() {
+        val job = service(3)
+        val old = machine("n-1")
+        val other = machine("n-2", cpus = 8.0)
+        repeat(3) { running(job, it, old) }
+        notice(old, 5000)
+        moves.plan(listOf(other))
+        gone(old)
+        quotas.add(job.team, job.each, 3)
+        assertEquals(emptyList<Allocation>(), moves.start(listOf(other)))
+    }
+
+    private companion object {
+        val EIGHT = Resources(8.0, 0.0, 64.0)
+    }
+}
--- a/src/test/kotlin/org/chalkhollow/rehearsal/ServiceRules.kt
+++ b/src/test/kotlin/org/chalkhollow/rehearsal/ServiceRules.kt
@@ -86,6 +86,13 @@
             maxOf(longest, world.time - last)
         }
 
+    /** The most replicas of [id] that were down at the same time from [fromMs] on. */
+    fun mostDownAtOnce(id: String, fromMs: Long): Int {
+        val names = names(specOf(id))
+        val ends = names.flatMap { n -> ran(n).map { it.last } }.filter { it >= fromMs && it < world.time }
+        return ends.maxOfOrNull { t -> names.count { n -> ran(n).none { t >= it.first && t < it.last } } } ?: 0
+    }
+
     private fun ran(name: String): List<LongRange> =
         (spans[name] ?: emptyList()) + listOfNotNull(upSince[name]?.let { it..world.time })
 
