--- a/src/main/kotlin/org/chalkhollow/core/Aims.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Aims.kt
@@ -64,9 +64,11 @@
 
     /**
      * When the job should be over, by its owner's deadline and its class's aims: the first moment that can still be
-     * kept when it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says.
+     * kept when it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says, and for
+     * a service, which is never over.
      */
     fun dueWall(job: OpenJob, wall: Long, leastMs: Long): Long {
+        if (job.service) return Long.MAX_VALUE
         var due = Long.MAX_VALUE
         var last = Long.MIN_VALUE
 
--- a/src/main/kotlin/org/chalkhollow/core/Settlement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Settlement.kt
@@ -41,8 +41,9 @@
         marker: Marker?,
         owed: Boolean = false,
     ): Attempt {
-        val attempt = Attempt(job, index, number, machine, marker, owed)
-        if (owed) owedCpus += job.each.cpus
+        // A replica never ends: what it is given would be missing from the share of passed over work for good.
+        val attempt = Attempt(job, index, number, machine, marker, owed && !job.service)
+        if (attempt.owed) owedCpus += job.each.cpus
         attempt.since = desk.steady
         attempt.placedAt = desk.steady
         attempt.cached = job.image in machine.held
--- a/src/test/kotlin/org/chalkhollow/core/AimsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/AimsTest.kt
@@ -24,13 +24,13 @@
             ),
         ) { 30_000 }
 
-    private fun job(workload: String, dueS: Double?): OpenJob {
+    private fun job(workload: String, dueS: Double?, shape: Shape = Shape.ARRAY): OpenJob {
         val spec =
             JobSpec(
                 "j-1",
                 workload,
                 "t",
-                Shape.ARRAY,
+                shape,
                 Priority.STANDARD,
                 10,
                 Resources(1.0, 0.0, 1.0),
@@ -80,4 +80,13 @@
         )
         assertEquals(Long.MAX_VALUE, aims.dueWall(job("other", null), 0, 1))
     }
+
+    @Test
+    fun `a service is never due, whatever its owner or aims on its class say`() {
+        val service = job("batch", 20.0, Shape.SERVICE)
+        assertEquals(Long.MAX_VALUE, aims.dueWall(service, 0, 0))
+        assertEquals(Long.MAX_VALUE, aims.dueWall(service, 400_000, 0))
+        assertTrue(aims.startsCount(service))
+        assertTrue(aims.startable(service, 400_000))
+    }
 }
--- a/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
@@ -18,13 +18,13 @@
     private val jobs = JobTable(desk, names, StateLimits(80.0, 20.0, 8192, 12))
     private val settlement = Settlement(desk, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
 
-    private fun job(id: String): OpenJob {
+    private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
         val spec =
             JobSpec(
                 id,
                 "w",
                 "t",
-                Shape.ARRAY,
+                shape,
                 Priority.STANDARD,
                 10,
                 Resources(1.0, 0.0, 1.0),
@@ -72,4 +72,15 @@
         assertEquals(2, job.running)
         assertEquals(listOf(0, 2), m.attempts.filter { it.phase == Attempt.Phase.RUNNING }.map { it.index })
     }
+
+    // A service that had been passed over kept what it was given from all others that were, for as long as it ran.
+    @Test
+    fun `a replica does not count against the share of work that was passed over`() {
+        val m = Machine(0, "n-1").also { it.state = Machine.State.UP }
+        settlement.reserve(job("j-1"), 0, 100, m, null, owed = true)
+        settlement.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, owed = true)
+        assertEquals(1.0, settlement.owedCpus)
+        settlement.machineGone(m)
+        assertEquals(0.0, settlement.owedCpus)
+    }
 }
