--- a/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/SettlementTest.kt
@@ -77,8 +77,9 @@
     @Test
     fun `a replica does not count against the share of work that was passed over`() {
         val m = Machine(0, "n-1").also { it.state = Machine.State.UP }
-        settlement.reserve(job("j-1"), 0, 100, m, null, owed = true)
-        settlement.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, owed = true)
+        val batch = settlement.reserve(job("j-1"), 0, 100, m, null, owed = true)
+        val replica = settlement.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, owed = true)
+        for (attempt in listOf(batch, replica)) attempt.phase = Attempt.Phase.RUNNING
         assertEquals(1.0, settlement.owedCpus)
         settlement.machineGone(m)
         assertEquals(0.0, settlement.owedCpus)
