--- a/src/test/kotlin/org/chalkhollow/core/ReplicaMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ReplicaMovesTest.kt
@@ -19,7 +19,7 @@
     private val settings = Rehearsal(1).settings
     private val names = Names().apply { teams.intern("t") }
     private val jobs = JobTable(desk, names, settings.stateLimits)
-    private val quotas = Quotas(listOf(Team("t", 6.0, 6.0, 0.0, 0.0)))
+    private val quotas = Quotas(listOf(Team("t", 8.0, 8.0, 0.0, 0.0)))
     private val settlement = Settlement(desk, jobs, quotas) { 1 }
     private val fleet =
         Fleet(desk, names, settings, OperatorSettings(), "a", BaseFleet(desk, settings.stateLimits)).also {
@@ -203,23 +203,24 @@
     /** A move whose start would break a rule by now is given up: the replica is placed like any that is ready. */
     @Test
     fun `held room is given up when the replica may not start there any more`() {
-        fun startAfter(change: (OpenJob, Machine) -> Unit): Int {
+        fun startAfter(change: ReplicaMovesTest.(OpenJob, Machine) -> Unit): Int {
             val test = ReplicaMovesTest()
-            val job = test.service(3) { it.copy(spread = true) }
+            val job = test.service(4) { it.copy(spread = true) }
             val old = test.machine("n-1", zone = 0)
             val target = test.machine("n-2", zone = 0, cpus = 8.0)
             test.running(job, 0, old)
-            test.running(job, 1, test.machine("n-3", zone = 1))
+            test.running(job, 1, test.machine("n-3", zone = 0))
             test.running(job, 2, test.machine("n-4", zone = 1))
-            old.draining = true
+            test.notice(old, 4000)
             test.moves.plan(listOf(target))
             test.gone(old)
-            change(job, target)
+            test.change(job, target)
             return test.moves.start(listOf(target).filter { it.noticeAt == Machine.NEVER }).size
         }
         assertEquals(1, startAfter { _, _ -> })
         assertEquals(0, startAfter { _, target -> target.noticeAt = 5000 }, "it is about to be taken itself")
         assertEquals(0, startAfter { _, target -> target.left = Resources(1.0, 0.0, 64.0) }, "it has no room")
+        assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
         assertEquals(0, startAfter { job, _ -> job.cancelling = true }, "the service is withdrawn")
         assertEquals(0, startAfter { job, _ -> job.notBefore = 1000 }, "its replicas fail")
     }
@@ -233,7 +234,7 @@
         notice(old, 5000)
         moves.plan(listOf(other))
         gone(old)
-        quotas.add(job.team, job.each, 3)
+        quotas.add(job.team, job.each, 4)
         assertEquals(emptyList<Allocation>(), moves.start(listOf(other)))
     }
 
