--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -154,7 +154,7 @@
             m.beatSeq = -1
             m.reconciled = null
             m.images.clear()
-            m.held.clear()
+            m.images.addAll(m.held) // its cache outlives the session; what it was fetching does not
         }
         hearing.reported(
             m,
--- a/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
@@ -17,9 +17,8 @@
     private val limits: StateLimits,
     private val fleet: Fleet,
 ) {
-    private class Held(val session: Long, val images: List<String>)
-
-    private val remembered = HashMap<String, Held>()
+    /** The images of a machine, by its name. */
+    private val remembered = HashMap<String, List<String>>()
     private var writtenAt = 0L
     private var nextPage = 0
 
@@ -46,18 +45,16 @@
         val images = f.texts("images")
         for ((machine, value) in Fields.of(f.map["held"], row.key).map) {
             val list = (value as? List<*>)?.mapNotNull { (it as? Long)?.toInt() } ?: continue
-            val session = list.firstOrNull()?.toLong() ?: continue
-            remembered[machine] = Held(session, list.drop(1).mapNotNull(images::getOrNull))
+            // The first is the session that this was noted in. Earlier versions took a new one for an empty cache.
+            remembered[machine] = list.drop(1).mapNotNull(images::getOrNull)
         }
         for (m in fleet.machines) recall(m)
     }
 
-    /** Gives [m] back what it held, if it is still in the session that this was noted in. */
+    /** Gives [m] back what it held, also when its lease has lapsed since. */
     fun recall(m: Machine) {
         if (m.session == 0L) return
-        val held = remembered.remove(m.name) ?: return
-        if (held.session != m.session) return
-        for (image in held.images) {
+        for (image in remembered.remove(m.name) ?: return) {
             val index = names.images.intern(image)
             m.images.add(index)
             m.held.add(index)
--- a/src/main/kotlin/org/chalkhollow/core/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Machine.kt
@@ -52,7 +52,7 @@
     var orphans: List<TaskReport> = emptyList()
     val images = IntOpenHashSet()
 
-    /** Images that some task here has run with in this session. */
+    /** Images that some task here has run with; a worker keeps its cache when its lease lapses. */
     val held = IntOpenHashSet()
     var directBusy = false
 
