--- a/src/main/kotlin/org/chalkhollow/core/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Replicas.kt
@@ -1,5 +1,6 @@
 package org.chalkhollow.core
 
+import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import org.chalkhollow.model.Resources
 
 /**
@@ -8,10 +9,14 @@
  * has just come, need not wait for a task to end or a machine to boot.
  */
 class Replicas(private val jobs: JobTable, private val fleet: Fleet) {
-    private class Largest(val each: Resources, val count: Int, val spotAllowed: Boolean)
+    /** The largest service seen of a class, and the images that its services run. */
+    private class ServiceClass(var each: Resources, var count: Int, var spotAllowed: Boolean) {
+        val images = IntOpenHashSet()
 
-    /** The largest service seen of each class. */
-    private val largest = HashMap<String, Largest>()
+        fun imagesOn(m: Machine): Int = images.count { it in m.images }
+    }
+
+    private val classes = HashMap<String, ServiceClass>()
 
     /** How many replicas of [job] a machine takes as long as others have room. */
     fun mostOn(job: OpenJob): Int = (job.spec.tasks + PARTS - 1) / PARTS
@@ -37,25 +42,26 @@
     fun keepRoom(machines: List<Machine>): Double {
         kept.clear()
         noteSizes()
-        if (largest.isEmpty()) return 0.0
+        if (classes.isEmpty()) return 0.0
         val byZone = machines.groupBy { it.zone }
         var cpus = 0.0
-        for (l in largest.values) {
+        for (its in classes.values) {
             for (some in byZone.values) {
-                var need = (l.count + byZone.size - 1) / byZone.size
-                for (m in some.sortedBy { it.left.cpus }) {
+                var need = (its.count + byZone.size - 1) / byZone.size
+                // Where their images are kept already, a replica that comes or comes back need not wait for one.
+                for (m in some.sortedWith(compareBy({ -its.imagesOn(it) }, { it.left.cpus }))) {
                     if (need == 0) break
-                    if (m.spot && !l.spotAllowed) continue
-                    val n = minOf(need, l.each.countIn(m.left), MOST_KEPT)
+                    if (m.spot && !its.spotAllowed) continue
+                    val n = minOf(need, its.each.countIn(m.left), MOST_KEPT)
                     if (n <= 0) continue
                     need -= n
-                    cpus += n * l.each.cpus
-                    kept.add(m to Resources(n * l.each.cpus, n * l.each.cards, n * l.each.memoryGb))
+                    cpus += n * its.each.cpus
+                    kept.add(m to Resources(n * its.each.cpus, n * its.each.cards, n * its.each.memoryGb))
                     m.left =
                         Resources(
-                            m.left.cpus - n * l.each.cpus,
-                            m.left.cards - n * l.each.cards,
-                            m.left.memoryGb - n * l.each.memoryGb,
+                            m.left.cpus - n * its.each.cpus,
+                            m.left.cards - n * its.each.cards,
+                            m.left.memoryGb - n * its.each.memoryGb,
                         )
                 }
             }
@@ -66,13 +72,14 @@
     private fun noteSizes() {
         for (job in jobs.open) {
             if (!job.service) continue
-            val before = largest[job.spec.workload]
-            if (before != null && before.count >= job.spec.tasks) continue
-            if (largest.size < MOST_CLASSES ||
-                before != null
-            ) {
-                largest[job.spec.workload] = Largest(job.each, job.spec.tasks, job.spec.spotAllowed)
-            }
+            val known = classes[job.spec.workload]
+            if (known == null && classes.size >= MOST_CLASSES) continue
+            val its = known ?: ServiceClass(job.each, 0, job.spec.spotAllowed).also { classes[job.spec.workload] = it }
+            if (job.image >= 0 && its.images.size < MOST_IMAGES) its.images.add(job.image)
+            if (its.count >= job.spec.tasks) continue
+            its.each = job.each
+            its.count = job.spec.tasks
+            its.spotAllowed = job.spec.spotAllowed
         }
     }
 
@@ -80,5 +87,6 @@
         const val PARTS = 4
         const val MOST_KEPT = 4
         const val MOST_CLASSES = 50
+        const val MOST_IMAGES = 50
     }
 }
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/ReplicasTest.kt
@@ -0,0 +1,72 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.model.JobSpec
+import org.chalkhollow.model.Priority
+import org.chalkhollow.model.Resources
+import org.chalkhollow.model.Shape
+import org.chalkhollow.rehearsal.Rehearsal
+import org.chalkhollow.settings.OperatorSettings
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+/** Where room is kept free for services. */
+class ReplicasTest {
+    private val desk = Desk(1).also { it.now = Now(0, 0) }
+    private val settings = Rehearsal(1).settings
+    private val names = Names().apply { teams.intern("t") }
+    private val jobs = JobTable(desk, names, settings.stateLimits)
+    private val fleet =
+        Fleet(desk, names, settings, OperatorSettings(), "a", BaseFleet(desk, settings.stateLimits))
+    private val replicas = Replicas(jobs, fleet)
+
+    private fun service(id: String, tasks: Int): OpenJob {
+        val spec =
+            JobSpec(
+                id = id,
+                workload = "portal",
+                team = "t",
+                shape = Shape.SERVICE,
+                priority = Priority.PRODUCTION,
+                tasks = tasks,
+                each = Resources(1.0, 0.0, 1.0),
+                image = "i",
+                imageGb = 1.0,
+                types = null,
+                zone = null,
+                together = false,
+                spread = true,
+                spotAllowed = false,
+                expectedS = 0.0,
+                checkpointS = 0.0,
+                saveS = 0.0,
+                dueS = null,
+            )
+        jobs.accept(spec, refused = {}) {}
+        jobs.nextUrgent(StateLog.Room(10, 10_000))?.onDurable?.invoke()
+        return checkNotNull(jobs.find(id)?.open)
+    }
+
+    private fun machine(name: String, zone: Int, cpus: Double): Machine =
+        fleet.known(name).also {
+            it.zone = zone
+            it.left = Resources(cpus, 0.0, 64.0)
+        }
+
+    @Test
+    fun `room is kept in every zone, on machines that hold the image first, then on the fullest`() {
+        val job = service("j-1", 6)
+        service("j-2", 4)
+        val fullest = machine("n-1", 0, 2.0)
+        val fuller = machine("n-2", 0, 4.0)
+        val holder = machine("n-3", 0, 2.0).also { it.images.add(job.image) }
+        val otherZone = machine("n-4", 1, 8.0)
+        val machines = listOf(fullest, fuller, holder, otherZone)
+        assertEquals(6.0, replicas.keepRoom(machines))
+        assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.left.cpus })
+        replicas.giveBack()
+        assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.left.cpus })
+        val spot = machine("n-5", 0, 1.0).also { it.spot = true }
+        replicas.keepRoom(listOf(spot))
+        assertEquals(1.0, spot.left.cpus, "its services may not use spot machines")
+    }
+}
