--- a/src/test/kotlin/org/chalkhollow/core/ReplicaMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ReplicaMovesTest.kt
@@ -6,8 +6,8 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 import org.chalkhollow.model.Team
-import org.chalkhollow.rehearsal.Rehearsal
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -15,17 +15,24 @@
 
 /** Which replicas are stopped when, and that the room found for one is held for it. */
 class ReplicaMovesTest {
-    private val desk = Desk(1).also { it.now = Now(0, 0) }
-    private val settings = Rehearsal(1).settings
+    private val context = CoreContext(1).also { it.now = Now(0, 0) }
+    private val settings = Simulation(1).settings
     private val names = Names().apply { teams.intern("t") }
-    private val jobs = JobTable(desk, names, settings.stateLimits)
+    private val jobs = JobTable(context, names, settings.stateLimits)
     private val quotas = Quotas(listOf(Team("t", 8.0, 8.0, 0.0, 0.0)))
-    private val settlement = Settlement(desk, jobs, quotas) { 1 }
+    private val settlement = Settlement(context, jobs, quotas) { 1 }
     private val fleet =
-        Fleet(desk, names, settings, OperatorSettings(), "a", BaseFleet(desk, settings.stateLimits)).also {
+        Fleet(
+            context,
+            names,
+            settings,
+            OperatorSettings(),
+            "a",
+            PreProvisionedMachines(context, settings.stateLimits),
+        ).also {
             it.types.add(MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west")))
         }
-    private val moves = ReplicaMoves(desk, fleet, quotas, Replicas(jobs, fleet)) { _, _ -> true }
+    private val moves = ReplicaMoves(context, fleet, quotas, Replicas(jobs, fleet)) { _, _ -> true }
 
     private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob {
         val each = Resources(2.0, 0.0, 1.0)
@@ -78,7 +85,7 @@
     private fun gone(m: Machine) = settlement.machineGone(m)
 
     private fun notice(m: Machine, inMs: Long) {
-        m.noticeAt = desk.steady + inMs
+        m.noticeAt = context.steady + inMs
     }
 
     @Test
@@ -95,7 +102,7 @@
         assertFalse(replica.stopping)
         assertEquals(emptyList<Machine>(), plan.stoppedOn)
         assertEquals(listOf(job to 1), plan.lacking.map { it.job to it.count })
-        desk.now = Now(13_600, 13_600)
+        context.now = Now(13_600, 13_600)
         assertEquals(listOf(old), moves.plan(listOf(full)).stoppedOn, "the notice is nearly over")
         assertTrue(replica.stopping)
     }
--- a/src/test/kotlin/org/chalkhollow/core/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ReplicasTest.kt
@@ -4,19 +4,19 @@
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
-import org.chalkhollow.rehearsal.Rehearsal
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
 /** Where room is kept free for services. */
 class ReplicasTest {
-    private val desk = Desk(1).also { it.now = Now(0, 0) }
-    private val settings = Rehearsal(1).settings
+    private val context = CoreContext(1).also { it.now = Now(0, 0) }
+    private val settings = Simulation(1).settings
     private val names = Names().apply { teams.intern("t") }
-    private val jobs = JobTable(desk, names, settings.stateLimits)
+    private val jobs = JobTable(context, names, settings.stateLimits)
     private val fleet =
-        Fleet(desk, names, settings, OperatorSettings(), "a", BaseFleet(desk, settings.stateLimits))
+        Fleet(context, names, settings, OperatorSettings(), "a", PreProvisionedMachines(context, settings.stateLimits))
     private val replicas = Replicas(jobs, fleet)
 
     private fun service(id: String, tasks: Int): OpenJob {
