--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -108,12 +108,21 @@
         m.state = Machine.State.UP
         m.reportedAt = context.steady
         m.token = maxOf(m.token, report.token)
-        val notice = report.noticeS
-        m.noticeAt = if (notice == null) Machine.NEVER else context.steady + (notice * MS_PER_S).toLong()
-        if (notice != null) windDown(m)
+        takeNotice(m, report.noticeS)
         return m
     }
 
+    /** Takes in whether, and in how many seconds, the cloud will take [m]. */
+    private fun takeNotice(m: Machine, noticeS: Double?) {
+        if (noticeS == null) {
+            m.noticeAt = Machine.NEVER
+            return
+        }
+        if (m.noticeAt == Machine.NEVER) context.changed()
+        m.noticeAt = context.steady + (noticeS * MS_PER_S).toLong()
+        windDown(m)
+    }
+
     private fun dropped(input: DroppedInput): Machine? {
         context.dropped.count(input)
         return null
@@ -127,7 +136,7 @@
         m.beatSeq = -1
         m.reconciled = null
         m.images.clear()
-        m.held.clear()
+        m.images.addAll(m.held) // its cache outlives the session; what it was fetching does not
     }
 
     /** It carried out what we sent it directly: our commands reach it. */
@@ -146,10 +155,10 @@
     private fun windDown(m: Machine) {
         val leftS = (m.noticeAt - context.steady) / MS_PER_S
         for (a in m.attempts) {
-            if (!a.onMachine || a.stopping) continue
+            if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMoves]
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
             val overInTime = a.inherited || a.leastLeftS(context.steady) <= leftS
-            if (saves || a.job.service || !overInTime) a.stopping = true
+            if (saves || !overInTime) a.stopping = true
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/MachineReturn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineReturn.kt
@@ -56,6 +56,7 @@
     private fun setAsideIfSick(m: Machine) {
         if (m.failedJobs.size < SICK_JOBS || m.draining) return
         m.draining = true
+        context.changed()
         context.info("${m.name} fails every task and is set aside")
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Placement.kt
@@ -24,6 +24,7 @@
     private val reserve = UrgentReserve(jobs, objectives, options)
     private val order = JobOrder(context, jobs, quotas, fleet, objectives, aging)
     private val choice = MachineChoice(context, fleet, options, objectives, aging, scarce, replicas)
+    private val moves = ReplicaMoves(context, fleet, quotas, replicas, choice::allowed)
     private val preemption = Preemption(context, quotas, fleet, objectives, order, choice)
 
     /** What the last round found no room for, most urgent first. */
@@ -42,16 +43,21 @@
     fun round(): List<Allocation> {
         preemption.begin()
         unplaced = emptyList()
-        if (jobs.open.none { it.placeable }) return emptyList()
+        if (jobs.open.none { it.placeable } && !moves.pending()) return emptyList()
         scarce.note()
         order.begin()
         reserve.noteSizes()
         aging.begin(order.capacity)
         val waiting = order.waiting()
         val placeable = fleet.placeable()
-        val room = PlacementRound.Room(withRoom(placeable, waiting), reserve.cpus())
-        val round = PlacementRound(context, quotas, fleet, order, aging, choice, replicas, room)
+        val room = PlacementRound.Room(withRoom(placeable, waiting), reserve.cpus()) { moves.plan(placeable) }
+        val restarts = moves.start(placeable)
+        val round =
+            PlacementRound(context, quotas, fleet, order, aging, choice, replicas, room)
+        round.take(restarts)
         serve(waiting, round)
+        round.moveReplicas()
+        preemption.preempted.addAll(round.stoppedOn)
         unplaced = round.left
         preemption.makeRoom(round.left, placeable)
         for (at in round.limited) preemption.makeRoomWithinLimit(at.job, at.count)
--- a/src/main/kotlin/org/chalkhollow/core/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementRound.kt
@@ -20,14 +20,20 @@
     private val replicas: Replicas,
     private val room: Room,
 ) {
-    /** The machines with room for any task that waits, and CPUs that are to stay free for urgent work. */
-    class Room(val machines: List<Machine>, val reserve: Double)
+    /**
+     * The machines with room for any task that waits, CPUs that are to stay free for urgent work, and what finds room
+     * for replicas that have to move.
+     */
+    class Room(val machines: List<Machine>, val reserve: Double, val planMoves: () -> ReplicaMoves.Plan)
 
     val out = ArrayList<Allocation>()
     val left = ArrayList<UnplacedTasks>()
 
     /** Replicas that their team's limit keeps from running. */
     val limited = ArrayList<ReplicasAtLimit>()
+
+    /** Machines on which replicas were told to stop, since room for them was found elsewhere. */
+    val stoppedOn = ArrayList<Machine>()
     private val machines get() = room.machines
     private var free = machines.sumOf { it.left.cpus }
     private val capacity = order.capacity
@@ -42,8 +48,34 @@
     private var kept = false
     private var exceptions = MOST_EXCEPTIONS
 
+    /** Services of which a replica starts on the room held for it; the rest of them waits for the next round. */
+    private val moved = HashSet<OpenJob>()
+    private var movesPlanned = false
+
+    /** Takes in [restarts] of replicas that move, which have their places already. */
+    fun take(restarts: List<Allocation>) {
+        for (allocation in restarts) {
+            out.add(allocation)
+            moved.add(allocation.job)
+            note(allocation.job, allocation.tasks.size)
+        }
+    }
+
+    /** Plans moves of replicas, once in a round: after the starts of services and before any other work. */
+    fun moveReplicas() {
+        if (movesPlanned) return
+        movesPlanned = true
+        val plan = room.planMoves()
+        stoppedOn.addAll(plan.stoppedOn)
+        left.addAll(plan.lacking)
+    }
+
     /** Gives the job what it may have; with [heldOnly] only on machines that hold its image. */
     fun serve(job: OpenJob, heldOnly: Boolean) {
+        if (job !in moved) give(job, heldOnly)
+    }
+
+    private fun give(job: OpenJob, heldOnly: Boolean) {
         keepRoomFrom(job)
         val ready = job.ready.cardinality() - (taken[job] ?: 0)
         val wanted = minOf(ready, headroom(job))
@@ -62,6 +94,7 @@
     private fun keepRoomFrom(job: OpenJob) {
         if (kept || job.service || aging.goesFirst(job)) return
         kept = true
+        moveReplicas()
         free -= replicas.keepRoom(machines)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/ZoneRule.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ZoneRule.kt
@@ -47,6 +47,13 @@
     private fun spreadRoom(zone: Int): Int =
         if (job.spec.spread) maxOf(0, most - unknown - (perZone[zone] ?: 0)) else Int.MAX_VALUE
 
+    /** A task in [zone] will be gone. */
+    fun leave(zone: Int) {
+        if (zone < 0) unknown--
+        if ((perZone[zone] ?: 0) > 1) perZone.merge(zone, -1, Int::plus) else perZone.remove(zone)
+        if (job.spec.together) only = perZone.keys.firstOrNull() ?: -1
+    }
+
     fun take(zone: Int, n: Int) {
         perZone.merge(zone, n, Int::plus)
         if (job.spec.together && only < 0) only = zone
