--- a/src/main/kotlin/org/chalkhollow/runtime/HttpLink.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpLink.kt
@@ -17,13 +17,17 @@
     data object NoResponse : HttpResult
 }
 
-/** Requests to one address over a few persistent connections, one request at a time on each. */
+/**
+ * Requests to one address over a few persistent connections, one request at a time on each. Leadership depends on a
+ * link that [isControl], which is served before all others.
+ */
 class HttpLink(
     private val scope: CoroutineScope,
     private val loop: EventLoop,
     private val address: Address,
     private val maxBody: Int,
     private val maxIdle: Int,
+    private val isControl: Boolean = false,
 ) {
     private val idle = ArrayDeque<LoopSocket>()
     private var closed = false
@@ -64,7 +68,7 @@
 
     private suspend fun connect(timeoutMs: Long): LoopSocket? =
         try {
-            withTimeoutOrNull(timeoutMs) { LoopSocket.connect(loop, address) }
+            withTimeoutOrNull(timeoutMs) { LoopSocket.connect(loop, address, isControl) }
         } catch (e: CancellationException) {
             throw e
         } catch (e: Throwable) {
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -16,8 +16,8 @@
 import org.chalkhollow.core.Now
 import org.chalkhollow.core.StatusView
 import org.chalkhollow.core.UserAsk
-import org.chalkhollow.mesh.MeshNode
-import org.chalkhollow.mesh.PeerMessage
+import org.chalkhollow.peer.PeerConnections
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.Address
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
@@ -50,18 +50,17 @@
         meters.malformedReply()
         if (complaints.tryAcquire()) log.warn("a reply is malformed and counts as none: {}", e.message)
     }
-    private val state = StateClient(
-        HttpLink(scope, loop, settings.state, STATE_BODY, 4), settings.stateLimits.rps * 0.5, replies,
-    )
+    private val stateLink = HttpLink(scope, loop, settings.state, STATE_BODY, 4, isControl = true)
+    private val state = StateClient(stateLink, settings.stateLimits.rps * 0.5, replies)
     private val cloud = CloudClient(HttpLink(scope, loop, settings.cloud, STATE_BODY, 2), replies)
     private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
     private val workerLinks: WorkerLinks = WorkerLinks(scope, loop, settings.maxConnections - spareSockets) { server.connected }
     private val workers = WorkerClient(workerLinks::to, replies)
-    private val mesh = MeshNode(
-        scope, selector, settings.meshAddress, settings.peers, PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION), FrameComplaints(log, meters),
+    private val peerConnections = PeerConnections(
+        scope, selector, settings.peerAddress, settings.peers, PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION), FrameComplaints(log, meters),
     ) { from, message -> feed(Input.Peer(from, message)) }
     private val server: HttpServer = HttpServer(
-        scope, loop, settings.clientListen, maxOf(8, settings.maxConnections * 8 / 10 - spareSockets), { steady() }, { workerLinks.trim(1) }, ::handle,
+        scope, loop, settings.clientListen, maxOf(8, settings.maxConnections * 8 / 10 - spareSockets), { steady() }, { workerLinks.trim(1) }, ::priorityOf, ::handle,
     )
     private val reports = ReportReader()
     private val calls = HashMap<Int, CompletableDeferred<HttpReply>>()
@@ -70,31 +69,31 @@
 
     /** Binds the ports and starts; throws when one of them is taken. */
     suspend fun start() {
-        val mesh = try {
-            mesh.bind()
+        val peerSocket = try {
+            peerConnections.bind()
         } catch (e: Exception) {
-            throw java.io.IOException("cannot listen on ${settings.meshAddress}: ${e.message}")
+            throw java.io.IOException("cannot listen on ${settings.peerAddress}: ${e.message}")
         }
         try {
             server.start()
         } catch (e: Exception) {
             throw java.io.IOException("cannot listen on ${settings.clientListen}: ${e.message}")
         }
-        this.mesh.run(mesh)
+        peerConnections.run(peerSocket)
         log.info("{} listens on {}", settings.label, settings.clientListen)
         feed(Input.Tick)
-        scope.launch { practise() }
+        scope.launch(TaskPriority(Priority.IDLE)) { warmUpIdle() }
     }
 
     /** Goes through a take-over in memory while this controller follows a leader and has nothing else to do. */
-    private suspend fun practise() {
-        val drill = Drill(scope, settings)
+    private suspend fun warmUpIdle() {
+        val warmUp = WarmUpScenario(scope, settings)
         var steps = 0
-        delay(DRILL_AFTER_MS)
-        while (steps < DRILL_STEPS) {
-            delay(DRILL_EVERY_MS)
+        delay(WARM_UP_AFTER_MS)
+        while (steps < WARM_UP_STEPS) {
+            delay(WARM_UP_EVERY_MS)
             if (controller.view.leading || !controller.takesRequests(now())) continue
-            drill.step()
+            warmUp.step()
             steps++
         }
     }
@@ -118,11 +117,11 @@
     private fun carryOut(effect: Effect) {
         when (effect) {
             is Effect.Answer -> calls.remove(effect.call)?.complete(HttpReply(effect.status, effect.body, effect.retryAfterS))
-            is Effect.State -> run("state") { Input.State(effect.ticket, state.run(effect.op)) }
-            is Effect.Cloud -> run("cloud") { Input.Cloud(effect.ticket, cloud.run(effect.op)) }
-            is Effect.Direct -> run("direct") { Input.Direct(effect.ticket, workers.run(effect)) }
+            is Effect.State -> run("state", Priority.CONTROL) { Input.State(effect.ticket, state.run(effect.op)) }
+            is Effect.Cloud -> run("cloud", Priority.WORKER) { Input.Cloud(effect.ticket, cloud.run(effect.op)) }
+            is Effect.Direct -> run("direct", Priority.WORKER) { Input.Direct(effect.ticket, workers.run(effect)) }
             is Effect.Sample -> meters.took(effect.kind, effect.ms * 1000)
-            is Effect.Send -> mesh.send(effect.peer, effect.message)
+            is Effect.Send -> peerConnections.send(effect.peer, effect.message)
             is Effect.Timer -> {
                 timer?.cancel()
                 timer = scope.launch {
@@ -135,8 +134,8 @@
         }
     }
 
-    private fun run(kind: String, work: suspend () -> Input) {
-        scope.launch {
+    private fun run(kind: String, priority: Priority, work: suspend () -> Input) {
+        scope.launch(TaskPriority(priority)) {
             val from = System.nanoTime()
             val input = work()
             meters.took(kind, (System.nanoTime() - from) / 1000)
@@ -151,6 +150,12 @@
         Effect.Level.DEBUG -> log.debug(n.text)
     }
 
+    /** What a connection carries, by its first request: whoever reports is a worker, and goes on to report. */
+    private fun priorityOf(firstBytes: ByteArray): Priority {
+        val isReport = REPORT_LINE.indices.all { it < firstBytes.size && firstBytes[it] == REPORT_LINE[it] }
+        return if (isReport) Priority.WORKER else Priority.USER
+    }
+
     private suspend fun handle(method: String, uri: String, body: ByteArray): HttpReply {
         val path = uri.substringBefore('?')
         val arrived = System.nanoTime()
@@ -229,13 +234,14 @@
         const val SPARE_SOCKETS = 40
         const val MAX_CALLS = 2000
         const val LATE_MS = 100L
-        const val DRILL_AFTER_MS = 4000L
-        const val DRILL_EVERY_MS = 100L
-        const val DRILL_STEPS = 350
+        const val WARM_UP_AFTER_MS = 4000L
+        const val WARM_UP_EVERY_MS = 100L
+        const val WARM_UP_STEPS = 350
         const val FAULT = 70
 
         /** Scripts find every field, also those with nothing in them. */
         val JSON = Json { encodeDefaults = true }
+        val REPORT_LINE = "POST /agent/beat".encodeToByteArray()
         const val COMPLAINTS_PER_S = 0.2
         fun steady(): Long = System.nanoTime() / 1_000_000
         fun now(): Now = Now(steady(), System.currentTimeMillis())
--- a/src/test/kotlin/org/chalkhollow/core/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/DroppedInputsTest.kt
@@ -1,13 +1,13 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.mesh.Frames
-import org.chalkhollow.mesh.PeerMessage
-import org.chalkhollow.rehearsal.NodeStand
-import org.chalkhollow.rehearsal.Rehearsal
+import org.chalkhollow.peer.Frames
+import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.runtime.Meters
 import org.chalkhollow.runtime.ReplyReader
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
+import org.chalkhollow.simulation.SimulatedController
+import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.ListedPage
 import org.chalkhollow.wire.Malformed
@@ -31,28 +31,28 @@
         override fun onDeposed() = Unit
     }
 
-    private val desk = Desk(1).also { it.now = Now(0, 0) }
+    private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val options = OperatorSettings()
     private val limits = StateLimits(80.0, 40.0, 8192, 12)
 
-    private fun leadership(peers: Int) = Leadership(desk, "m", List(peers) { "p$it" }, 77, options, 0, 0, Events())
+    private fun leadership(peers: Int) = Leadership(context, "m", List(peers) { "p$it" }, 77, options, 0, 0, Events())
 
     private fun assertDropped(expected: Map<DroppedInput, Long>) =
-        assertEquals(expected, desk.dropped.counts().filterValues { it > 0 })
+        assertEquals(expected, context.dropped.counts().filterValues { it > 0 })
 
     /** Three controllers after their first election, on a network that loses nothing. */
-    private fun rehearsal(seed: Long): Rehearsal =
-        Rehearsal(seed).also { r ->
+    private fun simulation(seed: Long): Simulation =
+        Simulation(seed).also { r ->
             r.network.loss = 0.0
             r.network.late = 0.0
             r.begin(0, 1)
-            r.world.runUntil(15_000)
+            r.clock.runUntil(15_000)
         }
 
-    private val Rehearsal.leader: NodeStand get() = nodes.single { it.leads }
+    private val Simulation.leader: SimulatedController get() = nodes.single { it.leads }
 
     /** What [node] drops while [run] runs. */
-    private fun dropsOf(node: NodeStand, run: () -> Unit): Map<DroppedInput, Long> {
+    private fun dropsOf(node: SimulatedController, run: () -> Unit): Map<DroppedInput, Long> {
         val before = node.dropped
         run()
         return node.dropped.mapValues { (input, count) -> count - (before[input] ?: 0) }.filterValues { it > 0 }
@@ -60,41 +60,41 @@
 
     @Test
     fun `reports that are late, repeated or of an ended session are counted`() {
-        val r = rehearsal(1)
+        val r = simulation(1)
         r.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
-        r.world.runUntil(40_000)
+        r.clock.runUntil(40_000)
         val worker = r.cloud.workers.single { it.onMachine().isNotEmpty() }
         val old = worker.keepReport()
-        r.world.runUntil(50_000)
+        r.clock.runUntil(50_000)
         assertEquals(mapOf(DroppedInput.REPORT_LATE to 1L), dropsOf(r.leader) { old(r.leader) })
         assertEquals(mapOf(DroppedInput.REPORT_REPEATED to 1L), dropsOf(r.leader) { worker.repeatLastReport() })
         worker.reboot()
-        r.world.runUntil(65_000)
+        r.clock.runUntil(65_000)
         assertEquals(mapOf(DroppedInput.REPORT_OTHER_LIFE to 1L), dropsOf(r.leader) { old(r.leader) })
     }
 
     @Test
     fun `a report in the answer to a command that is older than the last one is counted`() {
-        val r = rehearsal(2)
+        val r = simulation(2)
         r.network.heldMs = 1400L..1450L
         r.network.held = 1.0
         val drops =
             dropsOf(r.leader) {
                 repeat(20) { r.users.submit { it.copy(types = null, zone = null, expectedS = 1.0) } }
-                r.world.runUntil(60_000)
+                r.clock.runUntil(60_000)
             }
         assertTrue((drops[DroppedInput.REPORT_LATE] ?: 0) > 0, "$drops")
     }
 
     @Test
     fun `a passed on request's answer that comes again or was never asked for is counted`() {
-        val r = rehearsal(3)
+        val r = simulation(3)
         val follower = r.nodes.first { !it.leads }
         val leader = r.indexAt(follower.label, r.leader.label)
         val answers = ArrayList<PeerMessage.Forwarded>()
         r.onFrame = { frame -> (Frames.decode(frame) as? PeerMessage.Forwarded)?.let(answers::add) }
         follower.user(UserAsk.Poll("j-000001")) {}
-        r.world.runUntil(16_000)
+        r.clock.runUntil(16_000)
         val answer = answers.single()
         val again = Frames.encode(answer)
         assertEquals(mapOf(DroppedInput.MESSAGE_LATE to 1L), dropsOf(follower) { follower.peer(leader, again) })
@@ -108,11 +108,11 @@
         val record = LeadRecord("p0", 1, 5, 9).value()
         var ask: PeerMessage.VoteAsk? = null
         for (t in 0L..5000L step 100) {
-            desk.now = Now(t, t)
+            context.now = Now(t, t)
             leadership.tick()
-            for (e in desk.drain()) {
+            for (e in context.drain()) {
                 if (e is Effect.State) {
-                    desk.reply(
+                    context.reply(
                         Input.State(e.ticket, StateReply.Found(Row(LeadRecord.KEY, record, 4))),
                     )
                 }
@@ -132,63 +132,64 @@
         assertDropped(mapOf(DroppedInput.MESSAGE_REPEATED to 1L, DroppedInput.MESSAGE_LATE to 4L))
         leadership.onPeer(1, vote.copy(seq = asked.seq + 1))
         leadership.onPeer(1, vote.copy(seq = asked.seq - 1_000_000))
-        assertEquals(2, desk.dropped.counts()[DroppedInput.MESSAGE_OTHER_LIFE])
+        assertEquals(2, context.dropped.counts()[DroppedInput.MESSAGE_OTHER_LIFE])
         assertEquals(Leadership.Role.FOLLOWER, leadership.role)
     }
 
     @Test
     fun `a reply to a call that has had one is counted`() {
         var replies = 0
-        desk.state(StateOp.Read("x")) { replies++ }
-        val call = desk.drain().filterIsInstance<Effect.State>().single()
-        repeat(3) { desk.reply(Input.State(call.ticket, StateReply.Missing)) }
-        desk.reply(Input.Cloud(77, CloudReply.Deleted))
-        desk.reply(Input.Direct(78, DirectReply.NotSent))
+        context.state(StateOp.Read("x")) { replies++ }
+        val call = context.drain().filterIsInstance<Effect.State>().single()
+        repeat(3) { context.reply(Input.State(call.ticket, StateReply.Missing)) }
+        context.reply(Input.Cloud(77, CloudReply.Deleted))
+        context.reply(Input.Direct(78, DirectReply.NotSent))
         assertEquals(1, replies)
         assertDropped(mapOf(DroppedInput.REPLY_REPEATED to 4L))
     }
 
     @Test
     fun `a reply to a write of a term that is over is counted`() {
-        val log = StateLog(desk, limits, options, leadership(0))
+        val log = StateLog(context, limits, options, leadership(0))
         var durable = false
         val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
         log.source { write }
-        desk.now = Now(1000, 1000)
+        context.now = Now(1000, 1000)
         log.start(LeadRecord("m", 77, 1, 0), 1)
-        desk.now = Now(2000, 2000)
+        context.now = Now(2000, 2000)
         log.pump()
-        val call = desk.drain().filterIsInstance<Effect.State>().single()
+        val call = context.drain().filterIsInstance<Effect.State>().single()
         log.stop()
-        desk.reply(Input.State(call.ticket, StateReply.Committed(2)))
+        context.reply(Input.State(call.ticket, StateReply.Committed(2)))
         assertEquals(false, durable)
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
 
     @Test
     fun `a page of what a candidate reads no more is counted`() {
-        val survey = Survey(desk, listOf("x/")) {}
-        survey.begin(7)
-        val call = desk.drain().filterIsInstance<Effect.State>().single()
-        survey.begin(8)
-        desk.reply(Input.State(call.ticket, StateReply.Page(Rows(emptyList(), false))))
-        assertEquals(false, survey.complete(7))
+        val snapshot = CandidateSnapshot(context, listOf("x/")) {}
+        snapshot.begin(7)
+        val call = context.drain().filterIsInstance<Effect.State>().single()
+        snapshot.begin(8)
+        context.reply(Input.State(call.ticket, StateReply.Page(Rows(emptyList(), false))))
+        assertEquals(false, snapshot.complete(7))
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
 
     @Test
     fun `a reply of the cloud to an earlier term is counted`() {
-        val fleet = Fleet(desk, Names(), Rehearsal(1).settings, options, "a", BaseFleet(desk, limits))
+        val fleet =
+            Fleet(context, Names(), Simulation(1).settings, options, "a", PreProvisionedMachines(context, limits))
         fleet.start(1)
-        desk.now = Now(1000, 1000)
+        context.now = Now(1000, 1000)
         fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
-        val catalog = desk.drain().filterIsInstance<Effect.Cloud>().single()
-        desk.reply(Input.Cloud(catalog.ticket, CloudReply.CatalogIs(emptyList())))
-        desk.now = Now(2000, 2000)
+        val catalog = context.drain().filterIsInstance<Effect.Cloud>().single()
+        context.reply(Input.Cloud(catalog.ticket, CloudReply.CatalogIs(emptyList())))
+        context.now = Now(2000, 2000)
         fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
-        val list = desk.drain().filterIsInstance<Effect.Cloud>().single { it.op is CloudOp.Machines }
+        val list = context.drain().filterIsInstance<Effect.Cloud>().single { it.op is CloudOp.Machines }
         fleet.start(2)
-        desk.reply(Input.Cloud(list.ticket, CloudReply.MachinesAre(ListedPage(emptyList(), false))))
+        context.reply(Input.Cloud(list.ticket, CloudReply.MachinesAre(ListedPage(emptyList(), false))))
         assertEquals(false, fleet.heardFromListed())
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
