--- a/src/main/kotlin/org/chalkhollow/Main.kt
+++ b/src/main/kotlin/org/chalkhollow/Main.kt
@@ -3,6 +3,7 @@
 import com.github.ajalt.clikt.core.CliktError
 import com.github.ajalt.clikt.core.Context
 import com.github.ajalt.clikt.core.CoreCliktCommand
+import com.github.ajalt.clikt.core.UsageError
 import com.github.ajalt.clikt.core.parse
 import com.github.ajalt.clikt.core.subcommands
 import com.github.ajalt.clikt.parameters.options.flag
@@ -111,6 +112,17 @@
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX")
 }
 
+/** What is printed of [e]: one line when the command line is wrong. */
+internal fun explain(command: CoreCliktCommand, e: CliktError): String? {
+    val text = command.getFormattedHelp(e) ?: return null
+    if (e !is UsageError) return text
+    val errors = text.lines().filter { it.startsWith(ERROR) }.joinToString("; ") { it.removePrefix(ERROR) }
+    return "chalkhollow: $errors (see --help)"
+}
+
+/** How Clikt begins the lines that say what is wrong. */
+private const val ERROR = "Error: "
+
 fun main(args: Array<String>) {
     // On a slow machine the virtual machine takes a second to come here, and what an earlier life promised runs out
     // meanwhile.
@@ -120,7 +132,7 @@
     try {
         command.parse(args)
     } catch (e: CliktError) {
-        val text = command.getFormattedHelp(e)
+        val text = explain(command, e)
         if (text != null) (if (e.printError) System.err else System.out).println(text)
         exitProcess(e.statusCode)
     }
--- a/src/main/kotlin/org/chalkhollow/StatusCommand.kt
+++ b/src/main/kotlin/org/chalkhollow/StatusCommand.kt
@@ -13,6 +13,8 @@
 import java.io.IOException
 import java.net.HttpURLConnection
 import java.net.URI
+import java.net.URISyntaxException
+import java.net.UnknownHostException
 
 /** Asks a running controller how things stand. */
 class StatusCommand : CoreCliktCommand(name = "status") {
@@ -47,20 +49,25 @@
 
     private fun fetch(path: String): String? {
         try {
-            val connection = URI("http://$address$path").toURL().openConnection() as HttpURLConnection
+            val uri = URI("http://$address$path")
+            if (uri.host == null || uri.port !in PORTS) throw notAnAddress()
+            val connection = uri.toURL().openConnection() as HttpURLConnection
             connection.connectTimeout = TIMEOUT_MS
             connection.readTimeout = TIMEOUT_MS
             if (connection.responseCode == HttpURLConnection.HTTP_NOT_FOUND) return null
             return connection.inputStream.use { it.readBytes().decodeToString() }
+        } catch (e: UnknownHostException) {
+            throw CliktError("$address cannot be reached: no such host", e, statusCode = UNREACHABLE)
         } catch (e: IOException) {
-            throw CliktError("$address cannot be reached: ${e.message}", statusCode = UNREACHABLE)
-        } catch (e: IllegalArgumentException) {
-            throw CliktError("$address is not host:port", statusCode = UNREACHABLE)
-        } catch (e: java.net.URISyntaxException) {
-            throw CliktError("$address is not host:port", statusCode = UNREACHABLE)
+            throw CliktError("$address cannot be reached: ${e.message}", e, statusCode = UNREACHABLE)
+        } catch (e: URISyntaxException) {
+            throw notAnAddress(e)
         }
     }
 
+    private fun notAnAddress(cause: Exception? = null) =
+        CliktError("$address is not host:port", cause, statusCode = UNREACHABLE)
+
     private fun show(s: StatusView) {
         val role = if (s.leads) "leads" else "follows ${s.leader ?: "nobody it has heard of lately"}"
         echo("${s.label}: $role, generation ${s.generation}")
@@ -98,6 +105,7 @@
         /** A controller of a newer version may tell more. */
         val LENIENT = Json { ignoreUnknownKeys = true }
         const val TIMEOUT_MS = 3000
+        val PORTS = 1..65_535
         const val UNREACHABLE = 1
         const val UNKNOWN = 3
     }
