--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
@@ -2,6 +2,7 @@
 
 import org.chalkhollow.simulation.FaultScenario
 import org.chalkhollow.simulation.FaultScenario.Companion.START_MS
+import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
@@ -247,4 +248,74 @@
         s.at(START_MS + 24_100) { s.r.state.outage(9000) }
         s.play(START_MS + 60_000)
     }
+
+    /**
+     * A leader is refused by the state service and holds its lead by the promise of the one peer that it still reaches;
+     * that peer is refused as well, ends, is back after [awayMs], and is asked for its vote by the third.
+     */
+    private fun voterReturns(seed: Long, awayMs: Long) {
+        val s = FaultScenario(seed)
+        s.begin(jobs = 0, long = 2)
+        s.clock.runUntil(START_MS)
+        val leader = checkNotNull(s.leader())
+        val (voter, candidate) = s.r.nodes.filter { it !== leader }
+        s.r.network.cut(leader.label, candidate.label, CUT_MS, holds = false)
+        for (n in listOf(leader, voter)) s.r.state.refuse(n.label, CUT_MS)
+        s.clock.runUntil(START_MS + 2500)
+        assertTrue(leader.leads, "the lead was lost before its voter ended")
+        voter.crash()
+        s.clock.after(awayMs) { voter.start() }
+        s.clock.runUntil(START_MS + 6000)
+        assertTrue(candidate.leads, "nobody was elected")
+        s.holds()
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [1, 2, 3])
+    fun `a peer that promised not to vote ends, and is asked for its vote when it is back`(seed: Long) {
+        for (awayMs in 50L..650L step 100) voterReturns(seed, awayMs)
+    }
+
+    /**
+     * A leader that nobody hears is followed by a candidate that its other peer has voted for, at the moment that is
+     * returned; that peer hears nothing of the candidate from [unheardFrom] on, but the old leader, and [ends] in
+     * between or not.
+     */
+    private fun oldLeaderAsks(seed: Long, ends: Boolean, unheardFrom: Long?): Long {
+        val s = FaultScenario(seed)
+        s.begin(jobs = 0, long = 2)
+        s.clock.runUntil(START_MS)
+        val old = checkNotNull(s.leader())
+        val (voter, candidate) = s.r.nodes.filter { it !== old }
+        for (n in listOf(voter, candidate)) s.r.network.cut(old.label, n.label, CUT_MS, holds = false)
+        for (n in listOf(old, voter)) s.r.state.refuse(n.label, CUT_MS)
+        unheardFrom?.let { from -> s.at(from) { s.r.network.cut(voter.label, candidate.label, 4000, holds = false) } }
+        while (!candidate.leads && s.clock.time < START_MS + 10_000) s.clock.runUntil(s.clock.time + 1)
+        assertTrue(candidate.leads, "nobody was elected")
+        val electedAt = s.clock.time
+        s.r.network.cut(old.label, voter.label, 0, holds = false)
+        if (ends) {
+            voter.crash()
+            s.clock.after(100) { voter.start() }
+        }
+        s.clock.runUntil(electedAt + 6000)
+        s.holds()
+        return electedAt
+    }
+
+    @ParameterizedTest
+    @CsvSource("1,false", "2,false", "3,false", "1,true", "2,true", "3,true")
+    fun `an old leader asks a peer that has voted for its follower, also one that has ended since`(
+        seed: Long,
+        ends: Boolean,
+    ) {
+        val electedAt = oldLeaderAsks(seed, ends, unheardFrom = null)
+        // The candidate has the vote by then, and its write is under way.
+        assertEquals(electedAt, oldLeaderAsks(seed, ends, unheardFrom = electedAt - 1))
+    }
+
+    private companion object {
+        /** Longer than the scenarios that use it. */
+        const val CUT_MS = 30_000L
+    }
 }
