--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -159,9 +159,9 @@
             }
         }
         for (line in version.records(PreProvisionedMachines.KEY)) {
-            val preProvisioned = PreProvisionedMachines(CoreContext(1), limits).also { it.load(row(line)) }
-            assertEquals(fields(line).texts("names").toSet(), preProvisioned.names)
-            assertTrue(preProvisioned.known)
+            val base = PreProvisionedMachines(CoreContext(1), limits).also { it.load(row(line)) }
+            assertEquals(fields(line).texts("names").toSet(), base.names)
+            assertTrue(base.known)
         }
     }
 
