--- a/src/main/kotlin/org/chalkhollow/core/ReplicaMoves.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ReplicaMoves.kt
@@ -10,7 +10,7 @@
  * the replica when its old attempt is proved gone, under the same rules as any start.
  */
 class ReplicaMoves(
-    private val desk: Desk,
+    private val context: CoreContext,
     private val fleet: Fleet,
     private val quotas: Quotas,
     private val replicas: Replicas,
@@ -87,7 +87,7 @@
 
     private fun mayStart(move: Move, placeable: List<Machine>, given: List<Allocation>): Boolean {
         val job = move.job
-        if (!job.placeable || job.notBefore > desk.steady || move.target !in placeable) return false
+        if (!job.placeable || job.notBefore > context.steady || move.target !in placeable) return false
         if (!job.each.fitsIn(move.target.left) || !mayUse(job, move.target)) return false
         val zones = ZoneRule(job, fleet)
         if (zones.blocked || !zones.admits(move.target.zone)) return false
@@ -117,10 +117,10 @@
         if (deadline == Long.MAX_VALUE) return true
         val fetchPerS = fleet.types.getOrNull(attempt.machine.type)?.imageGbPerS ?: 0.0
         val fetchMs = if (fetchPerS > 0) (attempt.job.spec.imageGb / fetchPerS * MS_PER_S).toLong() else 0L
-        return deadline - desk.steady > LAST_MS + count * (RESTART_MS + fetchMs)
+        return deadline - context.steady > LAST_MS + count * (RESTART_MS + fetchMs)
     }
 
-    private fun outOfTime(attempt: Attempt): Boolean = deadline(attempt.machine) - desk.steady <= LAST_MS
+    private fun outOfTime(attempt: Attempt): Boolean = deadline(attempt.machine) - context.steady <= LAST_MS
 
     /** When the cloud takes the machine; [Long.MAX_VALUE] if it stays until it is empty. */
     private fun deadline(m: Machine): Long = if (m.noticeAt == Machine.NEVER) Long.MAX_VALUE else m.noticeAt
--- a/src/test/kotlin/org/chalkhollow/ReplicaMovesDayTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMovesDayTest.kt
@@ -2,9 +2,9 @@
 
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
-import org.chalkhollow.rehearsal.Rehearsal
-import org.chalkhollow.rehearsal.WorkerStand
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.FakeWorker
+import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
@@ -14,7 +14,7 @@
 class ReplicaMovesDayTest {
     /** A service on spot machines, of which there are no more to be rented. */
     private class Day(seed: Long, machines: Int, tasks: Int, each: Resources, spread: Boolean = true) {
-        val r = Rehearsal(seed, OperatorSettings(idleReturnS = 900.0), capacity = machines)
+        val r = Simulation(seed, OperatorSettings(idleReturnS = 900.0), capacity = machines)
         val id: String
 
         init {
@@ -22,24 +22,24 @@
             r.network.late = 0.0
             r.begin(0, 1, machines = 0, firstMs = 4000)
             repeat(machines) { r.cloud.add(r.types[0], r.zones[it % 2], true, 0) }
-            r.world.runUntil(12_000)
+            r.clock.runUntil(12_000)
             id = r.users.submitService { it.copy(tasks = tasks, each = each, spread = spread, spotAllowed = true) }
             r.rules.calmFrom = READY_MS
-            r.world.runUntil(READY_MS)
+            r.clock.runUntil(READY_MS)
             assertEquals(tasks, r.rules.services.up(id))
         }
 
-        fun replicasOn(w: WorkerStand) = w.onMachine().filter { it.job == id }
+        fun replicasOn(w: FakeWorker) = w.onMachine().filter { it.job == id }
 
-        fun mostLoaded(): WorkerStand = r.cloud.workers.maxBy { replicasOn(it).size }
+        fun mostLoaded(): FakeWorker = r.cloud.workers.maxBy { replicasOn(it).size }
 
-        fun takeIn(w: WorkerStand, ms: Long) {
-            w.noticeAt = r.world.time + ms
-            r.world.after(ms) { r.cloud.kill(w.name) }
+        fun takeIn(w: FakeWorker, ms: Long) {
+            w.noticeAt = r.clock.time + ms
+            r.clock.after(ms) { r.cloud.kill(w.name) }
         }
 
         fun submitBatch(priority: Priority, tasks: Int, cpus: Double, expectedS: Double): String {
-            val id = "j-${r.world.time + 1}"
+            val id = "j-${r.clock.time + 1}"
             r.users.submit { drawn ->
                 drawn.copy(
                     id = id,
@@ -76,7 +76,7 @@
         assertTrue(replicas > 1, "only $replicas replicas on ${taken.name}")
         val starts = day.r.rules.starts
         day.takeIn(taken, 40_000)
-        day.r.world.runUntil(READY_MS + 39_000)
+        day.r.clock.runUntil(READY_MS + 39_000)
         assertEquals(0, day.replicasOn(taken).size, "seed $seed")
         day.holds()
         assertEquals(starts + replicas, day.r.rules.starts)
@@ -86,7 +86,7 @@
                 .mostDownAtOnce(day.id, READY_MS),
             "seed $seed",
         )
-        day.r.world.runUntil(READY_MS + 60_000)
+        day.r.clock.runUntil(READY_MS + 60_000)
         day.holds()
     }
 
@@ -98,8 +98,8 @@
         val faulty = day.mostLoaded()
         assertTrue(day.replicasOn(faulty).size > 1)
         faulty.sick = true // what starts there from now on fails; the replicas run on
-        repeat(4) { i -> day.r.world.after(i * 2500L) { day.submitBatch(Priority.HIGH, 12, 2.0, 4.0) } }
-        day.r.world.runUntil(READY_MS + 60_000)
+        repeat(4) { i -> day.r.clock.after(i * 2500L) { day.submitBatch(Priority.HIGH, 12, 2.0, 4.0) } }
+        day.r.clock.runUntil(READY_MS + 60_000)
         assertEquals(0, day.replicasOn(faulty).size, "seed $seed")
         day.holds()
         assertEquals(
@@ -117,10 +117,10 @@
     fun `a replica for which there is no room runs until the notice is nearly over`(seed: Long) {
         val day = Day(seed, machines = 2, tasks = 2, each = Resources(4.0, 0.0, 1.0))
         day.submitBatch(Priority.PRODUCTION, 2, 4.0, 300.0)
-        day.r.world.runUntil(READY_MS + 15_000)
+        day.r.clock.runUntil(READY_MS + 15_000)
         val taken = day.mostLoaded()
         day.takeIn(taken, 15_000)
-        day.r.world.runUntil(READY_MS + 15_000 + 12_500)
+        day.r.clock.runUntil(READY_MS + 15_000 + 12_500)
         assertEquals(emptyList<String>(), day.r.rules.violations)
         assertEquals(1, day.replicasOn(taken).size, "seed $seed: it was stopped without a place to go")
         assertEquals(
@@ -134,11 +134,11 @@
     @ValueSource(longs = [1, 2, 3, 4])
     fun `room made by stopping batch work goes to the replica that moves`(seed: Long) {
         val day = Day(seed, machines = 4, tasks = 4, each = Resources(2.0, 0.0, 1.0))
-        repeat(3) { i -> day.r.world.after(i * 500L) { day.submitBatch(Priority.HIGH, 10, 2.0, 200.0) } }
-        day.r.world.runUntil(READY_MS + 15_000)
+        repeat(3) { i -> day.r.clock.after(i * 500L) { day.submitBatch(Priority.HIGH, 10, 2.0, 200.0) } }
+        day.r.clock.runUntil(READY_MS + 15_000)
         val taken = day.mostLoaded()
         day.takeIn(taken, 30_000)
-        day.r.world.runUntil(READY_MS + 44_000)
+        day.r.clock.runUntil(READY_MS + 44_000)
         assertEquals(0, day.replicasOn(taken).size, "seed $seed")
         assertEquals(emptyList<String>(), day.r.rules.violations)
         assertEquals(
--- a/src/test/kotlin/org/chalkhollow/core/ImageMemoryTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ImageMemoryTest.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.rehearsal.Rehearsal
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.wire.Row
 import org.chalkhollow.wire.WorkerReport
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -11,14 +11,21 @@
 
 /** A worker keeps its cache when its lease lapses, so what it holds is known in its next session, too. */
 class ImageMemoryTest {
-    private val desk = Desk(1).also { it.now = Now(10_000, 10_000) }
-    private val settings = Rehearsal(1).settings
+    private val context = CoreContext(1).also { it.now = Now(10_000, 10_000) }
+    private val settings = Simulation(1).settings
     private val names = Names()
     private val fleet =
-        Fleet(desk, names, settings, OperatorSettings(), "a", BaseFleet(desk, settings.stateLimits)).also {
+        Fleet(
+            context,
+            names,
+            settings,
+            OperatorSettings(),
+            "a",
+            PreProvisionedMachines(context, settings.stateLimits),
+        ).also {
             it.start(1)
         }
-    private val memory = ImageMemory(desk, names, settings.stateLimits, fleet)
+    private val memory = ImageMemory(context, names, settings.stateLimits, fleet)
 
     private fun report(session: Long): Machine =
         checkNotNull(
