--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/Candidacy.kt
@@ -0,0 +1,59 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.peer.PeerMessage
+
+/**
+ * Owns the votes that this controller has asked for. They count for one asking only, from when that was sent, so they
+ * end here before those who gave them may promise another leader. Called by [Leadership].
+ */
+class Candidacy(private val context: CoreContext, private val peers: Int, private val promiseMs: Long) {
+    /** Begins at a random number: votes for an earlier life must not count. */
+    private var seq = context.random.nextLong(FIRST_SEQ_BOUND)
+    private var askedAt = NEVER
+    private val votes = BooleanArray(peers)
+
+    /** When the votes that a candidacy rests on were asked for; [NEVER] when it rests on none. */
+    private var usedAt = NEVER
+
+    /** Asks for votes to follow [record], unless it has just done so. */
+    fun askVotes(record: LeadRecord, stamp: Long) {
+        val t = context.steady
+        if (t - askedAt < RETRY_MS) return
+        askedAt = t
+        seq++
+        votes.fill(false)
+        val ask = PeerMessage.VoteAsk(record.generation + 1, stamp, seq)
+        for (p in 0 until peers) context.emit(Effect.Send(p, ask))
+    }
+
+    /** Whether [vote] answers what was asked last. */
+    fun isCurrent(vote: PeerMessage.Vote): Boolean = vote.seq == seq
+
+    /** Takes in a granted vote; returns how many there are, our own counted. */
+    fun take(from: Int): Int {
+        votes[from] = true
+        return votes.count { it } + 1
+    }
+
+    /** Stands on the votes that were asked for last. */
+    fun useVotes() {
+        usedAt = askedAt
+    }
+
+    fun useNone() {
+        usedAt = NEVER
+    }
+
+    /** Whether the votes that were used, if any, bind those who gave them still. */
+    val votesHold: Boolean get() = usedAt == NEVER || context.steady - usedAt < shrunk(promiseMs)
+
+    /** The candidacy is over; votes may be asked for at once. */
+    fun end() {
+        askedAt = NEVER
+    }
+
+    private companion object {
+        const val FIRST_SEQ_BOUND = 1L shl 61
+        const val RETRY_MS = 150L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/HttpStatus.kt
@@ -0,0 +1,17 @@
+package org.chalkhollow.core
+
+/** Statuses of the answers that the core gives to users and workers. */
+internal object HttpStatus {
+    const val OK = 200
+    const val CREATED = 201
+    const val BAD_REQUEST = 400
+    const val NOT_FOUND = 404
+
+    /** The one who asked should ask the controller that is named. */
+    const val MISDIRECTED = 421
+    const val UNPROCESSABLE = 422
+
+    /** All from here on say that nothing was decided. */
+    const val SERVER_ERRORS = 500
+    const val UNAVAILABLE = 503
+}
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/ReportHandler.kt
@@ -0,0 +1,49 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.settings.PlatformSettings
+import org.chalkhollow.wire.WorkerCodec
+import org.chalkhollow.wire.WorkerReport
+
+/**
+ * Answers workers' reports. An answer renews the lease of all that runs on a machine, so only an entitled leader gives
+ * one; others name the leader. Called by [Controller].
+ */
+class ReportHandler(
+    private val context: CoreContext,
+    settings: PlatformSettings,
+    private val leadership: Leadership,
+    private val fleet: Fleet,
+    private val images: ImageMemory,
+    private val settlement: Settlement,
+) {
+    private val peerLabels = settings.peers.map { it.label }
+
+    fun onReport(call: Int, report: WorkerReport) {
+        leadership.reportTraffic.note(context.steady)
+        if (!leadership.entitled()) return redirect(call)
+        val m = fleet.observe(report)
+        if (m == null || m.shunned) return context.answer(call, HttpStatus.UNAVAILABLE)
+        if (report.seq > m.beatSeq) {
+            // The worker's lease runs from when it sent this report, which is not after now. One that is no newer than
+            // another that we answered was sent before it and renews nothing: late copies must not keep a dead machine
+            // alive. The reply to a direct command does not count here, since a report sent after it may come before
+            // it.
+            m.beatSeq = report.seq
+            m.answeredAt = context.steady
+        }
+        val newer = report.seq > m.seq
+        if (newer) {
+            m.seq = report.seq
+            images.recall(m)
+            settlement.reconcile(m, report, beat = true)
+        }
+        val commands = settlement.commands(m, startsAllowed = newer)
+        context.answer(call, HttpStatus.OK, WorkerCodec.commands(leadership.generation, commands))
+    }
+
+    private fun redirect(call: Int) {
+        val leader = leadership.reachableLeader()
+        if (leader < 0) return context.answer(call, HttpStatus.UNAVAILABLE)
+        context.answer(call, HttpStatus.MISDIRECTED, WorkerCodec.redirect(peerLabels[leader]))
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
@@ -68,7 +68,7 @@
         origins.put(call, Origin(from, m.seq))
         val ask =
             when (m.kind) {
-                SUBMIT -> UserAsk.ofSubmission(m.body) ?: return reply(call, 400)
+                SUBMIT -> UserAsk.ofSubmission(m.body) ?: return reply(call, HttpStatus.BAD_REQUEST)
                 POLL -> UserAsk.Poll(m.jobId)
                 WITHDRAW -> UserAsk.Withdraw(m.jobId)
                 else -> return later(call) // from a newer version: it must not be taken for anything else
@@ -91,20 +91,20 @@
 
     private fun submit(call: Int, spec: JobSpec) {
         val known = jobs.find(spec.id)
-        if (known?.state != null) return reply(call, 200, UserCodec.status(spec.id, status(known)))
+        if (known?.state != null) return reply(call, HttpStatus.OK, UserCodec.status(spec.id, status(known)))
         val waiting = accepting[spec.id]
         if (waiting != null) {
             waiting.calls.add(call)
             return
         }
         if (!fleet.catalogKnown) return later(call)
-        if (!canEverRun(spec)) return reply(call, 422)
-        if (!jobs.fits(spec)) return reply(call, 400)
+        if (!canEverRun(spec)) return reply(call, HttpStatus.UNPROCESSABLE)
+        if (!jobs.fits(spec)) return reply(call, HttpStatus.BAD_REQUEST)
         if (log.stalled() || accepting.size >= MOST_ACCEPTING) return later(call)
         accepting[spec.id] = Waiting(arrayListOf(call), context.steady)
         jobs.accept(spec, refused = { accepting.remove(spec.id)?.calls?.forEach(::later) }) {
             accepting.remove(spec.id)?.calls?.forEachIndexed { i, c ->
-                reply(c, if (i == 0) 201 else 200, UserCodec.status(spec.id, "queued"))
+                reply(c, if (i == 0) HttpStatus.CREATED else HttpStatus.OK, UserCodec.status(spec.id, "queued"))
             }
         }
     }
@@ -116,9 +116,9 @@
     private fun unreadable(call: Int, id: String) {
         val known = jobs.find(id)
         when {
-            known?.state != null -> reply(call, 200, UserCodec.status(id, status(known)))
+            known?.state != null -> reply(call, HttpStatus.OK, UserCodec.status(id, status(known)))
             id in accepting -> later(call)
-            else -> reply(call, 400)
+            else -> reply(call, HttpStatus.BAD_REQUEST)
         }
     }
 
@@ -138,11 +138,11 @@
         val entry = jobs.find(id)
         if (entry?.state == null) {
             // Not written as far as we know; while its write is under way that is not certain.
-            return if (id in accepting) later(call) else reply(call, 404)
+            return if (id in accepting) later(call) else reply(call, HttpStatus.NOT_FOUND)
         }
         val job = entry.open
         val done = if (entry.state == JobState.DONE) entry.tasks else job?.doneCount ?: 0
-        reply(call, 200, UserCodec.progress(id, status(entry), minOf(done, entry.tasks), job?.running ?: 0))
+        reply(call, HttpStatus.OK, UserCodec.progress(id, status(entry), minOf(done, entry.tasks), job?.running ?: 0))
     }
 
     private fun status(entry: JobEntry): String =
@@ -156,9 +156,9 @@
         val entry = jobs.find(id)
         val job = entry?.open
         when {
-            entry?.state == null -> if (id in accepting) later(call) else reply(call, 404)
-            entry.state == JobState.DONE -> reply(call, 200, UserCodec.status(id, "done"))
-            entry.state == JobState.CANCELLED -> reply(call, 200, UserCodec.status(id, "aborted"))
+            entry?.state == null -> if (id in accepting) later(call) else reply(call, HttpStatus.NOT_FOUND)
+            entry.state == JobState.DONE -> reply(call, HttpStatus.OK, UserCodec.status(id, "done"))
+            entry.state == JobState.CANCELLED -> reply(call, HttpStatus.OK, UserCodec.status(id, "aborted"))
             log.stalled() -> later(call)
             job == null -> later(call)
             job.cancelling -> cancelling.getOrPut(id) { Waiting(ArrayList(), context.steady) }.calls.add(call)
@@ -166,7 +166,7 @@
             else -> {
                 cancelling[id] = Waiting(arrayListOf(call), context.steady)
                 jobs.cancel(job) {
-                    cancelling.remove(id)?.calls?.forEach { reply(it, 200, UserCodec.status(id, "aborted")) }
+                    cancelling.remove(id)?.calls?.forEach { reply(it, HttpStatus.OK, UserCodec.status(id, "aborted")) }
                 }
             }
         }
@@ -174,7 +174,11 @@
 
     /** A job is durably done. */
     fun finished(job: OpenJob) {
-        finishing.remove(job.spec.id)?.calls?.forEach { reply(it, 200, UserCodec.status(job.spec.id, "done")) }
+        finishing
+            .remove(
+                job.spec.id,
+            )?.calls
+            ?.forEach { reply(it, HttpStatus.OK, UserCodec.status(job.spec.id, "done")) }
     }
 
     fun tick() {
@@ -221,7 +225,7 @@
         }
     }
 
-    private fun later(call: Int) = reply(call, 503, null, 1)
+    private fun later(call: Int) = reply(call, HttpStatus.UNAVAILABLE, null, 1)
 
     private fun reply(call: Int, status: Int, body: Map<String, Any?>? = null, retryAfterS: Int = 0) {
         if (call >= 0) return context.answer(call, status, body, retryAfterS)
