--- a/src/main/kotlin/org/chalkhollow/core/Candidacy.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Candidacy.kt
@@ -8,7 +8,8 @@
  */
 class Candidacy(private val context: CoreContext, private val peers: Int, private val promiseMs: Long) {
     /** Begins at a random number: votes for an earlier life must not count. */
-    private var seq = context.random.nextLong(FIRST_SEQ_BOUND)
+    private val firstSeq = context.random.nextLong(FIRST_SEQ_BOUND)
+    private var seq = firstSeq
     private var askedAt = NEVER
     private val votes = BooleanArray(peers)
 
@@ -26,11 +27,15 @@
         for (p in 0 until peers) context.emit(Effect.Send(p, ask))
     }
 
+    /** Whether [vote] answers what this life of the process has asked. */
+    fun isOurs(vote: PeerMessage.Vote): Boolean = vote.seq in firstSeq..seq
+
     /** Whether [vote] answers what was asked last. */
     fun isCurrent(vote: PeerMessage.Vote): Boolean = vote.seq == seq
 
     /** Takes in a granted vote; returns how many there are, our own counted. */
     fun take(from: Int): Int {
+        if (votes[from]) context.dropped.count(DroppedInput.MESSAGE_REPEATED)
         votes[from] = true
         return votes.count { it } + 1
     }
--- a/src/main/kotlin/org/chalkhollow/core/CloudRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CloudRequests.kt
@@ -38,7 +38,9 @@
     /** Asks for what only this generation can use. */
     fun askNow(op: CloudOp, then: (CloudReply) -> Unit) {
         val inGeneration = generation
-        context.cloud(op) { reply -> if (inGeneration == generation) then(reply) }
+        context.cloud(op) { reply ->
+            if (inGeneration == generation) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
+        }
     }
 
     /** Rents or returns machines. */
--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -105,6 +105,7 @@
                 fleet.machines.size,
                 versions.all,
                 statusReport.replicas(),
+                context.dropped.counts(),
             )
 
     /** Numbers for gauges, and which version each controller runs as far as known. */
@@ -117,6 +118,8 @@
         val versions: Map<String, Int?> = emptyMap(),
         /** Replicas of services that are wanted and that are up, as the leader knows. */
         val replicas: Pair<Int, Int> = 0 to 0,
+        /** How many inputs were dropped since this controller began. */
+        val dropped: Map<DroppedInput, Long> = emptyMap(),
     )
 
     /** Whether this controller is entitled to act for all at this moment. */
--- a/src/main/kotlin/org/chalkhollow/core/DirectCommands.kt
+++ b/src/main/kotlin/org/chalkhollow/core/DirectCommands.kt
@@ -82,7 +82,7 @@
         val inTerm = term
         val session = m.session
         context.direct({ Effect.Direct(it, m.address, leadership.generation, session, commands) }) { reply ->
-            if (term == inTerm) then(reply)
+            if (term == inTerm) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
 
@@ -98,12 +98,15 @@
     }
 
     private fun onExecuted(m: Machine, session: Long, report: WorkerReport) {
-        if (report.session == session && m.session == session) {
-            fleet.reached(m)
-            if (report.seq > m.seq && report.machine == m.name) {
-                m.seq = report.seq
-                settlement.reconcile(m, report, beat = false)
-            }
+        val sameSession = report.session == session && m.session == session
+        if (sameSession) fleet.reached(m)
+        if (!sameSession || report.machine != m.name) {
+            context.dropped.count(DroppedInput.REPORT_OTHER_LIFE)
+        } else if (report.seq <= m.seq) {
+            context.dropped.count(DroppedInput.REPORT_LATE)
+        } else {
+            m.seq = report.seq
+            settlement.reconcile(m, report, beat = false)
         }
         if (m.attempts.any { it.phase == Attempt.Phase.MARKED }) send(m)
     }
--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -85,11 +85,16 @@
      * what is known, such as a copy that was held up on its way, changes nothing.
      */
     fun observe(report: WorkerReport): Machine? {
-        if (table.isGone(report.machine)) return null
+        if (table.isGone(report.machine)) return dropped(DroppedInput.REPORT_OTHER_LIFE)
         val m = table.known(report.machine)
-        if (report.session <= m.lapsedSession || report.session < m.session) return null
-        if (m.state == Machine.State.DELETING) return null
-        if (report.session == m.session && report.seq <= m.beatSeq) return m
+        if (report.session <= m.lapsedSession || report.session < m.session || m.state == Machine.State.DELETING) {
+            return dropped(DroppedInput.REPORT_OTHER_LIFE)
+        }
+        if (report.session == m.session && report.seq <= m.beatSeq) {
+            val repeated = report.seq == m.beatSeq
+            context.dropped.count(if (repeated) DroppedInput.REPORT_REPEATED else DroppedInput.REPORT_LATE)
+            return m
+        }
         m.type = names.types.intern(report.type)
         m.zone = names.zones.intern(report.zone)
         m.spot = report.spot
@@ -109,6 +114,11 @@
         return m
     }
 
+    private fun dropped(input: DroppedInput): Machine? {
+        context.dropped.count(input)
+        return null
+    }
+
     private fun beginSession(m: Machine, session: Long) {
         if (m.session > 0) onNewSession(m, m.token >= table.generation)
         m.session = session
--- a/src/main/kotlin/org/chalkhollow/core/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Leadership.kt
@@ -329,7 +329,9 @@
     }
 
     private fun onRelease(from: Int, release: PeerMessage.Release) {
-        if (from != leaderPeer || release.generation != generation) return
+        if (from != leaderPeer || release.generation != generation) {
+            return context.dropped.count(DroppedInput.MESSAGE_LATE)
+        }
         given.release()
         leaderHeardAt = NEVER
         watch.onRelease(release.generation)
@@ -353,8 +355,10 @@
     }
 
     private fun onPromise(from: Int, promise: PeerMessage.Promise) {
-        if (role != Role.LEADER || promise.generation != generation) return
-        if (held.take(from, promise)) reportTraffic.told(from, promise.reports, context.steady)
+        if (role != Role.LEADER || promise.generation != generation || !held.take(from, promise)) {
+            return context.dropped.count(DroppedInput.MESSAGE_LATE)
+        }
+        reportTraffic.told(from, promise.reports, context.steady)
     }
 
     private fun onVoteAsk(from: Int, ask: PeerMessage.VoteAsk) {
@@ -365,9 +369,13 @@
     }
 
     private fun onVote(from: Int, vote: PeerMessage.Vote) {
-        if (role != Role.FOLLOWER || !candidacy.isCurrent(vote) || !vote.granted) return
+        if (!candidacy.isOurs(vote)) return context.dropped.count(DroppedInput.MESSAGE_OTHER_LIFE)
+        if (role != Role.FOLLOWER || !candidacy.isCurrent(vote)) {
+            return context.dropped.count(DroppedInput.MESSAGE_LATE)
+        }
+        if (!vote.granted || given.bind) return
         val record = watch.record ?: return
-        if (given.bind || vote.generation != record.generation + 1) return
+        if (vote.generation != record.generation + 1) return context.dropped.count(DroppedInput.MESSAGE_LATE)
         if (candidacy.take(from) < majority || !events.prepared(watch.stamp)) return
         if (watch.released(record, 0) || watch.staleMs() >= stretched(options.leaderLeaseMs)) {
             candidacy.useVotes()
--- a/src/main/kotlin/org/chalkhollow/core/StateLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StateLog.kt
@@ -182,7 +182,9 @@
         lastSentAt = context.steady
         val sentAt = context.steady
         val inTerm = term
-        context.state(b.op) { reply -> if (term == inTerm) onReply(b, reply, sentAt) }
+        context.state(b.op) { reply ->
+            if (term == inTerm) onReply(b, reply, sentAt) else context.dropped.count(DroppedInput.REPLY_LATE)
+        }
     }
 
     private fun onReply(b: Batch, reply: StateReply, sentAt: Long) {
@@ -271,7 +273,7 @@
     private fun lookAtRecord(b: Batch, unchanged: (() -> Unit)? = null) {
         val inTerm = term
         context.state(StateOp.Read(LeadRecord.KEY)) { reply ->
-            if (term != inTerm) return@state
+            if (term != inTerm) return@state context.dropped.count(DroppedInput.REPLY_LATE)
             when (reply) {
                 is StateReply.Found -> {
                     val stands = LeadRecord.of(reply.row)
