--- a/src/main/kotlin/org/chalkhollow/core/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Replicas.kt
@@ -8,7 +8,7 @@
  * few, and room kept free from other work in every zone, so that a replica that has lost its machine, or a service that
  * has just come, need not wait for a task to end or a machine to boot.
  */
-class Replicas(private val jobs: JobTable, private val fleet: Fleet) {
+class Replicas(private val jobs: JobTable) {
     /** The largest service seen of a class, and the images that its services run. */
     private class ServiceClass(var each: Resources, var count: Int, var spotAllowed: Boolean) {
         val images = IntOpenHashSet()
--- a/src/test/kotlin/org/chalkhollow/core/ReplicaMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ReplicaMovesTest.kt
@@ -35,7 +35,7 @@
             val small = MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west"))
             context.reply(Input.Cloud(request.ticket, CloudReply.CatalogIs(listOf(small))))
         }
-    private val moves = ReplicaMoves(context, fleet, quotas, Replicas(jobs, fleet)) { _, _ -> true }
+    private val moves = ReplicaMoves(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
 
     private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob {
         val each = Resources(2.0, 0.0, 1.0)
--- a/src/test/kotlin/org/chalkhollow/core/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ReplicasTest.kt
@@ -17,7 +17,7 @@
     private val jobs = JobTable(context, names, settings.stateLimits)
     private val fleet =
         Fleet(context, names, settings, OperatorSettings(), "a", PreProvisionedMachines(context, settings.stateLimits))
-    private val replicas = Replicas(jobs, fleet)
+    private val replicas = Replicas(jobs)
 
     private fun service(id: String, tasks: Int): OpenJob {
         val spec =
