--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -31,11 +31,12 @@
     private val preProvisioned = PreProvisionedMachines(context, settings.stateLimits)
     private val fleet = Fleet(context, names, settings, options, settings.label, preProvisioned)
     private val images = ImageMemory(context, names, settings.stateLimits, fleet)
-    private val dispatch = DispatchLog(context, settings.stateLimits, settlement, fleet)
+    private val dispatch = DispatchLog(settings.stateLimits, settlement, fleet)
     private val objectives = ServiceLevelObjectives(settings.objectives, fleet::leastBootMs)
     private val placement = Placement(context, jobs, quotas, settlement, fleet, options, objectives)
-    private val direct = DirectCommands(context, settings, leadership, log, dispatch, fleet, settlement)
-    private val reports = ReportHandler(context, settings, leadership, fleet, images, settlement)
+    private val workerCommands = WorkerCommands(settlement)
+    private val direct = DirectCommands(context, settings, leadership, log, dispatch, fleet, settlement, workerCommands)
+    private val reports = ReportHandler(context, settings, leadership, fleet, images, settlement, workerCommands)
     private val requestHandler = RequestHandler(context, leadership, log, jobs, quotas, fleet, names)
     private val incarnationId = incarnation
     private var loaded = false
--- a/src/main/kotlin/org/chalkhollow/core/DirectCommands.kt
+++ b/src/main/kotlin/org/chalkhollow/core/DirectCommands.kt
@@ -18,6 +18,7 @@
     private val dispatch: DispatchLog,
     private val fleet: Fleet,
     private val settlement: Settlement,
+    private val workerCommands: WorkerCommands,
 ) {
     private val freshMs = (settings.reportS * FRESH_REPORTS * MS_PER_S).toLong()
     private var generationRaisedAt = context.steady
@@ -48,7 +49,7 @@
         m.directBusy = true
         m.askedAt = context.steady
         val session = m.session
-        val commands = stops.map(settlement::stop) + starts.map { Command.Start(it.job.spec.id, it.index, it.number) }
+        val commands = stops.map(workerCommands::stop) + starts.map(workerCommands::start)
         call(m, commands) { reply -> onReply(m, session, starts, reply) }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
@@ -13,12 +13,7 @@
  * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value, before
  * any of them is started; a marker is removed once all of its attempts are settled.
  */
-class DispatchLog(
-    private val context: CoreContext,
-    private val limits: StateLimits,
-    private val settlement: Settlement,
-    private val fleet: Fleet,
-) {
+class DispatchLog(private val limits: StateLimits, private val settlement: Settlement, private val fleet: Fleet) {
     private val trash = ArrayDeque<String>()
     private var generation = 0L
     private var round = 0L
@@ -99,7 +94,7 @@
             if (changes.size == 1) mostBytes = maxOf(LEAST_BYTES, mostBytes / 2) // else there were too many
             settlement.unmarked(attempts)
         }) {
-            if (mostBytes < limits.valueBytes) mostBytes = minOf(limits.valueBytes, mostBytes + mostBytes / 16)
+            if (mostBytes < limits.valueBytes) mostBytes = minOf(limits.valueBytes, mostBytes + mostBytes / GROWTH_OF)
             for (m in markers) m.durable = true
             settlement.marked(attempts)
         }
@@ -109,7 +104,10 @@
 
     private fun nextMarker(): Marker {
         round++
-        return Marker(MARK + generation.toString().padStart(12, '0') + "/" + round, generation * ROUNDS + round)
+        return Marker(
+            MARK + generation.toString().padStart(GENERATION_DIGITS, '0') + "/" + round,
+            generation * ROUNDS + round,
+        )
     }
 
     /** One of [marker]'s attempts is settled and needs it no more. */
@@ -145,7 +143,14 @@
 
     companion object {
         const val MARK = "mark/"
-        private const val ROUNDS = 1L shl 16
+        private const val ROUND_BITS = 16
+        private const val ROUNDS = 1L shl ROUND_BITS
+
+        /** Keys of markers are listed in the order of their generations. */
+        private const val GENERATION_DIGITS = 12
+
+        /** After a refusal markers grow again by this part each time. */
+        private const val GROWTH_OF = 16
         private const val BASE_BYTES = 160
         private const val LEAST_BYTES = 512
 
@@ -166,14 +171,9 @@
 
         fun indices(ranges: String): List<Int> =
             ranges.split(',').flatMap { part ->
-                val dash = part.indexOf('-')
-                if (dash <
-                    0
-                ) {
-                    listOf(part.toInt())
-                } else {
-                    (part.substring(0, dash).toInt()..part.substring(dash + 1).toInt()).toList()
-                }
+                val first = part.substringBefore('-').toInt()
+                val last = part.substringAfter('-').toInt()
+                (first..last).toList()
             }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
@@ -84,12 +84,12 @@
     private fun value(page: Int): Map<String, Any?> {
         val images = LinkedHashMap<Int, Int>()
         val held = LinkedHashMap<String, List<Long>>()
-        var size = 64
+        var size = VALUE_BYTES
         for (id in page * pageSize until minOf((page + 1) * pageSize, names.machines.size)) {
             val m = fleet.find(names.machines.name(id)) ?: continue
             if (m.held.isEmpty() || m.state != Machine.State.UP) continue
             val fresh = m.held.filter { it !in images }.sumOf { Sizes.of(names.images.name(it)) + 1 }
-            val bytes = Sizes.of(m.name) + 12 + m.held.size * 6 + fresh
+            val bytes = Sizes.of(m.name) + ROW_BYTES + m.held.size * INDEX_BYTES + fresh
             if (size + bytes > limits.valueBytes) break
             size += bytes
             held[m.name] = listOf(m.session) + m.held.map { images.getOrPut(it) { images.size }.toLong() }
@@ -102,6 +102,11 @@
         private const val EVERY_MS = 3000L
         private const val PAGE_MS = 500L
         private const val MACHINE_BYTES = 128
+
+        // What a value, the row of a machine beside its name, and an image's index in it take at the most.
+        private const val VALUE_BYTES = 64
+        private const val ROW_BYTES = 12
+        private const val INDEX_BYTES = 6
         private val EMPTY = mapOf<String, Any?>("images" to emptyList<String>(), "held" to emptyMap<String, Any?>())
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/Job.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Job.kt
@@ -42,6 +42,9 @@
     /** The state service refused a record of its progress, which is written again from this moment on. */
     var writeAfter = 0L
 
+    /** Whether some of its progress is not written yet, and may be tried now. */
+    fun progressDue(t: Long): Boolean = !dirtyPages.isEmpty && t >= writeAfter
+
     /** Nothing is placed before this moment, since tasks failed. */
     var notBefore = 0L
     var failures = 0
@@ -180,7 +183,7 @@
     /** How many more seconds it takes at the least, as far as its job's other tasks or its owner's estimate tell. */
     fun leastLeftS(t: Long): Double {
         if (job.service) return Double.MAX_VALUE
-        val ran = if (phase == Phase.RUNNING) (t - since) / 1000.0 else 0.0
+        val ran = if (phase == Phase.RUNNING) (t - since) / MS_PER_S else 0.0
         return (if (job.runs > 0) job.ranS / job.runs else job.spec.expectedS) * LEAST_OF_EXPECTED - ran
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/JobTable.kt
@@ -157,7 +157,7 @@
         // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
         var waiting: OpenJob? = null
         for (job in openJobs) {
-            if (job.cancelling || job.sealing || job.dirtyPages.isEmpty || context.steady < job.writeAfter) continue
+            if (job.cancelling || job.sealing || !job.progressDue(context.steady)) continue
             if (job.complete) return sealed(job, attemptsRecorded).takeIf { it.fits(room) }?.also { job.sealing = true }
             if (waiting == null && context.steady - job.dirtySince >= GATHER_MS) waiting = job
         }
--- a/src/main/kotlin/org/chalkhollow/core/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineReachability.kt
@@ -10,11 +10,11 @@
  * does.
  */
 class MachineReachability(private val context: CoreContext, reportS: Double, leaseS: Double) {
-    private val doubtMs = maxOf(UNANSWERED_GAP_MS, (reportS * 3000).toLong())
+    private val doubtMs = maxOf(UNANSWERED_GAP_MS, (reportS * DOUBT_MS_PER_S).toLong())
 
     /** A report is overdue after this long; no news from then on means more than that the next one is a little late. */
-    private val overdueMs = (reportS * 1250).toLong() + 500
-    private val silentMs = maxOf((leaseS * 500).toLong(), overdueMs + DIRECT_MS + 500)
+    private val overdueMs = (reportS * OVERDUE_MS_PER_S).toLong() + LATE_MS
+    private val silentMs = maxOf((leaseS * MS_PER_S / 2).toLong(), overdueMs + DIRECT_MS + LATE_MS)
 
     /** A report that is newer than all before it has come in from [m]. */
     fun reported(m: Machine, freshSession: Boolean, tellsToken: Boolean, atToken: Boolean) {
@@ -73,6 +73,15 @@
          */
         const val UNANSWERED_GAP_MS = 4500L
 
+        /** A machine is doubted when there was no proof for three periods of its reports. */
+        const val DOUBT_MS_PER_S = 3000
+
+        /** Workers report after three quarters to five quarters of their period; what comes later is overdue. */
+        const val OVERDUE_MS_PER_S = 1250
+
+        /** How much later than expected an answer or a report may be. */
+        const val LATE_MS = 500L
+
         /** How long a direct command waits for its answer, and how often one is sent to ask. */
         const val DIRECT_MS = 3000L
         const val ASK_MS = 4000L
--- a/src/main/kotlin/org/chalkhollow/core/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Placement.kt
@@ -18,7 +18,7 @@
     options: OperatorSettings,
     private val objectives: ServiceLevelObjectives,
 ) {
-    private val replicas = Replicas(jobs, fleet)
+    private val replicas = Replicas(jobs)
     private val aging = Aging(context, jobs, settlement, options)
     private val scarce = ScarceTypes(context, jobs, fleet, objectives)
     private val reserve = UrgentReserve(jobs, objectives, options)
--- a/src/main/kotlin/org/chalkhollow/core/PreProvisionedMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PreProvisionedMachines.kt
@@ -41,7 +41,7 @@
             sorted.takeWhile { name ->
                 Sizes.of(name).let {
                     size += it + 1
-                    size < limits.valueBytes - 64
+                    size < limits.valueBytes - MARGIN_BYTES
                 }
             }
         names = HashSet(kept)
@@ -70,5 +70,8 @@
     companion object {
         const val KEY = "fleet/base"
         const val PREFIX = "fleet/"
+
+        /** What the value takes beside the names. */
+        private const val MARGIN_BYTES = 64
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Replicas.kt
@@ -7,7 +7,7 @@
  * few, and room kept free from other work in every zone, so that a replica that has lost its machine, or a service that
  * has just come, need not wait for a task to end or a machine to boot.
  */
-class Replicas(private val jobs: JobTable, private val fleet: Fleet) {
+class Replicas(private val jobs: JobTable) {
     private class Largest(val each: Resources, val count: Int, val spotAllowed: Boolean)
 
     /** The largest service seen of each class. */
--- a/src/main/kotlin/org/chalkhollow/core/ReportHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ReportHandler.kt
@@ -15,6 +15,7 @@
     private val fleet: Fleet,
     private val images: ImageMemory,
     private val settlement: Settlement,
+    private val workerCommands: WorkerCommands,
 ) {
     private val peerLabels = settings.peers.map { it.label }
 
@@ -37,7 +38,7 @@
             images.recall(m)
             settlement.reconcile(m, report, beat = true)
         }
-        val commands = settlement.commands(m, startsAllowed = newer)
+        val commands = workerCommands.answering(m, startsAllowed = newer)
         context.answer(call, HttpStatus.OK, WorkerCodec.commands(leadership.generation, commands))
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
@@ -31,7 +31,7 @@
     private val passed = Long2ObjectLinkedOpenHashMap<Passed>()
 
     // Not from 1: an answer meant for an earlier life of this controller must not be taken for one of ours.
-    private var nextSeq = context.random.nextLong(1L shl 61)
+    private var nextSeq = context.random.nextLong(FIRST_SEQ_BOUND)
     private val origins = Int2ObjectOpenHashMap<Origin>()
     private var nextRemoteCall = -1
 
@@ -64,7 +64,7 @@
 
     fun onForward(from: Int, m: PeerMessage.Forward) {
         val call = nextRemoteCall--
-        if (nextRemoteCall < -1_000_000_000) nextRemoteCall = -1
+        if (nextRemoteCall < LAST_REMOTE_CALL) nextRemoteCall = -1
         origins.put(call, Origin(from, m.seq))
         val ask =
             when (m.kind) {
@@ -243,6 +243,10 @@
         /** Users wait 5 s for an answer. */
         const val WAIT_MS = 4000L
         const val MOST_PASSED = 500
+
+        /** Numbers of requests that are passed on begin at random: an answer to an earlier life must not count. */
+        const val FIRST_SEQ_BOUND = 1L shl 61
+        const val LAST_REMOTE_CALL = -1_000_000_000
         const val MOST_ACCEPTING = 1000
         val NOTHING = ByteArray(0)
     }
--- a/src/main/kotlin/org/chalkhollow/core/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ServiceLevelObjectives.kt
@@ -15,13 +15,13 @@
     private var guaranteeWithin = 0L
 
     init {
-        for (o in objectives) if (o.kind == "guarantee") guaranteeWithin = ((o.withinS ?: 0.0) * 1000).toLong()
+        for (o in objectives) if (o.kind == "guarantee") guaranteeWithin = ((o.withinS ?: 0.0) * MS_PER_S).toLong()
         for ((workload, some) in objectives.filter { it.workload != null }.groupBy { it.workload.orEmpty() }) {
             fun within(kind: String) =
                 some
                     .filter { it.kind == kind }
                     .mapNotNull { it.withinS }
-                    .map { (it * 1000).toLong() }
+                    .map { (it * MS_PER_S).toLong() }
                     .sorted()
                     .toLongArray()
             starts[workload] = within("wait")
@@ -76,7 +76,7 @@
         }
         job.spec.dueS?.let { s ->
             val times = deadlines[job.spec.workload] ?: ONCE
-            for (t in if (times.isEmpty()) ONCE else times) consider(job.acceptedWall + (s * t * 1000).toLong())
+            for (t in if (times.isEmpty()) ONCE else times) consider(job.acceptedWall + (s * t * MS_PER_S).toLong())
         }
         finishes[job.spec.workload]?.let { for (within in it) consider(job.acceptedWall + within) }
         return if (due != Long.MAX_VALUE || last == Long.MIN_VALUE) due else last
--- a/src/main/kotlin/org/chalkhollow/core/Settlement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Settlement.kt
@@ -1,7 +1,6 @@
 package org.chalkhollow.core
 
 import org.chalkhollow.model.JobState
-import org.chalkhollow.wire.Command
 import org.chalkhollow.wire.ExitCause
 import org.chalkhollow.wire.TaskReport
 import org.chalkhollow.wire.WorkerReport
@@ -173,40 +172,36 @@
         a.phase = phase
         if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.held.add(a.job.image)
         val runs = phase != Attempt.Phase.FETCHING
-        if (runs && !ran) {
-            a.job.running++
-            context.emit(Effect.Sample("start", context.steady - a.placedAt))
-            if (a.job.running == 1 &&
-                a.job.doneCount == 0
-            ) {
-                context.emit(Effect.Sample("wait", context.now.wall - a.job.acceptedWall))
-            }
-            context.debug(
-                "${a.job.spec.id}/${a.index} (${a.job.spec.workload}) runs ${context.now.wall - a.job.acceptedWall} ms after it was accepted, ${context.steady - a.placedAt} ms after it was placed on ${a.machine.name}${if (a.cached) ", image held" else ""}",
-            )
-        }
+        if (runs && !ran) begun(a)
         if (!runs && ran) a.job.running--
         a.since = context.steady
     }
 
+    private fun begun(a: Attempt) {
+        val job = a.job
+        job.running++
+        val startMs = context.steady - a.placedAt
+        val waitMs = context.now.wall - job.acceptedWall
+        context.emit(Effect.Sample("start", startMs))
+        if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Sample("wait", waitMs))
+        val task = "${job.spec.id}/${a.index} (${job.spec.workload})"
+        val held = if (a.cached) ", image held" else ""
+        context.debug(
+            "$task runs $waitMs ms after it was accepted, $startMs ms after it was placed on ${a.machine.name}$held",
+        )
+    }
+
     private fun exited(a: Attempt, cause: ExitCause) {
         release(a)
         val job = a.job
-        if (cause == ExitCause.DONE && a.phase == Attempt.Phase.RUNNING && !a.inherited && !job.service) {
+        val completed = cause == ExitCause.DONE && !job.service
+        if (completed && a.phase == Attempt.Phase.RUNNING && !a.inherited) {
             job.runs++
-            job.ranS += (context.steady - a.since) / 1000.0
+            job.ranS += (context.steady - a.since) / MS_PER_S
         }
         a.phase = Attempt.Phase.EXITED
-        a.completed = cause == ExitCause.DONE && !job.service
-        if (cause == ExitCause.DONE && job.entry.state == JobState.OPEN && !job.service) {
-            a.machine.failedJobs.clear()
-            if (!job.done.get(a.index)) {
-                job.failures = 0
-                jobs.taskDone(job, a.index)
-            }
-            job.unrecorded.add(a)
-            return
-        }
+        a.completed = completed
+        if (completed && job.entry.state == JobState.OPEN) return completed(a)
         forgettable(a)
         when (cause) {
             ExitCause.ERROR -> failed(a)
@@ -217,15 +212,25 @@
         }
     }
 
+    /** Its completion is recorded before its machine may forget it. */
+    private fun completed(a: Attempt) {
+        val job = a.job
+        a.machine.failedJobs.clear()
+        if (!job.done.get(a.index)) {
+            job.failures = 0
+            jobs.taskDone(job, a.index)
+        }
+        job.unrecorded.add(a)
+    }
+
     /** A replica has ended by itself: it runs again, elsewhere, and later and later if that happens again and again. */
     private fun ended(a: Attempt) {
         val job = a.job
         job.failedOn(a.machine.id, context.steady)
         job.failures = if (context.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
-        if (job.failures >
-            job.spec.tasks
-        ) {
-            job.notBefore = context.steady + (FAILED_MS shl minOf(job.failures / job.spec.tasks, 5))
+        if (job.failures > job.spec.tasks) {
+            val wait = FAILED_MS shl minOf(job.failures / job.spec.tasks, MOST_DOUBLINGS)
+            job.notBefore = context.steady + wait
         }
     }
 
@@ -236,7 +241,7 @@
         job.failures++
         // One machine's faults should not hold a job up; a job that fails wherever it goes waits longer and longer.
         if (job.failsAround(context.steady)) {
-            val wait = FAILED_MS shl minOf(job.failures / 3, 5)
+            val wait = FAILED_MS shl minOf(job.failures / FAILURES_EACH, MOST_DOUBLINGS)
             job.notBefore = maxOf(job.notBefore, context.steady + wait)
         }
         context.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
@@ -273,82 +278,11 @@
         return true
     }
 
-    /** What to tell [m] now; starts are repeated until they are seen, stops until they are obeyed. */
-    fun commands(m: Machine, startsAllowed: Boolean): List<Command> {
-        val out = ArrayList<Command>()
-        for (a in ArrayList(m.attempts)) {
-            if (out.size >= MOST_COMMANDS) break
-            val id = a.job.spec.id
-            val unwanted = a.job.cancelled || a.job.done.get(a.index)
-            when (a.phase) {
-                Attempt.Phase.MARKING -> Unit
-                Attempt.Phase.MARKED ->
-                    when {
-                        unwanted || m.draining || m.noticeAt != Machine.NEVER -> if (!a.directPending) settle(a)
-                        startsAllowed && !a.job.cancelling -> {
-                            a.phase = Attempt.Phase.SENT
-                            out.add(Command.Start(id, a.index, a.number))
-                        }
-                    }
-                Attempt.Phase.SENT ->
-                    if (a.directPending && !a.inherited && !unwanted &&
-                        startsAllowed
-                    ) {
-                        out.add(Command.Start(id, a.index, a.number))
-                    }
-                Attempt.Phase.EXITED ->
-                    if (a.forgettable &&
-                        mayForget(a)
-                    ) {
-                        out.add(Command.Forget(id, a.index, a.number))
-                    }
-                else ->
-                    if (unwanted) {
-                        out.add(Command.Stop(id, a.index, a.number, 0.0))
-                    } else if (a.stopping) {
-                        out.add(stop(a))
-                    }
-            }
-        }
-        for (t in m.orphans) {
-            if (out.size >= MOST_COMMANDS) break
-            out.add(
-                if (t.phase ==
-                    TaskReport.Phase.EXITED
-                ) {
-                    Command.Forget(t.jobId, t.index, t.attempt)
-                } else {
-                    Command.Stop(t.jobId, t.index, t.attempt, 0.0)
-                },
-            )
-        }
-        m.orphans = emptyList()
-        return out
+    /** A marked attempt is not started any more: its task is ready again, or over. */
+    fun withdraw(a: Attempt) {
+        if (!a.directPending) settle(a)
     }
 
-    /**
-     * A worker that has forgotten an attempt begins it again when a copy of its start comes late, and what was stopped
-     * or cancelled would run unknown to us. So an attempt that this leader started directly is left to the next
-     * generation to forget, whose token voids all copies, unless it was completed: then it ends as soon as it begins.
-     * An earlier version took the first answer for the last.
-     */
-    private fun mayForget(a: Attempt): Boolean =
-        !a.directPending && (!a.sentDirectly || a.completed && !a.job.cancelled)
-
-    /** Stops a task so that it saves its progress if it can; nobody has any use for that of a cancelled one. */
-    fun stop(a: Attempt) =
-        Command.Stop(
-            a.job.spec.id,
-            a.index,
-            a.number,
-            if (a.job.cancelled) {
-                0.0
-            } else {
-                a.job.spec.saveS +
-                    GRACE_S
-            },
-        )
-
     private data class Identity(val job: Int, val index: Int, val number: Long)
 
     private companion object {
@@ -356,7 +290,9 @@
         const val RETRY_MS = 2000L
         const val FAILED_MS = 1000L
         const val LASTED_MS = 15_000L
-        const val MOST_COMMANDS = 400
-        const val GRACE_S = 1.0
+
+        /** So many failures, wherever they were, double the wait, and the wait is doubled so many times at most. */
+        const val FAILURES_EACH = 3
+        const val MOST_DOUBLINGS = 5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/StateLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StateLog.kt
@@ -115,30 +115,36 @@
         if (!active) return
         refill()
         val waiting = batch
-        if (waiting != null) {
-            if (retryAt > 0 && context.steady >= retryAt) {
-                retryAt = 0
-                send(waiting)
-            }
-            return
-        }
+        if (waiting != null) return sendAgainIfDue(waiting)
         val renewalDue = context.steady - lastSentAt >= options.leaderRenewMs
         if (tokens < if (renewalDue) 1.0 else 2.0) return
         // Each transaction costs a write for the record. When writes are scarce, a few are gathered for each.
         if (!renewalDue && tokens < budget() / 2 && context.steady - lastSentAt < SPACING_MS) return
         val part = parts.firstOrNull()
-        if (part != null) {
-            if (context.steady < retryPartsAt) return
-            // Its changes were paid for once; a renewal must not wait until they are paid for again.
-            if (tokens >=
-                part.sumOf { it.changes.size } + 1
-            ) {
-                send(compose(parts.removeFirst()))
-            } else if (renewalDue) {
-                send(compose(emptyList()))
-            }
-            return
+        if (part != null) return sendPart(part, renewalDue)
+        val writes = gather()
+        if (writes.isEmpty() && !renewalDue) return
+        send(compose(writes))
+    }
+
+    private fun sendAgainIfDue(waiting: Batch) {
+        if (retryAt <= 0 || context.steady < retryAt) return
+        retryAt = 0
+        send(waiting)
+    }
+
+    private fun sendPart(part: List<Write>, renewalDue: Boolean) {
+        if (context.steady < retryPartsAt) return
+        // Its changes were paid for once; a renewal must not wait until they are paid for again.
+        if (tokens >= part.sumOf { it.changes.size } + 1) {
+            send(compose(parts.removeFirst()))
+        } else if (renewalDue) {
+            send(compose(emptyList()))
         }
+    }
+
+    /** What the sources give for one transaction. */
+    private fun gather(): List<Write> {
         val room = Room(minOf(limits.txnOps - 1, tokens.toInt() - 1, learnedOps), TXN_BYTES)
         val writes = ArrayList<Write>()
         for (source in sources) {
@@ -149,8 +155,7 @@
                 room.bytes -= write.changes.sumOf { Sizes.of(it) }
             }
         }
-        if (writes.isEmpty() && !renewalDue) return
-        send(compose(writes))
+        return writes
     }
 
     /**
@@ -195,16 +200,7 @@
                 b.unavailable++
                 when {
                     b.writes.size < 2 || b.unavailable % TAKE_APART_AFTER != 0 ->
-                        again(
-                            b,
-                            if (b.unavailable >
-                                TAKE_APART_AFTER
-                            ) {
-                                RETRY_MS * 2
-                            } else {
-                                RETRY_MS
-                            },
-                        )
+                        again(b, if (b.unavailable > TAKE_APART_AFTER) RETRY_MS * 2 else RETRY_MS)
                     !b.uncertain -> thin(b)
                     else -> lookAtRecord(b) { thin(b) }
                 }
@@ -222,7 +218,7 @@
             val keys =
                 b.writes
                     .flatMap { it.changes }
-                    .take(3)
+                    .take(KEYS_NAMED)
                     .joinToString { it.key }
             context.emit(
                 Effect.Note(
@@ -234,7 +230,7 @@
         if (b.uncertain) return lookAtRecord(b) { rejected(b, why) }
         if (b.writes.isEmpty()) {
             failed()
-            return again(b, RETRY_MS * 4)
+            return again(b, REFUSED_RETRY_MS)
         }
         if (b.writes.size > 1 || b.op.changes.size > 2) learnedOps = maxOf(1, (b.op.changes.size - 1) / 2)
         if (b.writes.size > 1) return takeApart(b, (b.writes.size + 1) / 2)
@@ -246,7 +242,7 @@
     /** Not executed again and again: it may ask for more at once than the service's rate allows in a burst. */
     private fun thin(b: Batch) {
         retryPartsAt = context.steady + RETRY_MS
-        takeApart(b, maxOf(1, b.writes.size / 4))
+        takeApart(b, maxOf(1, b.writes.size / THINNED_TO))
     }
 
     private fun takeApart(b: Batch, size: Int) {
@@ -314,33 +310,30 @@
 
     private fun refill() {
         val t = context.steady
-        tokens = minOf(budget(), tokens + (t - refilledAt) * budget() / 1000.0)
+        tokens = minOf(budget(), tokens + (t - refilledAt) * budget() / MS_PER_S)
         refilledAt = t
     }
 
-    private fun budget(): Double = limits.writeRps * 0.9
+    private fun budget(): Double = limits.writeRps * BUDGET_SHARE
 
     private companion object {
+        /** Below the rate that the service allows, since requests that were held up on their way arrive together. */
+        const val BUDGET_SHARE = 0.9
         const val RETRY_MS = 250L
+
+        /** A renewal alone that is refused is a fault of the service, or the record is unlike what we think. */
+        const val REFUSED_RETRY_MS = 1000L
         const val SPACING_MS = 120L
         const val STALL_MS = 1000L
         const val SLOW_MS = 400L
         const val TXN_BYTES = 40 * 1024
         const val TAKE_APART_AFTER = 3
         const val COMPLAIN_MS = 10_000L
-    }
-}
 
-/** Estimates, never too low, of how large a value is as JSON. */
-object Sizes {
-    fun of(change: Change): Int = 48 + change.key.length + of(change.value)
-
-    fun of(value: Any?): Int =
-        when (value) {
-            null -> 5
-            is String -> value.length + 3 + value.count { it < ' ' || it == '"' || it == '\\' || it > '~' } * 5
-            is Map<*, *> -> 3 + value.entries.sumOf { of(it.key) + of(it.value) + 2 }
-            is List<*> -> 3 + value.sumOf { of(it) + 1 }
-            else -> 24
-        }
+        /** How many keys a log line names. */
+        const val KEYS_NAMED = 3
+
+        /** Into how many parts a transaction goes that was not executed again and again. */
+        const val THINNED_TO = 4
+    }
 }
--- a/src/main/kotlin/org/chalkhollow/core/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StatusReport.kt
@@ -23,78 +23,124 @@
         val leader = if (leads) label else leadership.reachableLeader().takeIf { it >= 0 }?.let(peers::get)
         val controllers = versions.all.map { (name, version) -> ControllerView(name, version) }
         if (!leads || !ready) {
-            return StatusView(label, leads, leader, leadership.generation, ready && leads, controllers = controllers, allNew = versions.allNew)
+            return StatusView(
+                label,
+                leads,
+                leader,
+                leadership.generation,
+                ready && leads,
+                controllers = controllers,
+                allNew = versions.allNew,
+            )
         }
         return StatusView(
-            label, true, leader, leadership.generation, true, jobs.size, jobs.open.size, classes(),
-            teams.mapIndexed { i, t -> TeamView(t.name, quotas.cpusOf(i), t.cpus, t.cpusMax) }, machines(),
-            controllers, versions.allNew, services(),
+            label,
+            true,
+            leader,
+            leadership.generation,
+            true,
+            jobs.size,
+            jobs.open.size,
+            classes(),
+            teams.mapIndexed { i, t -> TeamView(t.name, quotas.cpusOf(i), t.cpus, t.cpusMax) },
+            machines(),
+            controllers,
+            versions.allNew,
+            services(),
         )
     }
 
-    private fun classes(): List<ClassView> = jobs.open.groupBy { it.spec.workload }.toSortedMap().map { (name, some) ->
-        val oldest = some.maxOf { context.now.wall - it.acceptedWall } / 1000
-        ClassView(name, some.size, some.sumOf { it.ready.cardinality() }, some.sumOf { it.live.size }, oldest)
-    }
+    private fun classes(): List<ClassView> =
+        jobs.open.groupBy { it.spec.workload }.toSortedMap().map { (name, some) ->
+            val oldest = some.maxOf { context.now.wall - it.acceptedWall } / MS_IN_S
+            ClassView(name, some.size, some.sumOf { it.ready.cardinality() }, some.sumOf { it.live.size }, oldest)
+        }
 
-    private fun services(): List<ServiceView> = jobs.open.filter { it.service && !it.cancelling }.groupBy { it.spec.workload }.toSortedMap().map { (name, some) ->
+    private fun services(): List<ServiceView> =
+        jobs.open
+            .filter { it.service && !it.cancelling }
+            .groupBy { it.spec.workload }
+            .toSortedMap()
+            .map { (name, some) -> service(name, some) }
+
+    private fun service(name: String, some: List<OpenJob>): ServiceView {
         val lacking = some.filter { it.running < it.spec.tasks }.sortedBy { it.acceptedWall }.take(MOST_EXPLAINED)
-        ServiceView(name, some.size, some.sumOf { it.spec.tasks }, some.sumOf { it.running }, lacking.map { "${it.spec.id}: ${whyDown(it)}" })
+        val down = lacking.map { "${it.spec.id}: ${whyDown(it)}" }
+        return ServiceView(name, some.size, some.sumOf { it.spec.tasks }, some.sumOf { it.running }, down)
     }
 
     private fun whyDown(job: OpenJob): String {
         val why = if (job.ready.isEmpty) emptyList() else reasons(job)
         val doubtful = job.live.size - job.running
-        return (why + listOfNotNull("$doubtful begin, or are not yet proved gone where they were".takeIf { doubtful > 0 })).joinToString("; ")
+        val doubt = "$doubtful begin, or are not yet proved gone where they were".takeIf { doubtful > 0 }
+        return (why + listOfNotNull(doubt)).joinToString("; ")
     }
 
     /** Replicas that are wanted and that are up. */
     fun replicas(): Pair<Int, Int> {
         var wanted = 0
         var up = 0
-        for (job in jobs.open) if (job.service && !job.cancelling) {
-            wanted += job.spec.tasks
-            up += job.running
+        for (job in jobs.open) {
+            if (job.service && !job.cancelling) {
+                wanted += job.spec.tasks
+                up += job.running
+            }
         }
         return wanted to up
     }
 
-    private fun machines(): List<MachineView> = fleet.machines.filter { it.type >= 0 }
-        .groupingBy { m -> listOf(names.types.name(m.type), names.zones.name(m.zone), m.spot, state(m)) }.eachCount()
-        .map { (k, n) -> MachineView(k[0] as String, k[1] as String, k[2] as Boolean, k[3] as String, n) }
-        .sortedBy { it.toString() }
+    /** Machines that are alike to an operator. */
+    private data class Like(val type: String, val zone: String, val spot: Boolean, val state: String)
 
-    private fun state(m: Machine): String = when {
-        m.state != Machine.State.UP -> m.state.name.lowercase()
-        !m.reachable -> "deaf"
-        m.noticeAt != Machine.NEVER -> "noticed"
-        m.draining || m.retiring -> "draining"
-        m.vacant -> "idle"
-        else -> "busy"
-    }
+    private fun machines(): List<MachineView> =
+        fleet.machines
+            .filter { it.type >= 0 }
+            .groupingBy { m -> Like(names.types.name(m.type), names.zones.name(m.zone), m.spot, state(m)) }
+            .eachCount()
+            .map { (like, count) -> MachineView(like.type, like.zone, like.spot, like.state, count) }
+            .sortedBy { it.toString() }
+
+    private fun state(m: Machine): String =
+        when {
+            m.state != Machine.State.UP -> m.state.name.lowercase()
+            !m.reachable -> "deaf"
+            m.noticeAt != Machine.NEVER -> "noticed"
+            m.draining || m.retiring -> "draining"
+            m.vacant -> "idle"
+            else -> "busy"
+        }
 
     /** One job, or null when this controller does not know it. */
     fun job(id: String): JobView? {
         val entry = jobs.find(id) ?: return null
         val job = entry.open
         val state = entry.state?.name?.lowercase() ?: "being accepted"
-        if (job == null) return JobView(id, state, entry.tasks, if (entry.state == JobState.DONE) entry.tasks else 0, 0, 0, emptyList())
-        return JobView(id, state, job.spec.tasks, job.doneCount, job.running, job.live.size, if (job.ready.isEmpty) emptyList() else reasons(job))
+        if (job == null) {
+            val done = if (entry.state == JobState.DONE) entry.tasks else 0
+            return JobView(id, state, entry.tasks, done, 0, 0, emptyList())
+        }
+        val waitsFor = if (job.ready.isEmpty) emptyList() else reasons(job)
+        return JobView(id, state, job.spec.tasks, job.doneCount, job.running, job.live.size, waitsFor)
     }
 
     private fun reasons(job: OpenJob): List<String> {
         val out = ArrayList<String>()
         if (log.stalled()) out.add("the state service takes no writes, and nothing starts without a marker")
         if (job.cancelling) out.add("it is being cancelled")
-        if (job.notBefore > context.steady) out.add("its tasks fail; tried again in ${(job.notBefore - context.steady) / 1000} s")
+        val pauseMs = job.notBefore - context.steady
+        if (pauseMs > 0) out.add("its tasks fail; tried again in ${pauseMs / MS_IN_S} s")
         if (quotas.headroom(job.team, job.each, Machine.NOTHING) <= 0) out.add("its team is at its limit")
         val fits = fleet.placeable().filter { placement.mayUse(job, it) }
-        if (fits.isEmpty()) out.add("no machine that it may use is up")
-        else if (fits.none { job.each.fitsIn(it.room(fleet.types)) }) out.add("the ${fits.size} machines that it may use have no room for a task")
+        if (fits.isEmpty()) {
+            out.add("no machine that it may use is up")
+        } else if (fits.none { job.each.fitsIn(it.room(fleet.types)) }) {
+            out.add("the ${fits.size} machines that it may use have no room for a task")
+        }
         return out.ifEmpty { listOf("other work goes first") }
     }
 
     private companion object {
         const val MOST_EXPLAINED = 3
+        const val MS_IN_S = 1000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
@@ -34,6 +34,8 @@
         Runtime.getRuntime().exit(0)
     }
 
+    private val task = WarmUpMessages.task("j-000009/1", 1)
+
     /** A node on loopback that talks to itself for a moment. */
     private suspend fun node(settings: PlatformSettings, port: Int) {
         val loop = EventLoop()
@@ -43,9 +45,9 @@
             Node(scope, loop, settings, OperatorSettings(), 1, System.nanoTime()).start()
             val link = HttpLink(scope, loop, settings.clientListen, 1 shl 16, 1)
             link.request(HttpMethod.Get, "/up", null, 1000)
-            link.request(HttpMethod.Post, "/work", Pack.encode(job()), 1000)
+            link.request(HttpMethod.Post, "/work", Pack.encode(WarmUpMessages.job("j-000001", "t")), 1000)
             link.request(HttpMethod.Get, "/work/j-1", null, 1000)
-            link.request(HttpMethod.Post, "/agent/beat", Pack.encode(report(1)), 1000)
+            link.request(HttpMethod.Post, "/agent/beat", Pack.encode(WarmUpMessages.report(1, 1, listOf(task))), 1000)
             for (m in messages()) Frames.decode(Frames.encode(m))
             delay(800)
         }
@@ -62,44 +64,6 @@
             PeerMessage.Forwarded(1, 200, ByteArray(8), 0),
         )
 
-    private fun job(): Map<String, Any?> =
-        mapOf(
-            "nameId" to "j-000001",
-            "workload" to "w",
-            "owner" to "t",
-            "shape" to "batch",
-            "urgency" to "high",
-            "pieces" to 2,
-            "vcpus" to 1.0,
-            "cards" to 0.0,
-            "memoryGb" to 1.0,
-            "bundle" to "i",
-            "pullGb" to 1.0,
-            "flavours" to null,
-            "site" to null,
-            "together" to false,
-            "spread" to false,
-            "standby" to true,
-            "expectedS" to 1.0,
-            "snapshotS" to 0.0,
-            "flushS" to 0.0,
-            "dueS" to 9.0,
-        )
-
-    private fun report(seq: Long): Map<String, Any?> =
-        mapOf(
-            "host" to "n-1",
-            "address" to "127.0.0.1:9",
-            "flavour" to "t",
-            "site" to "z",
-            "standby" to false,
-            "tenure" to 1,
-            "tally" to seq,
-            "mandate" to 1,
-            "warningS" to null,
-            "pieces" to listOf(mapOf("piece" to "j-000009/1", "try" to 1, "status" to "running")),
-        )
-
     private fun settings(users: Int, peers: Int): String =
         """
         {"label":"a","location":"z","client_listen":"127.0.0.1:$users","mesh_addr":"127.0.0.1:$peers",
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
@@ -48,7 +48,7 @@
         val round = steps++
         val team = settings.teams.firstOrNull()?.name ?: return
         if (round % JOB_EVERY == JOB_AT) {
-            val raw = Pack.encode(job(round, team))
+            val raw = Pack.encode(WarmUpMessages.job(name(round), team))
             inbox.add(Input.User(USER, UserAsk.Submit(UserCodec.job(raw), raw)))
         }
         if (round % JOB_EVERY == JOB_AT + 30) inbox.add(Input.User(USER, UserAsk.Poll(name(round - 30))))
@@ -59,7 +59,9 @@
     }
 
     private suspend fun report(machine: Int, round: Int) {
-        val request = Http.request(HttpMethod.Post, "warm-up", "/agent/beat", Pack.encode(reportOf(machine, round)))
+        val tasks = List(2) { WarmUpMessages.task("j-900000/$it", round / REPORTS_EACH) }
+        val sent = Pack.encode(WarmUpMessages.report(machine, round + 1, tasks))
+        val request = Http.request(HttpMethod.Post, "warm-up", "/agent/beat", sent)
         val input = ByteReadChannel(request)
         val parsed = parseRequest(input) ?: return
         val body = Http.body(scope, parsed.headers, input, request.size) ?: return
@@ -96,7 +98,18 @@
         when (op) {
             CloudOp.Catalog ->
                 CloudReply.CatalogIs(
-                    listOf(MachineType("warm-up", Resources(8.0, 0.0, 64.0), 1.0, 10.0, 1.0, 1.0, 10.0, listOf("z"))),
+                    listOf(
+                        MachineType(
+                            WarmUpMessages.TYPE,
+                            Resources(8.0, 0.0, 64.0),
+                            1.0,
+                            10.0,
+                            1.0,
+                            1.0,
+                            10.0,
+                            listOf("z"),
+                        ),
+                    ),
                 )
             is CloudOp.Machines -> CloudReply.MachinesAre(ListedPage(emptyList(), false))
             is CloudOp.Rent -> CloudReply.NoCapacity
@@ -105,44 +118,6 @@
 
     private fun name(round: Int) = "j-" + round.toString().padStart(6, '0')
 
-    private fun job(round: Int, team: String): Map<String, Any?> =
-        mapOf(
-            "nameId" to name(round),
-            "workload" to "w",
-            "owner" to team,
-            "shape" to "batch",
-            "urgency" to "high",
-            "pieces" to 4,
-            "vcpus" to 1.0,
-            "cards" to 0.0,
-            "memoryGb" to 1.0,
-            "bundle" to "i",
-            "pullGb" to 1.0,
-            "flavours" to null,
-            "site" to null,
-            "together" to false,
-            "spread" to false,
-            "standby" to true,
-            "expectedS" to 1.0,
-            "snapshotS" to 0.0,
-            "flushS" to 0.0,
-            "dueS" to 9.0,
-        )
-
-    private fun reportOf(machine: Int, round: Int): Map<String, Any?> =
-        mapOf(
-            "host" to "n-$machine",
-            "address" to "127.0.0.1:9",
-            "flavour" to "warm-up",
-            "site" to "z",
-            "standby" to false,
-            "tenure" to 1,
-            "tally" to round + 1,
-            "mandate" to 1,
-            "warningS" to null,
-            "pieces" to List(2) { mapOf("piece" to "j-900000/$it", "try" to round / 8, "status" to "running") },
-        )
-
     private companion object {
         const val USER = 1
         const val WORKER = 2
@@ -150,5 +125,8 @@
         const val MACHINES = 12
         const val JOB_EVERY = 50
         const val JOB_AT = 10
+
+        /** A machine reports an attempt so many times, then the next. */
+        const val REPORTS_EACH = 8
     }
 }
