--- a/src/main/kotlin/org/chalkhollow/StatusCommand.kt
+++ b/src/main/kotlin/org/chalkhollow/StatusCommand.kt
@@ -70,7 +70,7 @@
 
     private fun show(s: StatusView) {
         val role = if (s.leads) "leads" else "follows ${s.leader ?: "nobody it has heard of lately"}"
-        echo("${s.label}: $role, generation ${s.generation}")
+        echo("${s.label}: $role, generation ${s.fencingToken}")
         if (s.controllers.isNotEmpty()) {
             echo("versions: " + s.controllers.joinToString { "${it.label} ${it.version ?: "not known"}" })
         }
--- a/src/main/kotlin/org/chalkhollow/core/Settlement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/AttemptReconciler.kt
@@ -2,21 +2,21 @@
 
 import org.chalkhollow.model.JobState
 import org.chalkhollow.wire.ExitCause
-import org.chalkhollow.wire.TaskReport
-import org.chalkhollow.wire.WorkerReport
+import org.chalkhollow.wire.TaskStatus
+import org.chalkhollow.wire.WorkerHeartbeat
 
 /**
  * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. An attempt is settled, and its task
  * free to be placed again, only on proof that it runs nowhere and never will.
  */
-class Settlement(
+class AttemptReconciler(
     private val context: CoreContext,
     private val jobs: JobTable,
     private val quotas: Quotas,
-    private val generation: () -> Long,
+    private val fencingToken: () -> Long,
 ) {
     /** Set by the controller: an attempt's marker is needed no more. */
-    var onSettledMarker: (Marker) -> Unit = {}
+    var onSettledMarker: (DispatchMarker) -> Unit = {}
 
     /** Set by the controller: a machine has attempts whose markers are durable. */
     var onMarked: (Machine) -> Unit = {}
@@ -25,11 +25,11 @@
     var onBegun: (Machine) -> Unit = {}
 
     fun clear() {
-        owedCpus = 0.0
+        creditCpus = 0.0
     }
 
     /** CPUs of what was given to jobs that had been passed over. */
-    var owedCpus = 0.0
+    var creditCpus = 0.0
         private set
 
     fun reserve(
@@ -37,19 +37,19 @@
         index: Int,
         number: Long,
         machine: Machine,
-        marker: Marker?,
-        owed: Boolean = false,
+        marker: DispatchMarker?,
+        fromCredit: Boolean = false,
     ): Attempt {
         // A replica never ends: what it is given would be missing from the share of passed over work for good.
-        val attempt = Attempt(job, index, number, machine, marker, owed && !job.service)
-        if (attempt.owed) owedCpus += job.each.cpus
+        val attempt = Attempt(job, index, number, machine, marker, fromCredit && !job.service)
+        if (attempt.fromCredit) creditCpus += job.taskResources.cpus
         attempt.since = context.steady
         attempt.placedAt = context.steady
         attempt.cached = job.image in machine.held
         machine.attempts.add(attempt)
-        machine.occupy(job.each)
+        machine.occupy(job.taskResources)
         job.taken(index)
-        quotas.add(job.team, job.each)
+        quotas.add(job.team, job.taskResources)
         if (marker != null) marker.outstanding++
         return attempt
     }
@@ -78,9 +78,9 @@
 
     private fun release(a: Attempt) {
         if (a.onMachine && a.phase != Attempt.Phase.FETCHING) a.job.running--
-        quotas.remove(a.job.team, a.job.each)
-        a.machine.vacate(a.job.each)
-        if (a.owed) owedCpus -= a.job.each.cpus
+        quotas.remove(a.job.team, a.job.taskResources)
+        a.machine.vacate(a.job.taskResources)
+        if (a.fromCredit) creditCpus -= a.job.taskResources.cpus
         context.changed()
         a.job.released(a.index)
     }
@@ -93,7 +93,7 @@
      * started: while the session that we knew is only told by reports of before our token, old copies among them, its
      * starts may be in the new one. An earlier version took them for gone, and they ran twice.
      */
-    fun newSession(machine: Machine, knewOurToken: Boolean) = gone(machine, inherited = knewOurToken)
+    fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) = gone(machine, inherited = knewOurFencingToken)
 
     private fun gone(machine: Machine, inherited: Boolean) {
         for (a in ArrayList(machine.attempts)) {
@@ -109,20 +109,20 @@
     }
 
     /**
-     * Takes in a report that is newer than all before it from this machine. Only a [beat] proves by silence that a
-     * start is not under way: the worker has one report in flight at a time, so it has taken or dropped every response
-     * before it.
+     * Takes in a report that is newer than all before it from this machine. Only a [fromHeartbeat] proves by silence
+     * that a start is not under way: the worker has one report in flight at a time, so it has taken or dropped every
+     * response before it.
      */
-    fun reconcile(m: Machine, report: WorkerReport, beat: Boolean) {
-        if (repeats(m, report)) return
-        val current = report.token >= generation()
+    fun reconcile(m: Machine, heartbeat: WorkerHeartbeat, fromHeartbeat: Boolean) {
+        if (repeats(m, heartbeat)) return
+        val current = heartbeat.fencingToken >= fencingToken()
         // Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came
         // out the same, the one's completion was taken for the other's.
         val known = HashMap<Identity, Attempt>(m.attempts.size * 2)
         for (a in m.attempts) known[Identity(a.job.entry.id, a.index, a.number)] = a
-        val reported = HashMap<Attempt, TaskReport>(report.tasks.size * 2)
-        val unknown = ArrayList<TaskReport>()
-        for (t in report.tasks) {
+        val reported = HashMap<Attempt, TaskStatus>(heartbeat.tasks.size * 2)
+        val unknown = ArrayList<TaskStatus>()
+        for (t in heartbeat.tasks) {
             val a = jobs.find(t.jobId)?.let { known[Identity(it.id, t.index, t.attempt)] }
             if (a == null) unknown.add(t) else reported[a] = t
         }
@@ -130,17 +130,17 @@
             val t = reported[a]
             if (t != null) {
                 present(a, t)
-            } else if (beat) {
+            } else if (fromHeartbeat) {
                 absent(a, current)
             }
         }
         m.orphans = unknown.filter { !adopt(m, it) }
-        m.reconciled = report.tasks.takeIf { beat && unknown.isEmpty() }
+        m.reconciled = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
     }
 
     /** Whether the report says what the last one did and nothing waits for its silence: most do, so this is cheap. */
-    private fun repeats(m: Machine, report: WorkerReport): Boolean =
-        report.tasks === m.reconciled && report.tasks.size == m.attempts.size && m.attempts.all { it.onMachine }
+    private fun repeats(m: Machine, heartbeat: WorkerHeartbeat): Boolean =
+        heartbeat.tasks === m.reconciled && heartbeat.tasks.size == m.attempts.size && m.attempts.all { it.onMachine }
 
     private fun absent(a: Attempt, current: Boolean) {
         when (a.phase) {
@@ -156,12 +156,12 @@
         }
     }
 
-    private fun present(a: Attempt, t: TaskReport) {
+    private fun present(a: Attempt, t: TaskStatus) {
         when (t.phase) {
-            TaskReport.Phase.FETCHING -> enter(a, Attempt.Phase.FETCHING)
-            TaskReport.Phase.RUNNING -> enter(a, Attempt.Phase.RUNNING)
-            TaskReport.Phase.SAVING -> enter(a, Attempt.Phase.SAVING)
-            TaskReport.Phase.EXITED -> if (a.phase != Attempt.Phase.EXITED) exited(a, t.cause ?: ExitCause.ERROR)
+            TaskStatus.Phase.FETCHING -> enter(a, Attempt.Phase.FETCHING)
+            TaskStatus.Phase.RUNNING -> enter(a, Attempt.Phase.RUNNING)
+            TaskStatus.Phase.SAVING -> enter(a, Attempt.Phase.SAVING)
+            TaskStatus.Phase.EXITED -> if (a.phase != Attempt.Phase.EXITED) exited(a, t.cause ?: ExitCause.ERROR)
         }
         if (a.job.image >= 0) a.machine.images.add(a.job.image)
     }
@@ -183,8 +183,8 @@
         job.running++
         val startMs = context.steady - a.placedAt
         val waitMs = context.now.wall - job.acceptedWall
-        context.emit(Effect.Sample("start", startMs))
-        if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Sample("wait", waitMs))
+        context.emit(Effect.Timing("start", startMs))
+        if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
         val task = "${job.spec.id}/${a.index} (${job.spec.workload})"
         val held = if (a.cached) ", image held" else ""
         context.debug(
@@ -230,7 +230,7 @@
         job.failedOn(a.machine.id, context.steady)
         job.failures = if (context.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
         if (job.failures > job.spec.tasks) {
-            val wait = FAILED_MS shl minOf(job.failures / job.spec.tasks, MOST_DOUBLINGS)
+            val wait = FAILED_MS shl minOf(job.failures / job.spec.tasks, MAX_DOUBLINGS)
             job.notBefore = context.steady + wait
         }
     }
@@ -242,7 +242,7 @@
         job.failures++
         // One machine's faults should not hold a job up; a job that fails wherever it goes waits longer and longer.
         if (job.failsAround(context.steady)) {
-            val wait = FAILED_MS shl minOf(job.failures / FAILURES_EACH, MOST_DOUBLINGS)
+            val wait = FAILED_MS shl minOf(job.failures / FAILURES_EACH, MAX_DOUBLINGS)
             job.notBefore = maxOf(job.notBefore, context.steady + wait)
         }
         context.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
@@ -267,11 +267,11 @@
     }
 
     /** A task on a machine that no marker of ours explains; false if it is only to be removed. */
-    private fun adopt(m: Machine, t: TaskReport): Boolean {
+    private fun adopt(m: Machine, t: TaskStatus): Boolean {
         val job = jobs.find(t.jobId)?.open ?: return false
         if (t.index >= job.spec.tasks) return false
-        if (t.phase == TaskReport.Phase.EXITED && t.cause != ExitCause.DONE) return false
-        if (t.phase != TaskReport.Phase.EXITED && (job.done.get(t.index) || job.live.get(t.index) > 0)) return false
+        if (t.phase == TaskStatus.Phase.EXITED && t.cause != ExitCause.DONE) return false
+        if (t.phase != TaskStatus.Phase.EXITED && (job.done.get(t.index) || job.live.get(t.index) > 0)) return false
         val a = reserve(job, t.index, t.attempt, m, null)
         a.inherited = true
         a.phase = Attempt.Phase.SENT
@@ -294,6 +294,6 @@
 
         /** So many failures, wherever they were, double the wait, and the wait is doubled so many times at most. */
         const val FAILURES_EACH = 3
-        const val MOST_DOUBLINGS = 5
+        const val MAX_DOUBLINGS = 5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/Candidacy.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Candidacy.kt
@@ -6,7 +6,7 @@
  * Owns the votes that this controller has asked for. They count for one asking only, from when that was sent, so they
  * end here before those who gave them may promise another leader. Called by [Leadership].
  */
-class Candidacy(private val context: CoreContext, private val peers: Int, private val promiseMs: Long) {
+class Candidacy(private val context: CoreContext, private val peers: Int, private val followerLeaseMs: Long) {
     /** Begins at a random number: votes for an earlier life must not count. */
     private val firstSeq = context.random.nextLong(FIRST_SEQ_BOUND)
     private var seq = firstSeq
@@ -23,29 +23,29 @@
     private var usedAt = NEVER
 
     /** Asks for votes to follow [record], unless it has just done so. */
-    fun askVotes(record: LeadRecord, stamp: Long) {
+    fun askVotes(record: LeadershipRecord, revision: Long) {
         val t = context.steady
         if (t - askedAt < retryMs) return
-        if (t - askedAt > 2 * MOST_RETRY_MS) retryMs = RETRY_MS
+        if (t - askedAt > 2 * MAX_RETRY_MS) retryMs = RETRY_MS
         askedAt = t
         seq++
         votes.fill(false)
-        val ask = PeerMessage.VoteAsk(record.generation + 1, stamp, seq)
+        val ask = PeerMessage.VoteRequest(record.fencingToken + 1, revision, seq)
         for (p in 0 until peers) context.emit(Effect.Send(p, ask))
     }
 
     /** Whether [vote] answers what this life of the process has asked. */
-    fun isOurs(vote: PeerMessage.Vote): Boolean = vote.seq in firstSeq..seq
+    fun isOurs(vote: PeerMessage.VoteResponse): Boolean = vote.seq in firstSeq..seq
 
     /** The number of the last asking. */
     val lastSeq: Long get() = seq
 
     /** Whether [vote] answers what was asked last. */
-    fun isCurrent(vote: PeerMessage.Vote): Boolean = vote.seq == seq
+    fun isCurrent(vote: PeerMessage.VoteResponse): Boolean = vote.seq == seq
 
     /** A vote came that answers an asking before the last: the next one is to leave more time. */
     fun cameLate() {
-        retryMs = minOf(retryMs * 2, MOST_RETRY_MS)
+        retryMs = minOf(retryMs * 2, MAX_RETRY_MS)
     }
 
     /** Takes in a granted vote; returns how many there are, our own counted. */
@@ -65,7 +65,7 @@
     }
 
     /** Whether the votes that were used, if any, bind those who gave them still. */
-    val votesHold: Boolean get() = usedAt == NEVER || context.steady - usedAt < shrunk(promiseMs)
+    val votesHold: Boolean get() = usedAt == NEVER || context.steady - usedAt < minusClockDrift(followerLeaseMs)
 
     /** The candidacy is over; votes may be asked for at once. */
     fun end() {
@@ -77,6 +77,6 @@
         const val RETRY_MS = 150L
 
         /** Votes hold for a little more than twice as long. */
-        const val MOST_RETRY_MS = 600L
+        const val MAX_RETRY_MS = 600L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CandidateSnapshot.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core
 
-import org.chalkhollow.wire.Row
+import org.chalkhollow.wire.KeyValue
 
 /**
  * Reads all that leaders have written, under [prefixes] and in their order, before this controller stands for
@@ -14,8 +14,8 @@
     private val prefixes: List<String>,
     private val onComplete: () -> Unit,
 ) {
-    private class Reading(val stamp: Long, val begunAt: Long) {
-        val rows = ArrayList<Row>()
+    private class Reading(val revision: Long, val begunAt: Long) {
+        val rows = ArrayList<KeyValue>()
         var done = false
         var retry: (() -> Unit)? = null
         var retryAt = 0L
@@ -23,20 +23,20 @@
 
     private var reading: Reading? = null
 
-    /** Begins anew unless it is reading for this [stamp] already. */
-    fun begin(stamp: Long) {
-        if (reading?.stamp == stamp) return
-        val r = Reading(stamp, context.steady)
+    /** Begins anew unless it is reading for this [revision] already. */
+    fun begin(revision: Long) {
+        if (reading?.revision == revision) return
+        val r = Reading(revision, context.steady)
         reading = r
         read(r, 0, null)
     }
 
-    /** Whether all was read, from a moment on at which the leadership record had [stamp]. */
-    fun complete(stamp: Long): Boolean = reading.let { it != null && it.stamp == stamp && it.done }
+    /** Whether all was read, from a moment on at which the leadership record had [revision]. */
+    fun complete(revision: Long): Boolean = reading.let { it != null && it.revision == revision && it.done }
 
-    /** Hands over what was read for [stamp]. */
-    fun take(stamp: Long): List<Row> {
-        check(complete(stamp)) { "took over without having read what was written" }
+    /** Hands over what was read for [revision]. */
+    fun take(revision: Long): List<KeyValue> {
+        check(complete(revision)) { "took over without having read what was written" }
         val rows = reading?.rows.orEmpty()
         reading = null
         return rows
--- a/src/main/kotlin/org/chalkhollow/core/CloudListing.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CloudInventory.kt
@@ -7,12 +7,12 @@
  * Owns what the cloud says there is: machine types, and the list of machines. The list lags behind, so a machine counts
  * as taken away only when it was missing for longer than that and does not report. Called by [Fleet].
  */
-class CloudListing(
+class CloudInventory(
     private val context: CoreContext,
-    private val names: Names,
+    private val names: Interners,
     private val table: MachineTable,
     private val cloud: CloudRequests,
-    private val preProvisioned: PreProvisionedMachines,
+    private val staticMachines: StaticMachines,
     listLagS: Double,
 ) {
     private var catalogAt = Machine.NEVER
@@ -79,7 +79,7 @@
                 readList(last, found)
             } else {
                 listAt = context.steady
-                preProvisioned.onList(found)
+                staticMachines.onList(found)
                 dropUnlisted(found)
             }
         }
--- a/src/main/kotlin/org/chalkhollow/core/CloudRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CloudRequests.kt
@@ -8,14 +8,14 @@
 class CloudRequests(private val context: CoreContext, private val requestsPerS: Double) {
     private var tokens = 1.0
     private var refilledAt = 0L
-    private var generation = 0L
+    private var fencingToken = 0L
 
     /** Whether a request that rents or returns machines has no answer yet. */
     var changing = false
         private set
 
-    fun start(newGeneration: Long) {
-        generation = newGeneration
+    fun start(newFencingToken: Long) {
+        fencingToken = newFencingToken
         changing = false
     }
 
@@ -37,9 +37,9 @@
 
     /** Asks for what only this generation can use. */
     fun askNow(op: CloudOp, then: (CloudReply) -> Unit) {
-        val inGeneration = generation
+        val inGeneration = fencingToken
         context.cloud(op) { reply ->
-            if (inGeneration == generation) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
+            if (inGeneration == fencingToken) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/WorkerCommands.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CommandPlanner.kt
@@ -1,23 +1,23 @@
 package org.chalkhollow.core
 
 import org.chalkhollow.wire.Command
-import org.chalkhollow.wire.TaskReport
+import org.chalkhollow.wire.TaskStatus
 
 /**
- * What machines are to be told, by what [Settlement] knows of their attempts: starts are repeated until they are seen,
- * stops until they are obeyed. No attempt is started whose marker is not durable, and none is forgotten that a late
- * copy of its start could begin again. Called by [ReportHandler] and [DirectCommands].
+ * What machines are to be told, by what [AttemptReconciler] knows of their attempts: starts are repeated until they
+ * are seen, stops until they are obeyed. No attempt is started whose marker is not durable, and none is forgotten that
+ * a late copy of its start could begin again. Called by [HeartbeatHandler] and [WorkerCommandSender].
  */
-class WorkerCommands(private val settlement: Settlement) {
+class CommandPlanner(private val reconciler: AttemptReconciler) {
     /** What to tell [m] in the answer to its report; no starts if the report is not its newest. */
     fun answering(m: Machine, startsAllowed: Boolean): List<Command> {
         val out = ArrayList<Command>()
         for (a in ArrayList(m.attempts)) {
-            if (out.size >= MOST_COMMANDS) break
+            if (out.size >= MAX_COMMANDS) break
             commandFor(a, startsAllowed)?.let(out::add)
         }
         for (t in m.orphans) {
-            if (out.size >= MOST_COMMANDS) break
+            if (out.size >= MAX_COMMANDS) break
             out.add(removal(t))
         }
         m.orphans = emptyList()
@@ -44,7 +44,7 @@
 
     private fun firstStart(a: Attempt, unwanted: Boolean, startsAllowed: Boolean): Command? {
         if (unwanted || a.machine.draining || a.machine.noticeAt != Machine.NEVER) {
-            settlement.withdraw(a)
+            reconciler.withdraw(a)
             return null
         }
         if (!startsAllowed || a.job.cancelling) return null
@@ -75,8 +75,8 @@
     }
 
     /** Ends what no attempt of ours explains. */
-    private fun removal(t: TaskReport): Command =
-        if (t.phase == TaskReport.Phase.EXITED) {
+    private fun removal(t: TaskStatus): Command =
+        if (t.phase == TaskStatus.Phase.EXITED) {
             Command.Forget(t.jobId, t.index, t.attempt)
         } else {
             Command.Stop(t.jobId, t.index, t.attempt, 0.0)
@@ -84,7 +84,7 @@
 
     private companion object {
         /** More do not fit well into one answer; the rest comes with the next. */
-        const val MOST_COMMANDS = 400
+        const val MAX_COMMANDS = 400
 
         /** Saving may take longer than its owner's estimate. */
         const val GRACE_S = 1.0
--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -3,8 +3,8 @@
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
+import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Malformed
-import org.chalkhollow.wire.Row
 
 /**
  * A controller as a pure state machine: an input at a moment in, effects out. It has no clock, does no I/O, and two
@@ -19,24 +19,25 @@
     begunAt: Long = start.steady,
 ) : Leadership.Events {
     private val context = CoreContext(incarnation).also { it.now = start }
-    private val names = Names().apply { settings.teams.forEach { teams.intern(it.name) } }
+    private val names = Interners().apply { settings.teams.forEach { teams.intern(it.name) } }
     private val peerLabels = settings.peers.map { it.label }
     private val leadership =
         Leadership(context, settings.label, peerLabels, incarnation, options, start.steady, begunAt, this)
     private val snapshot = CandidateSnapshot(context, READ_BEFORE_LEADING) { leadership.onPrepared() }
-    private val log = StateLog(context, settings.stateLimits, options, leadership)
+    private val log = StateWriter(context, settings.stateLimits, options, leadership)
     private val jobs = JobTable(context, names, settings.stateLimits)
     private val quotas = Quotas(settings.teams)
-    private val settlement = Settlement(context, jobs, quotas) { leadership.generation }
-    private val preProvisioned = PreProvisionedMachines(context, settings.stateLimits)
-    private val fleet = Fleet(context, names, settings, options, settings.label, preProvisioned)
-    private val images = ImageMemory(context, names, settings.stateLimits, fleet)
-    private val dispatch = DispatchLog(settings.stateLimits, settlement, fleet)
+    private val reconciler = AttemptReconciler(context, jobs, quotas) { leadership.fencingToken }
+    private val staticMachines = StaticMachines(context, settings.stateLimits)
+    private val fleet = Fleet(context, names, settings, options, settings.label, staticMachines)
+    private val images = ImageLocations(context, names, settings.stateLimits, fleet)
+    private val dispatch = DispatchLog(settings.stateLimits, reconciler, fleet)
     private val objectives = ServiceLevelObjectives(settings.objectives, fleet::leastBootMs)
-    private val placement = Placement(context, jobs, quotas, settlement, fleet, options, objectives)
-    private val workerCommands = WorkerCommands(settlement)
-    private val direct = DirectCommands(context, settings, leadership, log, dispatch, fleet, settlement, workerCommands)
-    private val reports = ReportHandler(context, settings, leadership, fleet, images, settlement, workerCommands)
+    private val placement = Placement(context, jobs, quotas, reconciler, fleet, options, objectives)
+    private val commandPlanner = CommandPlanner(reconciler)
+    private val direct =
+        WorkerCommandSender(context, settings, leadership, log, dispatch, fleet, reconciler, commandPlanner)
+    private val heartbeats = HeartbeatHandler(context, settings, leadership, fleet, images, reconciler, commandPlanner)
     private val requestHandler = RequestHandler(context, leadership, log, jobs, quotas, fleet, names)
     private val incarnationId = incarnation
     private var loaded = false
@@ -45,27 +46,27 @@
     private var changesPlaced = -1L
 
     init {
-        settlement.onSettledMarker = dispatch::settled
-        settlement.onMarked = direct::send
-        settlement.onBegun = fleet::reached
-        fleet.onGone = settlement::machineGone
-        fleet.onNewSession = settlement::newSession
+        reconciler.onSettledMarker = dispatch::settled
+        reconciler.onMarked = direct::send
+        reconciler.onBegun = fleet::reached
+        fleet.onGone = reconciler::machineGone
+        fleet.newEpochListener = reconciler::onNewEpoch
         fleet.reserve = placement::reserve
         jobs.onDone = requestHandler::finished
         jobs.onCancelled = { job ->
-            settlement.recorded(job, job.done)
+            reconciler.recorded(job, job.done)
             if (!job.live.isEmpty()) direct.stopAll(job)
         }
         log.source(jobs::nextUrgent)
         log.source(::place)
-        log.source { room -> jobs.nextCompletion(room, settlement::recorded) }
-        log.source(preProvisioned::next)
+        log.source { room -> jobs.nextCompletion(room, reconciler::recorded) }
+        log.source(staticMachines::next)
         log.source(images::next)
         log.source(dispatch::nextTrash)
         log.source(jobs::nextTrash)
     }
 
-    private val versions = Versions(settings.label, peerLabels)
+    private val versions = ControllerVersions(settings.label, peerLabels)
     private val statusReport =
         StatusReport(
             context,
@@ -99,7 +100,7 @@
         get() =
             View(
                 leadership.entitled(),
-                leadership.generation,
+                leadership.fencingToken,
                 jobs.open.size,
                 jobs.size,
                 fleet.machines.size,
@@ -111,7 +112,7 @@
     /** Numbers for gauges, and which version each controller runs as far as known. */
     data class View(
         val leading: Boolean,
-        val generation: Long,
+        val fencingToken: Long,
         val openJobs: Int,
         val jobs: Int,
         val machines: Int,
@@ -140,11 +141,11 @@
         when (input) {
             Input.Tick -> tick()
             is Input.User -> requestHandler.ask(input.call, input.ask)
-            is Input.Report -> reports.onReport(input.call, input.report)
-            is Input.UnreadReport -> reports.onUnread(input.call)
+            is Input.Heartbeat -> heartbeats.onHeartbeat(input.call, input.heartbeat)
+            is Input.UnreadHeartbeat -> heartbeats.onUnread(input.call)
             is Input.State -> context.reply(input)
             is Input.Cloud -> context.reply(input)
-            is Input.Direct -> context.reply(input)
+            is Input.WorkerReply -> context.reply(input)
             is Input.Peer -> onPeer(input)
         }
         if (leadership.role == Leadership.Role.LEADER && mayBringWrites(input)) log.pump()
@@ -157,7 +158,7 @@
      * after each of them was the largest part of a leader's work; what falls due by time alone waits for the next tick.
      */
     private fun mayBringWrites(input: Input): Boolean {
-        if (input !is Input.Report) return true
+        if (input !is Input.Heartbeat) return true
         return (context.changes != changesPumped).also { changesPumped = context.changes }
     }
 
@@ -173,39 +174,39 @@
         context.now = now
         if (!ledAtStep || leadership.entitled()) return effect
         return when {
-            effect is Effect.Answer && effect.status < HttpStatus.SERVER_ERRORS ->
-                Effect.Answer(effect.call, HttpStatus.UNAVAILABLE, null, 1)
-            effect is Effect.Send && effect.message is PeerMessage.Forwarded &&
+            effect is Effect.Response && effect.status < HttpStatus.SERVER_ERRORS ->
+                Effect.Response(effect.call, HttpStatus.UNAVAILABLE, null, 1)
+            effect is Effect.Send && effect.message is PeerMessage.ForwardedResponse &&
                 effect.message.status < HttpStatus.SERVER_ERRORS ->
                 Effect.Send(
                     effect.peer,
-                    PeerMessage.Forwarded(effect.message.seq, HttpStatus.UNAVAILABLE, ByteArray(0), 1),
+                    PeerMessage.ForwardedResponse(effect.message.seq, HttpStatus.UNAVAILABLE, ByteArray(0), 1),
                 )
-            effect is Effect.Direct -> null // like a command that is lost on its way
+            effect is Effect.WorkerCommand -> null // like a command that is lost on its way
             else -> effect
         }
     }
 
     private fun tick() {
-        context.strain.ticked(context.steady)
+        context.overload.ticked(context.steady)
         leadership.tick()
         requestHandler.tick()
         snapshot.tick()
         val leading = leadership.role == Leadership.Role.LEADER && loaded
         if (leading && leadership.entitled()) {
-            fleet.lapse()
+            fleet.expireLeases()
         }
         if (context.steady >= fleetAt || leading && fleet.moreNow) {
-            fleetAt = context.steady + FLEET_MS + context.strain.lateMs * FLEET_PER_LATE
+            fleetAt = context.steady + FLEET_MS + context.overload.lateMs * FLEET_PER_LATE
             if (leading && leadership.entitled()) {
-                direct.raiseGenerationIfNeeded()
+                direct.advanceFencingTokenIfNeeded()
                 direct.askDoubtful()
             }
             fleet.tick(leading && leadership.entitled(), placement.unplaced, mayRent())
         }
         val following = leadership.role == Leadership.Role.FOLLOWER
         val next = context.steady + if (following) FOLLOWER_TICK_MS else TICK_MS
-        context.strain.nextTickAt(next)
+        context.overload.nextTickAt(next)
         context.emit(Effect.Timer(next))
     }
 
@@ -214,17 +215,17 @@
      * once those that were there before have reported, or when there are none, what is missing is asked for at once.
      */
     private fun mayRent(): Boolean =
-        preProvisioned.known &&
+        staticMachines.known &&
             (
-                context.steady - leadAt > settings.reportS * HEARING_REPORTS * MS_PER_S ||
-                    preProvisioned.first && fleet.heardFromListed()
+                context.steady - leadAt > settings.heartbeatIntervalS * HEARING_REPORTS * MS_PER_S ||
+                    staticMachines.first && fleet.heardFromListed()
             )
 
     private fun onPeer(input: Input.Peer) {
         when (val m = input.message) {
             is PeerMessage.Hello -> versions.greeted(input.from, m)
-            is PeerMessage.Forward -> requestHandler.onForward(input.from, m)
-            is PeerMessage.Forwarded -> requestHandler.onForwarded(m)
+            is PeerMessage.ForwardedRequest -> requestHandler.onForward(input.from, m)
+            is PeerMessage.ForwardedResponse -> requestHandler.onForwarded(m)
             else -> leadership.onPeer(input.from, m)
         }
     }
@@ -233,24 +234,24 @@
 
     private var leadAt = 0L
 
-    override fun prepare(stamp: Long) = snapshot.begin(stamp)
+    override fun prepare(revision: Long) = snapshot.begin(revision)
 
-    override fun prepared(stamp: Long): Boolean = snapshot.complete(stamp)
+    override fun prepared(revision: Long): Boolean = snapshot.complete(revision)
 
     override fun unprepare() = snapshot.drop()
 
-    override fun onElected(generation: Long, stamp: Long, writes: Long, basis: Long) {
+    override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) {
         direct.newTerm()
         leadAt = context.steady
         jobs.clear()
         quotas.clear()
-        settlement.clear()
-        preProvisioned.start(generation)
-        fleet.start(generation)
+        reconciler.clear()
+        staticMachines.start(fencingToken)
+        fleet.start(fencingToken)
         images.start()
-        dispatch.start(generation)
-        log.start(LeadRecord(settings.label, incarnationId, generation, writes), stamp)
-        context.emit(Effect.Sample("takeover", snapshot.ageMs))
+        dispatch.start(fencingToken)
+        log.start(LeadershipRecord(settings.label, incarnationId, fencingToken, writes), revision)
+        context.emit(Effect.Timing("takeover", snapshot.ageMs))
         snapshot.take(basis).forEach(::take)
         jobs.afterLoad()
         loaded = true
@@ -267,29 +268,29 @@
         requestHandler.close()
     }
 
-    private fun take(row: Row) {
+    private fun take(row: KeyValue) {
         try {
             when {
                 row.key.startsWith(JobTable.JOB) -> jobs.loadJob(row)
                 row.key.startsWith(JobTable.PROGRESS) -> jobs.loadPage(row)
-                row.key == PreProvisionedMachines.KEY -> preProvisioned.load(row)
-                row.key.startsWith(ImageMemory.KEY) -> images.load(row)
+                row.key == StaticMachines.KEY -> staticMachines.load(row)
+                row.key.startsWith(ImageLocations.KEY) -> images.load(row)
                 else -> dispatch.load(row, jobs)
             }
-            log.seen(row.key, row.stamp)
+            log.seen(row.key, row.revision)
         } catch (e: Malformed) {
-            context.emit(Effect.Note(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
+            context.emit(Effect.LogEvent(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
         }
     }
 
     /** One placement round as part of the next transaction: its marker is written before any start is sent. */
-    private fun place(room: StateLog.Room): Write? {
+    private fun place(room: StateWriter.Room): Write? {
         if (!loaded || room.ops < 1) return null
         if (context.steady < roundAt || log.stalled()) return null
         // Rounds cost processor time, of which there is little: without a change they wait for the clock.
         if (context.changes == changesPlaced && context.steady < roundAt + IDLE_ROUND_MS) return null
         changesPlaced = context.changes
-        roundAt = context.steady + ROUND_MS + context.strain.lateMs * ROUND_PER_LATE
+        roundAt = context.steady + ROUND_MS + context.overload.lateMs * ROUND_PER_LATE
         val allocations = placement.round()
         placement.preempted.forEach(direct::send)
         if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
@@ -299,7 +300,7 @@
     private companion object {
         /** What a candidate reads before it may lead, in this order. */
         val READ_BEFORE_LEADING =
-            listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, PreProvisionedMachines.PREFIX)
+            listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, StaticMachines.PREFIX)
         const val TICK_MS = 100L
         const val FOLLOWER_TICK_MS = 150L
         const val FLEET_MS = 500L
--- a/src/main/kotlin/org/chalkhollow/core/Versions.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerVersions.kt
@@ -6,7 +6,7 @@
  * Owns which versions the controllers run, as far as each has said; that of a peer that has said nothing yet is not
  * known.
  */
-class Versions(private val label: String, private val peers: List<String>) {
+class ControllerVersions(private val label: String, private val peers: List<String>) {
     private val heard = arrayOfNulls<Int>(peers.size)
 
     /** A peer has said who it is; a version before this was told counts as 0. */
--- a/src/main/kotlin/org/chalkhollow/core/CoreContext.kt
+++ b/src/main/kotlin/org/chalkhollow/core/CoreContext.kt
@@ -14,7 +14,7 @@
     private var effects = ArrayList<Effect>()
     private val stateWaits = Int2ObjectHashMap<(StateReply) -> Unit>()
     private val cloudWaits = Int2ObjectHashMap<(CloudReply) -> Unit>()
-    private val directWaits = Int2ObjectHashMap<(DirectReply) -> Unit>()
+    private val directWaits = Int2ObjectHashMap<(CommandReply) -> Unit>()
     private var nextTicket = 1
 
     /** Counts changes after which a placement round may find what the one before did not. */
@@ -28,7 +28,7 @@
     val steady: Long get() = now.steady
 
     /** How short this controller is of processor time. */
-    val strain = Strain()
+    val overload = OverloadDetector()
 
     fun drain(): List<Effect> = effects.also { effects = ArrayList() }
 
@@ -46,7 +46,7 @@
         emit(Effect.Cloud(nextTicket++, op))
     }
 
-    fun direct(make: (Int) -> Effect.Direct, then: (DirectReply) -> Unit) {
+    fun direct(make: (Int) -> Effect.WorkerCommand, then: (CommandReply) -> Unit) {
         directWaits.put(nextTicket, then)
         emit(make(nextTicket++))
     }
@@ -55,21 +55,21 @@
 
     fun reply(input: Input.Cloud) = deliver(cloudWaits.remove(input.ticket), input.reply)
 
-    fun reply(input: Input.Direct) = deliver(directWaits.remove(input.ticket), input.reply)
+    fun reply(input: Input.WorkerReply) = deliver(directWaits.remove(input.ticket), input.reply)
 
     private fun <R> deliver(waiting: ((R) -> Unit)?, reply: R) {
         if (waiting == null) dropped.count(DroppedInput.REPLY_REPEATED) else waiting(reply)
     }
 
-    fun info(text: String) = emit(Effect.Note(Effect.Level.INFO, text))
+    fun info(text: String) = emit(Effect.LogEvent(Effect.Level.INFO, text))
 
-    fun debug(text: String) = emit(Effect.Note(Effect.Level.DEBUG, text))
+    fun debug(text: String) = emit(Effect.LogEvent(Effect.Level.DEBUG, text))
 
-    fun warn(text: String) = emit(Effect.Note(Effect.Level.WARN, text))
+    fun warn(text: String) = emit(Effect.LogEvent(Effect.Level.WARN, text))
 
     fun answer(call: Int, status: Int, body: Map<String, Any?>? = null, retryAfterS: Int = 0) =
-        emit(Effect.Answer(call, status, body?.let(Pack::encode), retryAfterS))
+        emit(Effect.Response(call, status, body?.let(Pack::encode), retryAfterS))
 
     /** Answers with a body that is encoded already. */
-    fun answer(call: Int, status: Int, encoded: ByteArray) = emit(Effect.Answer(call, status, encoded))
+    fun answer(call: Int, status: Int, encoded: ByteArray) = emit(Effect.Response(call, status, encoded))
 }
--- a/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
@@ -3,19 +3,23 @@
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
+import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Malformed
-import org.chalkhollow.wire.Row
 
-/** Tasks of one job that a placement round gives to one machine; [owed] to a job that had been passed over. */
-class Allocation(val job: OpenJob, val machine: Machine, val tasks: IntArray, val owed: Boolean)
+/** Tasks of one job that a placement round gives to one machine; [fromCredit] to a job that had been passed over. */
+class Allocation(val job: OpenJob, val machine: Machine, val tasks: IntArray, val fromCredit: Boolean)
 
 /**
  * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value, before
  * any of them is started; a marker is removed once all of its attempts are settled.
  */
-class DispatchLog(private val limits: StateLimits, private val settlement: Settlement, private val fleet: Fleet) {
+class DispatchLog(
+    private val limits: StateLimits,
+    private val reconciler: AttemptReconciler,
+    private val fleet: Fleet,
+) {
     private val trash = ArrayDeque<String>()
-    private var generation = 0L
+    private var fencingToken = 0L
     private var round = 0L
 
     /** Most bytes of a marker: the state service's limit, or less when it has refused one. */
@@ -24,22 +28,24 @@
     /** Attempt numbers of this generation are used up; the next generation has new ones. */
     val exhausted: Boolean get() = round >= ROUNDS - 1
 
-    fun start(newGeneration: Long) {
-        generation = newGeneration
+    fun start(newFencingToken: Long) {
+        fencingToken = newFencingToken
         round = 0
         mostBytes = limits.valueBytes
         trash.clear()
     }
 
-    /** The markers of a round: at most [StateLog.Room.ops] values; what does not fit stays ready for the next round. */
-    fun mark(allocations: List<Allocation>, room: StateLog.Room): Write? {
+    /**
+     * The markers of a round: at most [StateWriter.Room.ops] values; what does not fit stays ready for the next round.
+     */
+    fun mark(allocations: List<Allocation>, room: StateWriter.Room): Write? {
         val changes = ArrayList<Change>()
         val attempts = ArrayList<Attempt>()
-        val markers = ArrayList<Marker>()
+        val markers = ArrayList<DispatchMarker>()
         var rows = ArrayList<Any?>()
         var size = BASE_BYTES
         var total = 0
-        var marker: Marker? = null
+        var marker: DispatchMarker? = null
 
         fun seal() {
             val m = marker ?: return
@@ -84,47 +90,48 @@
             total += rowSize
             for (index in allocation.tasks) {
                 attempts.add(
-                    settlement.reserve(allocation.job, index, m.number, allocation.machine, m, allocation.owed),
+                    reconciler.reserve(allocation.job, index, m.number, allocation.machine, m, allocation.fromCredit),
                 )
             }
         }
         seal()
         if (changes.isEmpty()) return null
         return Write(changes, onRefused = {
-            if (changes.size == 1) mostBytes = maxOf(LEAST_BYTES, mostBytes / 2) // else there were too many
-            settlement.unmarked(attempts)
+            if (changes.size == 1) mostBytes = maxOf(MIN_BYTES, mostBytes / 2) // else there were too many
+            reconciler.unmarked(attempts)
         }) {
             if (mostBytes < limits.valueBytes) mostBytes = minOf(limits.valueBytes, mostBytes + mostBytes / GROWTH_OF)
             for (m in markers) m.durable = true
-            settlement.marked(attempts)
+            reconciler.marked(attempts)
         }
     }
 
-    private fun rowBytes(a: Allocation): Int = Sizes.of(listOf(a.job.spec.id, a.machine.name, ranges(a.tasks))) + 2
+    private fun rowBytes(a: Allocation): Int =
+        EncodedSize.of(listOf(a.job.spec.id, a.machine.name, ranges(a.tasks))) + 2
 
-    private fun nextMarker(): Marker {
+    private fun nextMarker(): DispatchMarker {
         round++
-        return Marker(
-            MARK + generation.toString().padStart(GENERATION_DIGITS, '0') + "/" + round,
-            generation * ROUNDS + round,
+        return DispatchMarker(
+            MARK + fencingToken.toString().padStart(FENCING_TOKEN_DIGITS, '0') + "/" + round,
+            fencingToken * ROUNDS + round,
         )
     }
 
     /** One of [marker]'s attempts is settled and needs it no more. */
-    fun settled(marker: Marker) {
+    fun settled(marker: DispatchMarker) {
         if (--marker.outstanding == 0) trash.add(marker.key)
     }
 
-    fun nextTrash(room: StateLog.Room): Write? {
+    fun nextTrash(room: StateWriter.Room): Write? {
         if (room.ops < 1) return null
         val key = trash.removeFirstOrNull() ?: return null
         return Write(listOf(Change(key, null)), onRefused = { trash.add(key) }) {}
     }
 
     /** Takes in an earlier leader's marker: its attempts are in doubt until their machines tell, or are gone. */
-    fun load(row: Row, jobs: JobTable) {
+    fun load(row: KeyValue, jobs: JobTable) {
         val f = Fields.of(row.value, row.key)
-        val marker = Marker(row.key, f.long("n"))
+        val marker = DispatchMarker(row.key, f.long("n"))
         marker.durable = true
         marker.outstanding = 1 // held until the whole marker is read
         for (item in f.list("a")) {
@@ -133,7 +140,7 @@
             val machine = fleet.known(parts[1].toString())
             for (index in indices(parts[2].toString())) {
                 if (index >= job.spec.tasks || job.done.get(index)) continue
-                val attempt = settlement.reserve(job, index, marker.number, machine, marker)
+                val attempt = reconciler.reserve(job, index, marker.number, machine, marker)
                 attempt.inherited = true
                 attempt.phase = Attempt.Phase.SENT
             }
@@ -147,12 +154,12 @@
         private const val ROUNDS = 1L shl ROUND_BITS
 
         /** Keys of markers are listed in the order of their generations. */
-        private const val GENERATION_DIGITS = 12
+        private const val FENCING_TOKEN_DIGITS = 12
 
         /** After a refusal markers grow again by this part each time. */
         private const val GROWTH_OF = 16
         private const val BASE_BYTES = 160
-        private const val LEAST_BYTES = 512
+        private const val MIN_BYTES = 512
 
         /** `0-3,7` for 0, 1, 2, 3 and 7. */
         fun ranges(sorted: IntArray): String {
--- a/src/main/kotlin/org/chalkhollow/core/DroppedInputs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/DroppedInputs.kt
@@ -3,13 +3,13 @@
 /** What is dropped without an effect, and why; [metric] names it among the metrics. */
 enum class DroppedInput(val metric: String) {
     /** A worker's report that is older than one of the same session that was taken. */
-    REPORT_LATE("reports_late"),
+    HEARTBEAT_LATE("reports_late"),
 
     /** A worker's report that was taken before. */
-    REPORT_REPEATED("reports_repeated"),
+    HEARTBEAT_REPEATED("reports_repeated"),
 
     /** A report of a session that is over, or of a machine that is gone. */
-    REPORT_OTHER_LIFE("reports_other_life"),
+    HEARTBEAT_OTHER_INCARNATION("reports_other_life"),
 
     /** A reply to a call that was made in an earlier term, or that is of no use any more. */
     REPLY_LATE("replies_late"),
@@ -24,7 +24,7 @@
     MESSAGE_REPEATED("frames_repeated"),
 
     /** A controller's answer to what this life of ours has not asked. */
-    MESSAGE_OTHER_LIFE("frames_other_life"),
+    MESSAGE_OTHER_INCARNATION("frames_other_life"),
 }
 
 /** Counts the dropped inputs of one controller. Whoever drops an input counts it here. */
--- a/src/main/kotlin/org/chalkhollow/core/Sizes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EncodedSize.kt
@@ -6,7 +6,7 @@
  * Estimates, never too low, of how large a value is as JSON, by which the state service counts. Called by all that put
  * values or transactions together.
  */
-object Sizes {
+object EncodedSize {
     /** A key's quotes and colon, the names of a change's fields, and brackets. */
     private const val CHANGE_BYTES = 48
     private const val LONGEST_NUMBER = 24
--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Fleet.kt
@@ -3,35 +3,35 @@
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
-import org.chalkhollow.wire.WorkerReport
+import org.chalkhollow.wire.WorkerHeartbeat
 
 /**
  * Owns the state of each machine: what reports say of it, its session, its lease. Nothing on a machine counts as gone
  * before its lease has certainly lapsed, its session has ended, or its deletion is confirmed. What the cloud lists,
- * what is rented and what is returned is decided by its parts, [CloudListing], [MachineRental] and [MachineReturn].
+ * what is rented and what is returned is decided by its parts, [CloudInventory], [ScaleOut] and [ScaleIn].
  * Called by [Controller]; the others read the machines here.
  */
 class Fleet(
     private val context: CoreContext,
-    private val names: Names,
+    private val names: Interners,
     settings: PlatformSettings,
     options: OperatorSettings,
     label: String,
-    preProvisioned: PreProvisionedMachines,
+    staticMachines: StaticMachines,
 ) {
     private val leaseMs = settings.leaseMs
 
     /** After this long without an answer a lease has certainly lapsed. */
-    private val leaseLastsMs = leaseMs + leaseMs / DRIFT_OF + LAPSE_MARGIN_MS
+    private val leaseExpiresAfterMs = leaseMs + leaseMs / DRIFT_OF + LEASE_EXPIRY_MARGIN_MS
 
     /** No lease lapses before then: each answer puts its machine's lapse off, and one that comes later is longer. */
-    private var nextLapseAt = 0L
+    private var nextLeaseExpiryAt = 0L
     private val table = MachineTable(context, names, leaseMs)
     private val cloud = CloudRequests(context, settings.cloudRps)
-    private val reachability = MachineReachability(context, settings.reportS, settings.leaseS)
-    private val listing = CloudListing(context, names, table, cloud, preProvisioned, settings.listLagS)
-    private val rental = MachineRental(context, names, table, cloud, reachability, settings, options, label)
-    private val returns = MachineReturn(context, table, cloud, reachability, preProvisioned, options, leaseMs)
+    private val reachability = MachineReachability(context, settings.heartbeatIntervalS, settings.leaseS)
+    private val listing = CloudInventory(context, names, table, cloud, staticMachines, settings.listLagS)
+    private val rental = ScaleOut(context, names, table, cloud, reachability, settings, options, label)
+    private val returns = ScaleIn(context, table, cloud, reachability, staticMachines, options, leaseMs)
 
     /** Machine types by index; a type that the catalog does not list is null. */
     val types: List<MachineType?> get() = table.types
@@ -49,7 +49,7 @@
         }
 
     /** Set by the controller: the machine is in a new session; whether it had told our token in the one before. */
-    var onNewSession: (Machine, Boolean) -> Unit = { _, _ -> }
+    var newEpochListener: (Machine, Boolean) -> Unit = { _, _ -> }
 
     /** Set by the controller: CPUs that are to stay free for urgent work. */
     var reserve: () -> Double
@@ -58,10 +58,10 @@
             returns.reserve = value
         }
 
-    fun start(newGeneration: Long) {
-        table.start(newGeneration)
-        nextLapseAt = 0L
-        cloud.start(newGeneration)
+    fun start(newFencingToken: Long) {
+        table.start(newFencingToken)
+        nextLeaseExpiryAt = 0L
+        cloud.start(newFencingToken)
         listing.start()
         rental.start()
     }
@@ -91,31 +91,31 @@
      * Takes in who reports; null for a machine that is gone or a session that is over. A report that is not newer than
      * what is known, such as a copy that was held up on its way, changes nothing.
      */
-    fun observe(report: WorkerReport): Machine? {
-        if (table.isGone(report.machine)) return dropped(DroppedInput.REPORT_OTHER_LIFE)
-        val m = table.known(report.machine)
-        if (report.session <= m.lapsedSession || report.session < m.session || m.state == Machine.State.DELETING) {
-            return dropped(DroppedInput.REPORT_OTHER_LIFE)
+    fun observe(heartbeat: WorkerHeartbeat): Machine? {
+        if (table.isGone(heartbeat.machine)) return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
+        val m = table.known(heartbeat.machine)
+        if (heartbeat.epoch <= m.expiredEpoch || heartbeat.epoch < m.epoch || m.state == Machine.State.DELETING) {
+            return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         }
-        if (report.session == m.session && report.seq <= m.beatSeq) {
-            val repeated = report.seq == m.beatSeq
-            context.dropped.count(if (repeated) DroppedInput.REPORT_REPEATED else DroppedInput.REPORT_LATE)
+        if (heartbeat.epoch == m.epoch && heartbeat.seq <= m.answeredSeq) {
+            val repeated = heartbeat.seq == m.answeredSeq
+            context.dropped.count(if (repeated) DroppedInput.HEARTBEAT_REPEATED else DroppedInput.HEARTBEAT_LATE)
             return m
         }
-        m.type = names.types.intern(report.type)
-        m.zone = names.zones.intern(report.zone)
-        m.spot = report.spot
-        m.address = report.address
-        val freshSession = report.session > m.session
-        if (freshSession) beginSession(m, report.session)
-        val atToken = report.token >= table.generation
-        val tellsToken = m.token < table.generation && atToken
-        reachability.reported(m, freshSession, tellsToken, atToken)
-        if (m.state != Machine.State.UP || tellsToken) context.changed()
+        m.type = names.types.intern(heartbeat.type)
+        m.zone = names.zones.intern(heartbeat.zone)
+        m.spot = heartbeat.spot
+        m.address = heartbeat.address
+        val newEpoch = heartbeat.epoch > m.epoch
+        if (newEpoch) beginEpoch(m, heartbeat.epoch)
+        val atOurFencingToken = heartbeat.fencingToken >= table.fencingToken
+        val showsOurFencingToken = m.fencingToken < table.fencingToken && atOurFencingToken
+        reachability.reported(m, newEpoch, showsOurFencingToken, atOurFencingToken)
+        if (m.state != Machine.State.UP || showsOurFencingToken) context.changed()
         m.state = Machine.State.UP
-        m.reportedAt = context.steady
-        m.token = maxOf(m.token, report.token)
-        takeNotice(m, report.noticeS)
+        m.heartbeatAt = context.steady
+        m.fencingToken = maxOf(m.fencingToken, heartbeat.fencingToken)
+        takeNotice(m, heartbeat.noticeS)
         return m
     }
 
@@ -135,12 +135,12 @@
         return null
     }
 
-    private fun beginSession(m: Machine, session: Long) {
-        if (m.session > 0) onNewSession(m, m.token >= table.generation)
-        m.session = session
-        m.shunned = false
+    private fun beginEpoch(m: Machine, epoch: Long) {
+        if (m.epoch > 0) newEpochListener(m, m.fencingToken >= table.fencingToken)
+        m.epoch = epoch
+        m.quarantined = false
         m.seq = -1
-        m.beatSeq = -1
+        m.answeredSeq = -1
         m.reconciled = null
         m.images.clear()
         m.images.addAll(m.held) // its cache outlives the session; what it was fetching does not
@@ -151,8 +151,8 @@
 
     /** Whether it is not certain that [m] hears us, so that it is to be asked directly; true once in a while. */
     fun toBeAsked(m: Machine): Boolean {
-        if (m.state != Machine.State.UP || m.token < table.generation) return false
-        return context.steady - m.reportedAt < leaseMs && reachability.ask(m)
+        if (m.state != Machine.State.UP || m.fencingToken < table.fencingToken) return false
+        return context.steady - m.heartbeatAt < leaseMs && reachability.ask(m)
     }
 
     /**
@@ -162,7 +162,7 @@
     private fun windDown(m: Machine) {
         val leftS = (m.noticeAt - context.steady) / MS_PER_S
         for (a in m.attempts) {
-            if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMoves]
+            if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMigration]
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
             val overInTime = a.inherited || a.leastLeftS(context.steady) <= leftS
             if (saves || !overInTime) a.stopping = true
@@ -170,14 +170,14 @@
     }
 
     /** Ends leases that have certainly lapsed. */
-    fun lapse() {
+    fun expireLeases() {
         val t = context.steady
-        if (t < nextLapseAt) return
-        nextLapseAt = t + leaseLastsMs
+        if (t < nextLeaseExpiryAt) return
+        nextLeaseExpiryAt = t + leaseExpiresAfterMs
         for (m in table.all) {
             if (m.state != Machine.State.UP && m.attempts.isEmpty()) continue
-            if (t < m.answeredAt + leaseLastsMs) {
-                nextLapseAt = minOf(nextLapseAt, m.answeredAt + leaseLastsMs)
+            if (t < m.answeredAt + leaseExpiresAfterMs) {
+                nextLeaseExpiryAt = minOf(nextLeaseExpiryAt, m.answeredAt + leaseExpiresAfterMs)
                 continue
             }
             if (m.state == Machine.State.LOST || m.state == Machine.State.DELETING) {
@@ -187,7 +187,7 @@
             context.info("the lease of ${m.name} has lapsed")
             m.state = Machine.State.LOST
             m.lostAt = t
-            m.lapsedSession = maxOf(m.session, m.lapsedSession)
+            m.expiredEpoch = maxOf(m.epoch, m.expiredEpoch)
             onGone(m)
         }
     }
@@ -206,7 +206,7 @@
     }
 
     private companion object {
-        const val LAPSE_MARGIN_MS = 500L
+        const val LEASE_EXPIRY_MARGIN_MS = 500L
 
         /** Clocks of two machines drift apart by less than one part in this many. */
         const val DRIFT_OF = 500L
--- a/src/main/kotlin/org/chalkhollow/core/HeldPromises.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FollowerLeases.kt
@@ -7,7 +7,7 @@
  * whether they could follow at once. A promise counts from when it was asked for, so it ends here before it ends at the
  * peer. Called by [Leadership].
  */
-class HeldPromises(private val context: CoreContext, private val peers: Int, private val promiseMs: Long) {
+class FollowerLeases(private val context: CoreContext, private val peers: Int, private val followerLeaseMs: Long) {
     private val majority = (peers + 1) / 2 + 1
     private var seq = 0L
     private var askedAt = NEVER
@@ -31,20 +31,24 @@
     }
 
     /** Asks all peers when it is due, [PROMISES_EACH] times within what a promise lasts. */
-    fun askIfDue(generation: Long, ready: Boolean) {
+    fun askIfDue(fencingToken: Long, ready: Boolean) {
         val t = context.steady
-        if (t - askedAt < promiseMs / PROMISES_EACH) return
+        if (t - askedAt < followerLeaseMs / PROMISES_EACH) return
         askedAt = t
         seq++
         sentAt[(seq % SENDS).toInt()] = t
-        for (p in 0 until peers) context.emit(Effect.Send(p, PeerMessage.PromiseAsk(generation, seq, ready)))
+        for (p in 0 until peers) {
+            context.emit(
+                Effect.Send(p, PeerMessage.FollowerLeaseRequest(fencingToken, seq, ready)),
+            )
+        }
     }
 
     /** Takes in an answer; false if it is too old to tell when it was asked for. */
-    fun take(from: Int, promise: PeerMessage.Promise): Boolean {
+    fun take(from: Int, promise: PeerMessage.FollowerLeaseResponse): Boolean {
         if (promise.seq <= seq - SENDS) return false
         val askedFor = sentAt[(promise.seq % SENDS).toInt()]
-        if (promise.granted) until[from] = maxOf(until[from], askedFor + shrunk(promiseMs))
+        if (promise.granted) until[from] = maxOf(until[from], askedFor + minusClockDrift(followerLeaseMs))
         if (promise.stateServed) servedAt[from] = maxOf(servedAt[from], askedFor)
         prepared[from] = promise.prepared
         return true
--- a/src/main/kotlin/org/chalkhollow/core/GivenPromises.kt
+++ b/src/main/kotlin/org/chalkhollow/core/GrantedFollowerLease.kt
@@ -7,15 +7,15 @@
  * against a vote, also not against those of an earlier life of this process, which it has forgotten: they are waited
  * out. Called by [Leadership].
  */
-class GivenPromises(
+class GrantedFollowerLease(
     private val context: CoreContext,
     private val options: OperatorSettings,
     /** When this process began: an earlier life of it had ended by then, and gave its last promise and vote before. */
     private val begunAt: Long,
 ) {
     private var promisedUntil = NEVER
-    private var votedGeneration = 0L
-    private var votedStamp = 0L
+    private var votedFencingToken = 0L
+    private var votedRevision = 0L
 
     /**
      * Whether a record was read that was asked for once every vote of an earlier life had run out. Until then this
@@ -28,16 +28,16 @@
     val bind: Boolean get() = context.steady < promisedUntil
 
     /** Whether what an earlier life promised may still bind. */
-    val earlierLifeMayBind: Boolean get() = context.steady - begunAt < stretched(options.promiseMs)
+    val earlierLifeMayBind: Boolean get() = context.steady - begunAt < plusClockDrift(options.followerLeaseMs)
 
     /** The record was read, or found missing, as was asked for at [askedAt]. */
     fun recordRead(askedAt: Long) {
-        if (askedAt - begunAt >= stretched(options.promiseMs)) knowsRecord = true
+        if (askedAt - begunAt >= plusClockDrift(options.followerLeaseMs)) knowsRecord = true
     }
 
     /** A record is newer than what we voted on, and of an older generation: that vote has come to nothing. */
-    fun recordChanged(record: LeadRecord, stamp: Long) {
-        if (stamp > votedStamp && record.generation < votedGeneration) votedGeneration = record.generation
+    fun recordChanged(record: LeadershipRecord, revision: Long) {
+        if (revision > votedRevision && record.fencingToken < votedFencingToken) votedFencingToken = record.fencingToken
     }
 
     /** The leader that we promised has given up. */
@@ -45,10 +45,10 @@
         promisedUntil = NEVER
     }
 
-    /** Promises the leader of [generation] not to stand against it, if it may. */
-    fun promise(generation: Long): Boolean {
-        if (!knowsRecord || generation < votedGeneration) return false
-        promisedUntil = maxOf(promisedUntil, context.steady + options.promiseMs)
+    /** Promises the leader of [fencingToken] not to stand against it, if it may. */
+    fun promise(fencingToken: Long): Boolean {
+        if (!knowsRecord || fencingToken < votedFencingToken) return false
+        promisedUntil = maxOf(promisedUntil, context.steady + options.followerLeaseMs)
         return true
     }
 
@@ -56,8 +56,8 @@
     val mayVote: Boolean get() = !bind && !earlierLifeMayBind
 
     /** A vote was given; our own binds us like any other. */
-    fun voted(generation: Long, stamp: Long) {
-        votedGeneration = maxOf(votedGeneration, generation)
-        votedStamp = maxOf(votedStamp, stamp)
+    fun voted(fencingToken: Long, revision: Long) {
+        votedFencingToken = maxOf(votedFencingToken, fencingToken)
+        votedRevision = maxOf(votedRevision, revision)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/ReportHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/HeartbeatHandler.kt
@@ -3,20 +3,20 @@
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.WorkerCodec
-import org.chalkhollow.wire.WorkerReport
+import org.chalkhollow.wire.WorkerHeartbeat
 
 /**
  * Answers workers' reports. An answer renews the lease of all that runs on a machine, so only an entitled leader gives
  * one; others name the leader. Called by [Controller].
  */
-class ReportHandler(
+class HeartbeatHandler(
     private val context: CoreContext,
     settings: PlatformSettings,
     private val leadership: Leadership,
     private val fleet: Fleet,
-    private val images: ImageMemory,
-    private val settlement: Settlement,
-    private val workerCommands: WorkerCommands,
+    private val images: ImageLocations,
+    private val reconciler: AttemptReconciler,
+    private val commandPlanner: CommandPlanner,
 ) {
     private val redirects = settings.peers.map { Pack.encode(WorkerCodec.redirect(it.label)) }
 
@@ -24,39 +24,39 @@
     private var nothing = ByteArray(0)
     private var nothingFor = -1L
 
-    fun onReport(call: Int, report: WorkerReport) {
-        leadership.reportTraffic.note(context.steady)
+    fun onHeartbeat(call: Int, heartbeat: WorkerHeartbeat) {
+        leadership.heartbeatTraffic.note(context.steady)
         if (!leadership.entitled()) return redirect(call)
-        val m = fleet.observe(report)
-        if (m == null || m.shunned) return context.answer(call, HttpStatus.UNAVAILABLE)
-        if (report.seq > m.beatSeq) {
+        val m = fleet.observe(heartbeat)
+        if (m == null || m.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
+        if (heartbeat.seq > m.answeredSeq) {
             // The worker's lease runs from when it sent this report, which is not after now. One that is no newer than
             // another that we answered was sent before it and renews nothing: late copies must not keep a dead machine
             // alive. The reply to a direct command does not count here, since a report sent after it may come before
             // it.
-            m.beatSeq = report.seq
+            m.answeredSeq = heartbeat.seq
             m.answeredAt = context.steady
         }
-        val newer = report.seq > m.seq
+        val newer = heartbeat.seq > m.seq
         if (newer) {
-            m.seq = report.seq
+            m.seq = heartbeat.seq
             images.recall(m)
-            settlement.reconcile(m, report, beat = true)
+            reconciler.reconcile(m, heartbeat, fromHeartbeat = true)
         }
-        val commands = workerCommands.answering(m, startsAllowed = newer)
+        val commands = commandPlanner.answering(m, startsAllowed = newer)
         if (commands.isEmpty()) return context.answer(call, HttpStatus.OK, nothing())
-        context.answer(call, HttpStatus.OK, WorkerCodec.commands(leadership.generation, commands))
+        context.answer(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
     }
 
     /** A report that was not read: it came while this controller did not lead. */
     fun onUnread(call: Int) {
-        leadership.reportTraffic.note(context.steady)
+        leadership.heartbeatTraffic.note(context.steady)
         redirect(call)
     }
 
     private fun nothing(): ByteArray {
-        if (nothingFor != leadership.generation) {
-            nothingFor = leadership.generation
+        if (nothingFor != leadership.fencingToken) {
+            nothingFor = leadership.fencingToken
             nothing = Pack.encode(WorkerCodec.commands(nothingFor, emptyList()))
         }
         return nothing
--- a/src/main/kotlin/org/chalkhollow/core/ReportTraffic.kt
+++ b/src/main/kotlin/org/chalkhollow/core/HeartbeatTraffic.kt
@@ -5,7 +5,7 @@
  * keeps their leases from being renewed by anyone: it has to make way. A worker without an answer turns to another
  * controller after about 5 s, so within [WINDOW_MS] all of them have asked somewhere.
  */
-class ReportTraffic(peers: Int) {
+class HeartbeatTraffic(peers: Int) {
     private val counts = IntArray(SLOTS)
     private val slots = LongArray(SLOTS) { -1 }
     private val elsewhere = IntArray(peers)
@@ -31,8 +31,8 @@
     }
 
     /** A peer says how many came in there. */
-    fun told(peer: Int, reports: Int, t: Long) {
-        elsewhere[peer] = reports
+    fun told(peer: Int, heartbeats: Int, t: Long) {
+        elsewhere[peer] = heartbeats
         toldAt[peer] = t
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/ImageMemory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ImageLocations.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.Row
+import org.chalkhollow.wire.KeyValue
 import java.util.TreeSet
 
 /**
@@ -11,9 +11,9 @@
  * know would send tasks to fetch again what lies ready elsewhere. It is a hint: losing it costs time, never
  * correctness.
  */
-class ImageMemory(
+class ImageLocations(
     private val context: CoreContext,
-    private val names: Names,
+    private val names: Interners,
     private val limits: StateLimits,
     private val fleet: Fleet,
 ) {
@@ -36,7 +36,7 @@
         writtenAt = context.steady
     }
 
-    fun load(row: Row) {
+    fun load(row: KeyValue) {
         row.key
             .substringAfterLast('/')
             .toIntOrNull()
@@ -53,7 +53,7 @@
 
     /** Gives [m] back what it held, also when its lease has lapsed since. */
     fun recall(m: Machine) {
-        if (m.session == 0L) return
+        if (m.epoch == 0L) return
         for (image in remembered.remove(m.name) ?: return) {
             val index = names.images.intern(image)
             m.images.add(index)
@@ -62,7 +62,7 @@
     }
 
     /** One page at a time, in turn, when it has changed: this must not take the place of what users wait for. */
-    fun next(room: StateLog.Room): Write? {
+    fun next(room: StateWriter.Room): Write? {
         if (room.ops < 1 || room.bytes < limits.valueBytes) return null
         val pages = (names.machines.size + pageSize - 1) / pageSize
         if (pages == 0 || context.steady - writtenAt < maxOf(PAGE_MS, EVERY_MS / pages)) return null
@@ -85,11 +85,11 @@
         for (id in page * pageSize until minOf((page + 1) * pageSize, names.machines.size)) {
             val m = fleet.find(names.machines.name(id)) ?: continue
             if (m.held.isEmpty() || m.state != Machine.State.UP) continue
-            val fresh = m.held.filter { it !in images }.sumOf { Sizes.of(names.images.name(it)) + 1 }
-            val bytes = Sizes.of(m.name) + ROW_BYTES + m.held.size * INDEX_BYTES + fresh
+            val fresh = m.held.filter { it !in images }.sumOf { EncodedSize.of(names.images.name(it)) + 1 }
+            val bytes = EncodedSize.of(m.name) + ROW_BYTES + m.held.size * INDEX_BYTES + fresh
             if (size + bytes > limits.valueBytes) break
             size += bytes
-            held[m.name] = listOf(m.session) + m.held.map { images.getOrPut(it) { images.size }.toLong() }
+            held[m.name] = listOf(m.epoch) + m.held.map { images.getOrPut(it) { images.size }.toLong() }
         }
         return mapOf("images" to images.keys.map(names.images::name), "held" to held)
     }
--- a/src/main/kotlin/org/chalkhollow/core/Names.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Interners.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.model.Interner
 
 /** The interners of one controller. */
-class Names {
+class Interners {
     val jobs = Interner()
     val teams = Interner()
     val types = Interner()
--- a/src/main/kotlin/org/chalkhollow/core/Io.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Io.kt
@@ -6,21 +6,21 @@
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Command
 import org.chalkhollow.wire.Condition
+import org.chalkhollow.wire.KeyValue
+import org.chalkhollow.wire.KeyValuePage
 import org.chalkhollow.wire.ListedPage
 import org.chalkhollow.wire.Malformed
-import org.chalkhollow.wire.Row
-import org.chalkhollow.wire.Rows
 import org.chalkhollow.wire.UserCodec
-import org.chalkhollow.wire.WorkerReport
+import org.chalkhollow.wire.WorkerHeartbeat
 
 /** The moment of an input: [steady] never jumps, [wall] is the time of day; both in milliseconds. */
 data class Now(val steady: Long, val wall: Long)
 
 /** What a user asks. */
-sealed interface UserAsk {
+sealed interface UserRequest {
     val jobId: String
 
-    class Submit(val spec: JobSpec, val raw: ByteArray) : UserAsk {
+    class Submit(val spec: JobSpec, val raw: ByteArray) : UserRequest {
         override val jobId get() = spec.id
     }
 
@@ -28,19 +28,19 @@
      * A submission that is malformed, but whose [jobId] can be read: it is never accepted, and is refused only once it
      * is certain that it does not repeat a job that was.
      */
-    class Unreadable(override val jobId: String, val raw: ByteArray, val why: String?) : UserAsk
+    class Invalid(override val jobId: String, val raw: ByteArray, val why: String?) : UserRequest
 
-    class Poll(override val jobId: String) : UserAsk
+    class Query(override val jobId: String) : UserRequest
 
-    class Withdraw(override val jobId: String) : UserAsk
+    class Cancel(override val jobId: String) : UserRequest
 
     companion object {
         /** What [body] asks as a submission, or null when it is malformed and names no job. */
-        fun ofSubmission(body: ByteArray): UserAsk? =
+        fun ofSubmission(body: ByteArray): UserRequest? =
             try {
                 Submit(UserCodec.job(body), body)
             } catch (e: Malformed) {
-                UserCodec.idIn(body)?.let { Unreadable(it, body, e.message) }
+                UserCodec.idIn(body)?.let { Invalid(it, body, e.message) }
             }
     }
 }
@@ -49,35 +49,35 @@
 sealed interface Input {
     data object Tick : Input
 
-    class User(val call: Int, val ask: UserAsk) : Input
+    class User(val call: Int, val ask: UserRequest) : Input
 
-    class Report(val call: Int, val report: WorkerReport) : Input
+    class Heartbeat(val call: Int, val heartbeat: WorkerHeartbeat) : Input
 
     /** A report that came while this controller did not lead, so that what it says was not read. */
-    class UnreadReport(val call: Int) : Input
+    class UnreadHeartbeat(val call: Int) : Input
 
     class State(val ticket: Int, val reply: StateReply) : Input
 
     class Cloud(val ticket: Int, val reply: CloudReply) : Input
 
-    class Direct(val ticket: Int, val reply: DirectReply) : Input
+    class WorkerReply(val ticket: Int, val reply: CommandReply) : Input
 
     class Peer(val from: Int, val message: PeerMessage) : Input
 }
 
 /** Everything that a controller can want done. */
 sealed interface Effect {
-    class Answer(val call: Int, val status: Int, val body: ByteArray?, val retryAfterS: Int = 0) : Effect
+    class Response(val call: Int, val status: Int, val body: ByteArray?, val retryAfterS: Int = 0) : Effect
 
     class State(val ticket: Int, val op: StateOp) : Effect
 
     class Cloud(val ticket: Int, val op: CloudOp) : Effect
 
-    class Direct(
+    class WorkerCommand(
         val ticket: Int,
         val address: String,
-        val token: Long,
-        val session: Long,
+        val fencingToken: Long,
+        val epoch: Long,
         val commands: List<Command>,
     ) : Effect
 
@@ -86,9 +86,9 @@
     class Timer(val at: Long) : Effect
 
     /** Something of a kind took this long; for histograms. */
-    class Sample(val kind: String, val ms: Long) : Effect
+    class Timing(val kind: String, val ms: Long) : Effect
 
-    class Note(val level: Level, val text: String) : Effect
+    class LogEvent(val level: Level, val text: String) : Effect
 
     enum class Level { ERROR, WARN, INFO, DEBUG }
 }
@@ -107,11 +107,11 @@
 
 /** Replies of the state service. */
 sealed interface StateReply {
-    data class Found(val row: Row) : StateReply
+    data class Found(val row: KeyValue) : StateReply
 
     data object Missing : StateReply
 
-    data class Page(val rows: Rows) : StateReply
+    data class Page(val rows: KeyValuePage) : StateReply
 
     data class Committed(val revision: Long) : StateReply
 
@@ -158,13 +158,13 @@
 }
 
 /** Replies to direct commands; a refusal carries a report as well. */
-sealed interface DirectReply {
-    data class Executed(val report: WorkerReport) : DirectReply
+sealed interface CommandReply {
+    data class Executed(val heartbeat: WorkerHeartbeat) : CommandReply
 
-    data class Refused(val report: WorkerReport) : DirectReply
+    data class Refused(val heartbeat: WorkerHeartbeat) : CommandReply
 
     /** The connection was refused before anything was sent. */
-    data object NotSent : DirectReply
+    data object NotSent : CommandReply
 
-    data object NoResponse : DirectReply
+    data object NoResponse : CommandReply
 }
--- a/src/main/kotlin/org/chalkhollow/core/Job.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Job.kt
@@ -19,7 +19,7 @@
     val zone: Int,
     val acceptedWall: Long,
 ) {
-    val each = spec.each
+    val taskResources = spec.taskResources
     val done = BitSet()
     var doneCount = 0
 
@@ -70,11 +70,11 @@
      * passed over.
      */
     var placedWall = acceptedWall
-    var owedCpus = 0.0
+    var creditCpus = 0.0
 
     /** When nothing of it was left waiting last. */
     var allPlacedWall = acceptedWall
-    var owedSinceWall = 0L
+    var creditSinceWall = 0L
 
     /** The one machine type that can hold its tasks although others exist, or -1; see [Placement]. */
     var onlyType = -1
@@ -98,10 +98,11 @@
     val boundToZones: Boolean get() = spec.together || spec.spread
 
     /** CPUs of a task where it is counted how many may start; those that take hardly any count for a little. */
-    val countedCpus: Double get() = maxOf(each.cpus, LEAST_COUNTED_CPUS)
+    val countedCpus: Double get() = maxOf(taskResources.cpus, MIN_COUNTED_CPUS)
 
     /** Whether a machine of this type could ever run a task of it. */
-    fun fitsType(index: Int, type: MachineType): Boolean = (types == null || index in types) && each.fitsIn(type.room)
+    fun fitsType(index: Int, type: MachineType): Boolean =
+        (types == null || index in types) && taskResources.fitsIn(type.room)
 
     /**
      * Whether some of it has waited for so long that room kept for other work is no longer kept from it. An earlier
@@ -133,7 +134,7 @@
     private companion object {
         const val AVOID_MS = 45_000L
         const val KEPT_FROM_MS = 60_000L
-        const val LEAST_COUNTED_CPUS = 0.1
+        const val MIN_COUNTED_CPUS = 0.1
     }
 }
 
@@ -149,9 +150,9 @@
     val index: Int,
     val number: Long,
     val machine: Machine,
-    val marker: Marker?,
+    val marker: DispatchMarker?,
     /** Given to a job that had been passed over: not to be taken from it again. */
-    val owed: Boolean,
+    val fromCredit: Boolean,
 ) {
     enum class Phase { MARKING, MARKED, SENT, FETCHING, RUNNING, SAVING, EXITED }
 
@@ -184,18 +185,18 @@
     fun leastLeftS(t: Long): Double {
         if (job.service) return Double.MAX_VALUE
         val ran = if (phase == Phase.RUNNING) (t - since) / MS_PER_S else 0.0
-        return (if (job.runs > 0) job.ranS / job.runs else job.spec.expectedS) * LEAST_OF_EXPECTED - ran
+        return (if (job.runs > 0) job.ranS / job.runs else job.spec.expectedS) * MIN_OF_EXPECTED - ran
     }
 
     val onMachine: Boolean get() = phase == Phase.FETCHING || phase == Phase.RUNNING || phase == Phase.SAVING
 
     private companion object {
-        const val LEAST_OF_EXPECTED = 0.8
+        const val MIN_OF_EXPECTED = 0.8
     }
 }
 
 /** A durable note that the attempts listed under [key] may have been started. */
-class Marker(val key: String, val number: Long) {
+class DispatchMarker(val key: String, val number: Long) {
     var outstanding = 0
     var durable = false
 }
--- a/src/main/kotlin/org/chalkhollow/core/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/JobOrder.kt
@@ -14,7 +14,7 @@
     private val quotas: Quotas,
     private val fleet: Fleet,
     private val objectives: ServiceLevelObjectives,
-    private val aging: Aging,
+    private val starvation: StarvationPrevention,
 ) {
     /** CPUs by machine type in this round; all under [ALL_TYPES]. */
     private val poolCpus = HashMap<Int, Double>()
@@ -41,10 +41,10 @@
         val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.notBefore <= context.steady }
         return waiting.sortedWith(
             compareBy(
-                { if (aging.goesFirst(it)) -1 else it.spec.priority.ordinal },
-                { if (aging.goesFirst(it)) 0 else standing(it).ordinal },
-                { if (aging.goesFirst(it)) aging.turn(it) else due(it) },
-                { if (aging.goesFirst(it)) it.owedSinceWall else it.acceptedWall },
+                { if (starvation.goesFirst(it)) -1 else it.spec.priority.ordinal },
+                { if (starvation.goesFirst(it)) 0 else standing(it).ordinal },
+                { if (starvation.goesFirst(it)) starvation.turn(it) else due(it) },
+                { if (starvation.goesFirst(it)) it.creditSinceWall else it.acceptedWall },
                 { it.entry.id },
             ),
         )
@@ -52,9 +52,9 @@
 
     /** Whether neither of two jobs has to go before the other. */
     fun alike(a: OpenJob, b: OpenJob): Boolean {
-        if (aging.goesFirst(a) || aging.goesFirst(b) || a.spec.priority != b.spec.priority) return false
+        if (starvation.goesFirst(a) || starvation.goesFirst(b) || a.spec.priority != b.spec.priority) return false
         if (objectives.startsCount(a) != objectives.startsCount(b)) return false
-        return standing(a) == standing(b) && (canWait(a) || standing(a) == Standing.LATE)
+        return standing(a) == standing(b) && (canWait(a) || standing(a) == Candidate.LATE)
     }
 
     fun withinGuarantee(job: OpenJob): Boolean = job in guaranteed
@@ -79,30 +79,30 @@
     private fun findGuaranteed() {
         guaranteed.clear()
         val cpus = HashMap<Int, Double>()
-        val cards = HashMap<Int, Double>()
+        val gpus = HashMap<Int, Double>()
         for (job in jobs.open.sortedBy { it.acceptedWall }) {
             if (job.cancelling || job.complete) continue
-            val c = cpus.merge(job.team, job.each.cpus * job.spec.tasks, Double::plus) ?: 0.0
-            val g = cards.merge(job.team, job.each.cards * job.spec.tasks, Double::plus) ?: 0.0
+            val c = cpus.merge(job.team, job.taskResources.cpus * job.spec.tasks, Double::plus) ?: 0.0
+            val g = gpus.merge(job.team, job.taskResources.gpus * job.spec.tasks, Double::plus) ?: 0.0
             if (quotas.guarantees(job.team, c, g)) guaranteed.add(job)
         }
     }
 
     /** Where a job stands among those of its priority. */
-    private enum class Standing { IN_TIME_TO_START, GUARANTEED, COMMON, LATE }
+    private enum class Candidate { IN_TIME_TO_START, GUARANTEED, COMMON, LATE }
 
     /**
      * Work whose start its users still wait for goes first, then what can be done in time, the teams' guarantees before
      * the rest.
      */
-    private fun standing(job: OpenJob): Standing =
+    private fun standing(job: OpenJob): Candidate =
         when {
-            objectives.startable(job, context.now.wall) -> Standing.IN_TIME_TO_START
-            freshGuarantee(job) -> Standing.IN_TIME_TO_START
-            objectives.mustStart(job, context.now.wall) -> Standing.IN_TIME_TO_START
-            hopeless(job) || job in givenUp -> Standing.LATE
-            withinGuarantee(job) -> Standing.GUARANTEED
-            else -> Standing.COMMON
+            objectives.startable(job, context.now.wall) -> Candidate.IN_TIME_TO_START
+            freshGuarantee(job) -> Candidate.IN_TIME_TO_START
+            objectives.mustStart(job, context.now.wall) -> Candidate.IN_TIME_TO_START
+            hopeless(job) || job in givenUp -> Candidate.LATE
+            withinGuarantee(job) -> Candidate.GUARANTEED
+            else -> Candidate.COMMON
         }
 
     /** Work that has to share machines: what fits one type only, by priority. */
@@ -113,7 +113,7 @@
     /**
      * When more is asked of a type than it can do in time, someone will be late; what costs most machine time gives
      * way, as long as it takes to bring the rest in on time (Moore and Hodgson's rule, by type and priority). It is put
-     * off, not for ever: see [Aging].
+     * off, not for ever: see [StarvationPrevention].
      */
     private fun findGivenUp() {
         givenUp.clear()
@@ -128,7 +128,7 @@
         val chosen = PriorityQueue<Load>(compareBy { -it.seconds })
         var sum = 0.0
         for (job in jobs.filter { due(it) != Long.MAX_VALUE && !hopeless(it) }.sortedBy { due(it) }) {
-            val seconds = (job.spec.tasks - job.doneCount) * job.each.cpus * job.spec.expectedS / cpus
+            val seconds = (job.spec.tasks - job.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
             chosen.add(Load(job, seconds))
             sum += seconds
             if (context.now.wall + maxOf(sum, job.spec.expectedS) * SURE_FACTOR * MS_PER_S <= due(job)) continue
--- a/src/main/kotlin/org/chalkhollow/core/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/JobTable.kt
@@ -7,13 +7,13 @@
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.Row
+import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.UserCodec
 import java.util.Base64
 import java.util.BitSet
 
 /** Owns the jobs: what is accepted, done and cancelled, and how that is written down. */
-class JobTable(private val context: CoreContext, private val names: Names, private val limits: StateLimits) {
+class JobTable(private val context: CoreContext, private val names: Interners, private val limits: StateLimits) {
     private val entries = ArrayList<JobEntry>()
     private val openJobs = LinkedHashSet<OpenJob>()
     private val urgent = ArrayDeque<Write>()
@@ -48,7 +48,7 @@
     }
 
     /** Whether the record of [spec] fits into one value of the state service. */
-    fun fits(spec: JobSpec): Boolean = Sizes.of(record(spec, 0)) <= limits.valueBytes
+    fun fits(spec: JobSpec): Boolean = EncodedSize.of(record(spec, 0)) <= limits.valueBytes
 
     private fun record(spec: JobSpec, wall: Long): Map<String, Any?> =
         mapOf("s" to "open", "at" to wall, "j" to UserCodec.map(spec))
@@ -87,7 +87,7 @@
     fun cancel(job: OpenJob, then: () -> Unit) {
         job.cancelling = true
         val records = cancelledRecords(job)
-        val first = records.indexOfFirst { Sizes.of(it) <= limits.valueBytes }
+        val first = records.indexOfFirst { EncodedSize.of(it) <= limits.valueBytes }
         cancel(job, if (first < 0) records.takeLast(1) else records.drop(first), then)
     }
 
@@ -145,14 +145,14 @@
     }
 
     /** Accepted and cancelled jobs come first. */
-    fun nextUrgent(room: StateLog.Room): Write? {
+    fun nextUrgent(room: StateWriter.Room): Write? {
         while (refused.isNotEmpty() && context.steady >= refused.first().first) urgent.add(refused.removeFirst().second)
         val write = urgent.firstOrNull() ?: return null
         return if (write.fits(room)) urgent.removeFirst() else null
     }
 
     /** Then completions: jobs that are over at once, others gathered for a while, since writes are few. */
-    fun nextCompletion(room: StateLog.Room, attemptsRecorded: (OpenJob, BitSet) -> Unit): Write? {
+    fun nextCompletion(room: StateWriter.Room, attemptsRecorded: (OpenJob, BitSet) -> Unit): Write? {
         if (room.ops < 1) return null
         // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
         var waiting: OpenJob? = null
@@ -183,7 +183,7 @@
     /** Called when a job is durably done. */
     var onDone: (OpenJob) -> Unit = {}
 
-    private fun page(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit, room: StateLog.Room): Write? {
+    private fun page(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit, room: StateWriter.Room): Write? {
         val page = nextPage(job)
         if (page < 0) return null
         val from = page * pageTasks
@@ -225,18 +225,18 @@
         return page
     }
 
-    fun nextTrash(room: StateLog.Room): Write? {
+    fun nextTrash(room: StateWriter.Room): Write? {
         val write = trash.firstOrNull() ?: return null
         return if (write.fits(room)) trash.removeFirst() else null
     }
 
-    private fun Write.fits(room: StateLog.Room): Boolean =
-        changes.size <= room.ops && changes.sumOf { Sizes.of(it) } <= room.bytes
+    private fun Write.fits(room: StateWriter.Room): Boolean =
+        changes.size <= room.ops && changes.sumOf { EncodedSize.of(it) } <= room.bytes
 
     private fun pageKey(job: OpenJob, from: Int): String = PROGRESS + job.spec.id + "/" + from
 
     /** Takes in a row that an earlier leader wrote. */
-    fun loadJob(row: Row) {
+    fun loadJob(row: KeyValue) {
         val f = Fields.of(row.value, row.key)
         val id = row.key.substring(JOB.length)
         when (f.text("s")) {
@@ -261,7 +261,7 @@
     }
 
     /** Takes in a page of done tasks; pages of jobs that are over are removed. */
-    fun loadPage(row: Row) {
+    fun loadPage(row: KeyValue) {
         val parts = row.key.substring(PROGRESS.length).split('/')
         val job = find(parts[0])?.open
         if (job == null) {
--- a/src/main/kotlin/org/chalkhollow/core/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Leadership.kt
@@ -12,7 +12,8 @@
  * promises: while a majority (the leader counted) has promised not to stand, the leader stays entitled although the
  * state service serves nobody, because a candidate needs the votes of a majority, and no vote is given against a
  * promise. A candidate without votes has to wait out [OperatorSettings.outageLimitMs], beyond which no leader acts on
- * promises. Its parts are [RecordWatch], [GivenPromises], [HeldPromises] and [Candidacy]; [Controller] calls it.
+ * promises. Its parts are [LeadershipRecordWatch], [GrantedFollowerLease], [FollowerLeases] and [Candidacy];
+ * [Controller] calls it.
  */
 class Leadership(
     private val context: CoreContext,
@@ -27,31 +28,31 @@
 ) {
     interface Events {
         /**
-         * To read all that leaders have written, from now on, when the leadership record has [stamp]. Every write
+         * To read all that leaders have written, from now on, when the leadership record has [revision]. Every write
          * raises the record, so if it still has that stamp when this controller takes over, what was read is all there
          * is.
          */
-        fun prepare(stamp: Long)
+        fun prepare(revision: Long)
 
-        /** Whether all was read since the record had [stamp]. */
-        fun prepared(stamp: Long): Boolean
+        /** Whether all was read since the record had [revision]. */
+        fun prepared(revision: Long): Boolean
 
         /** What was read is out of date. */
         fun unprepare()
 
         /** This controller leads; nothing was written since the record had [basis], for which it is prepared. */
-        fun onElected(generation: Long, stamp: Long, writes: Long, basis: Long)
+        fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long)
 
         fun onDeposed()
     }
 
-    enum class Role { FOLLOWER, STANDING, LEADER }
+    enum class Role { FOLLOWER, CANDIDATE, LEADER }
 
     var role = Role.FOLLOWER
         private set
 
     /** The generation that this controller leads, or the newest that it has heard of. */
-    var generation = 0L
+    var fencingToken = 0L
         private set
 
     /** Index of the peer that leads as far as known, or -1. */
@@ -60,14 +61,14 @@
     private var leaderHeardAt = NEVER
     private var leaderReady = false
     private val majority = (peers.size + 1) / 2 + 1
-    private val watch = RecordWatch(context, options, startedAt)
-    private val given = GivenPromises(context, options, begunAt)
-    private val held = HeldPromises(context, peers.size, options.promiseMs)
-    private val candidacy = Candidacy(context, peers.size, options.promiseMs)
+    private val watch = LeadershipRecordWatch(context, options, startedAt)
+    private val given = GrantedFollowerLease(context, options, begunAt)
+    private val held = FollowerLeases(context, peers.size, options.followerLeaseMs)
+    private val candidacy = Candidacy(context, peers.size, options.followerLeaseMs)
 
     /** Why this controller may take over the record that it last saw without anybody's vote, or null. */
     private var claim: String? = null
-    private var ledGeneration = 0L
+    private var ledFencingToken = 0L
     private var electedAt = NEVER
     private var renewedAt = NEVER
     private var failingSince = NEVER
@@ -83,7 +84,7 @@
     private val candidacyOffset = peers.count { it < label } * CANDIDACY_STEP_MS
 
     /** Which controllers the workers reach. */
-    val reportTraffic = ReportTraffic(peers.size)
+    val heartbeatTraffic = HeartbeatTraffic(peers.size)
 
     /** Set once the leader has rebuilt its view and takes users' requests. */
     var ready = false
@@ -93,8 +94,8 @@
     fun entitled(): Boolean {
         if (role != Role.LEADER) return false
         val t = context.steady
-        if (t < renewedAt + shrunk(options.leaderLeaseMs)) return true
-        return t < held.majorityUntil() && t < renewedAt + shrunk(options.outageLimitMs)
+        if (t < renewedAt + minusClockDrift(options.leaderLeaseMs)) return true
+        return t < held.majorityUntil() && t < renewedAt + minusClockDrift(options.outageLimitMs)
     }
 
     /** The leader to send others to, or -1 if none was heard of lately. */
@@ -111,7 +112,7 @@
         when (role) {
             Role.LEADER -> lead(t)
             Role.FOLLOWER -> follow(t)
-            Role.STANDING -> Unit
+            Role.CANDIDATE -> Unit
         }
     }
 
@@ -136,17 +137,17 @@
         val released = watch.released(record, candidacyOffset)
         val stale = watch.staleMs()
         if (!released && stale < options.leaderLeaseMs - PREPARE_AHEAD_MS) return
-        events.prepare(watch.stamp)
-        val free = released || stale >= stretched(options.leaderLeaseMs) + candidacyOffset
-        if (free && !given.bind && events.prepared(watch.stamp)) seekLead(record, stale, t)
+        events.prepare(watch.revision)
+        val free = released || stale >= plusClockDrift(options.leaderLeaseMs) + candidacyOffset
+        if (free && !given.bind && events.prepared(watch.revision)) seekLead(record, stale, t)
     }
 
-    private fun seekLead(record: LeadRecord, stale: Long, t: Long) {
-        if (stale > stretched(options.outageLimitMs) || majority == 1) {
+    private fun seekLead(record: LeadershipRecord, stale: Long, t: Long) {
+        if (stale > plusClockDrift(options.outageLimitMs) || majority == 1) {
             candidacy.useNone()
             return stand(if (majority == 1) "alone" else "record unchanged for $stale ms")
         }
-        if (!given.earlierLifeMayBind && t >= yieldsUntil) candidacy.askVotes(record, watch.stamp)
+        if (!given.earlierLifeMayBind && t >= yieldsUntil) candidacy.askVotes(record, watch.revision)
     }
 
     /**
@@ -155,8 +156,8 @@
      */
     private fun claimed(why: String) {
         claim = why
-        events.prepare(watch.stamp)
-        if (!events.prepared(watch.stamp)) return
+        events.prepare(watch.revision)
+        if (!events.prepared(watch.revision)) return
         candidacy.useNone()
         stand(why)
     }
@@ -173,7 +174,7 @@
             is StateReply.Found -> {
                 watch.served()
                 try {
-                    onRecord(LeadRecord.of(reply.row), reply.row.stamp)
+                    onRecord(LeadershipRecord.of(reply.row), reply.row.revision)
                 } catch (e: Malformed) {
                     context.warn("the leadership record is unreadable: ${e.message}")
                 }
@@ -187,13 +188,13 @@
         }
     }
 
-    private fun onRecord(record: LeadRecord, stamp: Long) {
-        if (watch.saw(record, stamp)) {
+    private fun onRecord(record: LeadershipRecord, revision: Long) {
+        if (watch.saw(record, revision)) {
             claim = null
             events.unprepare()
-            given.recordChanged(record, stamp)
+            given.recordChanged(record, revision)
         }
-        if (record.generation > generation) generation = record.generation
+        if (record.fencingToken > fencingToken) fencingToken = record.fencingToken
         // An earlier life has ended, and an earlier term of this life was given up: nobody holds that lease.
         // The generation rises all the same, since attempt numbers and tokens must not come twice.
         // A record of ours without a write is a take-over that nobody acted on: it may have been applied long after the
@@ -201,25 +202,25 @@
         if (heldByUs(record) && context.steady >= yieldsUntil) claimed("this controller led before")
     }
 
-    private fun heldByUs(record: LeadRecord): Boolean {
+    private fun heldByUs(record: LeadershipRecord): Boolean {
         if (record.owner != label) return false
-        return record.writes > 0 || record.incarnation == incarnation && record.generation == ledGeneration
+        return record.writes > 0 || record.incarnation == incarnation && record.fencingToken == ledFencingToken
     }
 
     // Standing
 
     private fun stand(why: String) {
-        val newest = maxOf(watch.record?.generation ?: 0, generation)
-        val record = LeadRecord(label, incarnation, newest + 1, 0)
-        val basis = watch.stamp
-        role = Role.STANDING
+        val newest = maxOf(watch.record?.fencingToken ?: 0, fencingToken)
+        val record = LeadershipRecord(label, incarnation, newest + 1, 0)
+        val basis = watch.revision
+        role = Role.CANDIDATE
         claim = null
         // No promise to an older generation while this may still be applied.
-        given.voted(record.generation, basis)
-        context.info("standing for generation ${record.generation}: $why")
+        given.voted(record.fencingToken, basis)
+        context.info("standing for generation ${record.fencingToken}: $why")
         val sentAt = context.steady
-        val condition = Condition(LeadRecord.KEY, basis)
-        val commit = StateOp.Commit(listOf(condition), listOf(Change(LeadRecord.KEY, record.value())))
+        val condition = Condition(LeadershipRecord.KEY, basis)
+        val commit = StateOp.Commit(listOf(condition), listOf(Change(LeadershipRecord.KEY, record.value())))
         context.state(commit) { reply ->
             role = Role.FOLLOWER
             candidacy.end()
@@ -242,18 +243,18 @@
         }
     }
 
-    private fun becomeLeader(record: LeadRecord, stamp: Long, at: Long, basis: Long) {
+    private fun becomeLeader(record: LeadershipRecord, revision: Long, at: Long, basis: Long) {
         role = Role.LEADER
-        generation = record.generation
-        ledGeneration = generation
+        fencingToken = record.fencingToken
+        ledFencingToken = fencingToken
         renewedAt = at
         electedAt = context.steady
         failingSince = NEVER
         leaderPeer = -1
         makesWaySince = NEVER
         held.start()
-        context.info("leading generation $generation")
-        events.onElected(generation, stamp, record.writes, basis)
+        context.info("leading generation $fencingToken")
+        events.onElected(fencingToken, revision, record.writes, basis)
         lead(context.steady)
     }
 
@@ -271,11 +272,11 @@
         } else {
             makesWaySince = NEVER
         }
-        if (t - electedAt > ReportTraffic.WINDOW_MS && reportTraffic.lost(t)) {
+        if (t - electedAt > HeartbeatTraffic.WINDOW_MS && heartbeatTraffic.lost(t)) {
             yieldsUntil = t + YIELD_MS
             return makeWay("workers reach other controllers but not this one")
         }
-        held.askIfDue(generation, ready)
+        held.askIfDue(fencingToken, ready)
     }
 
     /**
@@ -288,7 +289,7 @@
 
     private fun makeWay(why: String) {
         // No longer entitled from here on, so the promises given to us bind nobody any more.
-        for (p in peers.indices) context.emit(Effect.Send(p, PeerMessage.Release(generation)))
+        for (p in peers.indices) context.emit(Effect.Send(p, PeerMessage.LeadershipRelease(fencingToken)))
         depose(why)
     }
 
@@ -307,7 +308,7 @@
     /** Someone else's record stands where ours should: stop at once. */
     fun depose(why: String) {
         if (role != Role.LEADER) return
-        context.info("no longer leading generation $generation: $why")
+        context.info("no longer leading generation $fencingToken: $why")
         role = Role.FOLLOWER
         ready = false
         claim = null
@@ -319,66 +320,69 @@
 
     fun onPeer(from: Int, message: PeerMessage) {
         when (message) {
-            is PeerMessage.PromiseAsk -> onPromiseAsk(from, message)
-            is PeerMessage.Promise -> onPromise(from, message)
-            is PeerMessage.Release -> onRelease(from, message)
-            is PeerMessage.VoteAsk -> onVoteAsk(from, message)
-            is PeerMessage.Vote -> onVote(from, message)
+            is PeerMessage.FollowerLeaseRequest -> onPromiseAsk(from, message)
+            is PeerMessage.FollowerLeaseResponse -> onPromise(from, message)
+            is PeerMessage.LeadershipRelease -> onRelease(from, message)
+            is PeerMessage.VoteRequest -> onVoteAsk(from, message)
+            is PeerMessage.VoteResponse -> onVote(from, message)
             else -> Unit
         }
     }
 
-    private fun onRelease(from: Int, release: PeerMessage.Release) {
-        if (from != leaderPeer || release.generation != generation) {
+    private fun onRelease(from: Int, release: PeerMessage.LeadershipRelease) {
+        if (from != leaderPeer || release.fencingToken != fencingToken) {
             return context.dropped.count(DroppedInput.MESSAGE_LATE)
         }
         given.release()
         leaderHeardAt = NEVER
-        watch.onRelease(release.generation)
+        watch.onRelease(release.fencingToken)
     }
 
-    private fun onPromiseAsk(from: Int, ask: PeerMessage.PromiseAsk) {
-        val follows = ask.generation >= generation && role == Role.FOLLOWER
-        val granted = follows && given.promise(ask.generation)
+    private fun onPromiseAsk(from: Int, ask: PeerMessage.FollowerLeaseRequest) {
+        val follows = ask.fencingToken >= fencingToken && role == Role.FOLLOWER
+        val granted = follows && given.promise(ask.fencingToken)
         if (follows) {
-            generation = ask.generation
+            fencingToken = ask.fencingToken
             leaderPeer = from
             leaderHeardAt = context.steady
             leaderReady = ask.ready
         }
         val served = watch.servedMsAgo < servedMs
-        val reports = reportTraffic.here(context.steady)
-        val prepared = events.prepared(watch.stamp)
+        val heartbeats = heartbeatTraffic.here(context.steady)
+        val prepared = events.prepared(watch.revision)
         context.emit(
-            Effect.Send(from, PeerMessage.Promise(ask.generation, ask.seq, granted, served, reports, prepared)),
+            Effect.Send(
+                from,
+                PeerMessage.FollowerLeaseResponse(ask.fencingToken, ask.seq, granted, served, heartbeats, prepared),
+            ),
         )
     }
 
-    private fun onPromise(from: Int, promise: PeerMessage.Promise) {
-        if (role != Role.LEADER || promise.generation != generation || !held.take(from, promise)) {
+    private fun onPromise(from: Int, promise: PeerMessage.FollowerLeaseResponse) {
+        if (role != Role.LEADER || promise.fencingToken != fencingToken || !held.take(from, promise)) {
             return context.dropped.count(DroppedInput.MESSAGE_LATE)
         }
-        reportTraffic.told(from, promise.reports, context.steady)
+        heartbeatTraffic.told(from, promise.heartbeats, context.steady)
     }
 
-    private fun onVoteAsk(from: Int, ask: PeerMessage.VoteAsk) {
+    private fun onVoteAsk(from: Int, ask: PeerMessage.VoteRequest) {
         val free = given.mayVote && role != Role.LEADER
-        val granted = free && ask.generation > generation && ask.stamp >= watch.stamp
-        if (granted) given.voted(ask.generation, ask.stamp)
-        context.emit(Effect.Send(from, PeerMessage.Vote(ask.generation, ask.seq, granted)))
+        val granted = free && ask.fencingToken > fencingToken && ask.revision >= watch.revision
+        if (granted) given.voted(ask.fencingToken, ask.revision)
+        context.emit(Effect.Send(from, PeerMessage.VoteResponse(ask.fencingToken, ask.seq, granted)))
     }
 
-    private fun onVote(from: Int, vote: PeerMessage.Vote) {
-        if (!candidacy.isOurs(vote)) return context.dropped.count(DroppedInput.MESSAGE_OTHER_LIFE)
+    private fun onVote(from: Int, vote: PeerMessage.VoteResponse) {
+        if (!candidacy.isOurs(vote)) return context.dropped.count(DroppedInput.MESSAGE_OTHER_INCARNATION)
         if (!candidacy.isCurrent(vote)) candidacy.cameLate()
         if (role != Role.FOLLOWER || !candidacy.isCurrent(vote)) {
             return context.dropped.count(DroppedInput.MESSAGE_LATE)
         }
         if (!vote.granted || given.bind) return
         val record = watch.record ?: return
-        if (vote.generation != record.generation + 1) return context.dropped.count(DroppedInput.MESSAGE_LATE)
-        if (candidacy.take(from) < majority || !events.prepared(watch.stamp)) return
-        if (watch.released(record, 0) || watch.staleMs() >= stretched(options.leaderLeaseMs)) {
+        if (vote.fencingToken != record.fencingToken + 1) return context.dropped.count(DroppedInput.MESSAGE_LATE)
+        if (candidacy.take(from) < majority || !events.prepared(watch.revision)) return
+        if (watch.released(record, 0) || watch.staleMs() >= plusClockDrift(options.leaderLeaseMs)) {
             candidacy.useVotes()
             stand("elected by peers")
         }
--- a/src/main/kotlin/org/chalkhollow/core/RecordWatch.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LeadershipRecordWatch.kt
@@ -7,12 +7,12 @@
  * leader that wrote it has told that it gave up. A lease counts from when we first saw a stamp, which is after it was
  * written, so it has certainly run out when that long has passed here. Called by [Leadership].
  */
-class RecordWatch(private val context: CoreContext, private val options: OperatorSettings, startedAt: Long) {
-    var record: LeadRecord? = null
+class LeadershipRecordWatch(private val context: CoreContext, private val options: OperatorSettings, startedAt: Long) {
+    var record: LeadershipRecord? = null
         private set
 
     /** The record's stamp; 0 if there is none, negative before one was read. */
-    var stamp = -1L
+    var revision = -1L
         private set
     private var since = NEVER
     private var reading = false
@@ -22,14 +22,14 @@
     /**
      * The last generation whose leader has told us that it gave up: its lease binds nobody, however lately it wrote.
      */
-    private var releasedGeneration = 0L
+    private var releasedFencingToken = 0L
     private var releasedAt = NEVER
 
     /** Reads the record when it is due; [onReply] is told when that was asked, and the reply. */
     fun readIfDue(t: Long, onReply: (Long, StateReply) -> Unit) {
         if (reading || t < readDueAt) return
         reading = true
-        context.state(StateOp.Read(LeadRecord.KEY)) { reply ->
+        context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
             reading = false
             readDueAt = context.steady + options.leaderRenewMs
             onReply(t, reply)
@@ -49,10 +49,10 @@
     val servedMsAgo: Long get() = context.steady - servedAt
 
     /** Takes in a record as it was read; true if its stamp is new. */
-    fun saw(newRecord: LeadRecord, newStamp: Long): Boolean {
-        val changed = newStamp != stamp
+    fun saw(newRecord: LeadershipRecord, newRevision: Long): Boolean {
+        val changed = newRevision != revision
         if (changed) {
-            stamp = newStamp
+            revision = newRevision
             since = context.steady
         }
         record = newRecord
@@ -61,13 +61,13 @@
 
     fun sawNone() {
         record = null
-        stamp = 0
+        revision = 0
     }
 
     /** What was seen is out of date, and is read anew. */
     fun forget() {
         record = null
-        stamp = -1
+        revision = -1
         since = context.steady
         readDueAt = context.steady
     }
@@ -75,13 +75,13 @@
     /** How long the record has not changed. */
     fun staleMs(): Long = context.steady - since
 
-    fun onRelease(generation: Long) {
-        releasedGeneration = generation
+    fun onRelease(fencingToken: Long) {
+        releasedFencingToken = fencingToken
         releasedAt = context.steady
         readDueAt = context.steady
     }
 
     /** Whether the leader of [record] has said that it gave up, [sinceMs] ago, and the record was read since. */
-    fun released(record: LeadRecord, sinceMs: Long): Boolean =
-        record.generation == releasedGeneration && context.steady - releasedAt >= sinceMs && servedAt > releasedAt
+    fun released(record: LeadershipRecord, sinceMs: Long): Boolean =
+        record.fencingToken == releasedFencingToken && context.steady - releasedAt >= sinceMs && servedAt > releasedAt
 }
--- a/src/main/kotlin/org/chalkhollow/core/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Machine.kt
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
-import org.chalkhollow.wire.TaskReport
+import org.chalkhollow.wire.TaskStatus
 
 /** A machine as this leader knows it. */
 class Machine(val id: Int, val name: String) {
@@ -23,23 +23,23 @@
     var askedAt = NEVER
 
     /** Its reports are not answered, so that its session ends: only then is it certain what it will not do. */
-    var shunned = false
+    var quarantined = false
 
     /** Since when it reports while our answers do not reach it; [NEVER] while they do or while it says nothing. */
     var unreachableSince = NEVER
 
     /** When its rental was asked for, by our clock. */
     var bornAt = 0L
-    var session = 0L
+    var epoch = 0L
     var seq = -1L
 
     /** The newest report of this session that was answered; direct commands' replies count in [seq] only. */
-    var beatSeq = -1L
-    var token = 0L
+    var answeredSeq = -1L
+    var fencingToken = 0L
 
     /** When the last report that we answered came in; its lease ends at most this long after. */
     var answeredAt = NEVER
-    var reportedAt = NEVER
+    var heartbeatAt = NEVER
     var noticeAt = NEVER
 
     /** It was listed by the cloud, and when last. */
@@ -49,15 +49,15 @@
     val attempts = ArrayList<Attempt>()
 
     /** Tasks reported that no attempt of ours explains and that must go. */
-    var orphans: List<TaskReport> = emptyList()
+    var orphans: List<TaskStatus> = emptyList()
     val images = IntOpenHashSet()
 
     /** Images that some task here has run with; a worker keeps its cache when its lease lapses. */
     val held = IntOpenHashSet()
     var directBusy = false
 
-    /** The task list that was last reconciled; an equal one is the same instance, see `ReportReader`. */
-    var reconciled: List<TaskReport>? = null
+    /** The task list that was last reconciled; an equal one is the same instance, see `HeartbeatReader`. */
+    var reconciled: List<TaskStatus>? = null
     var idleSince = NEVER
 
     /** Jobs that failed here since a task last completed here. */
@@ -65,7 +65,7 @@
     var draining = false
 
     /** Takes no new tasks while the others have room enough, so that it can be returned; see [Fleet]. */
-    var retiring = false
+    var cordoned = false
 
     /** As the cloud lists it. */
     var failed = false
@@ -74,33 +74,33 @@
     var fullUntil = NEVER
 
     /** Reports of sessions up to this one are from before the lease lapsed, and mean nothing. */
-    var lapsedSession = -1L
+    var expiredEpoch = -1L
 
     // What the attempts that may be on it take; kept up to date, since rounds ask for it of every machine.
     private var usedCpus = 0.0
-    private var usedCards = 0.0
+    private var usedGpus = 0.0
     private var usedMemoryGb = 0.0
     private var users = 0
 
     /** An attempt of this size may be on it from now on. */
-    fun occupy(each: Resources) {
+    fun occupy(taskResources: Resources) {
         users++
-        usedCpus += each.cpus
-        usedCards += each.cards
-        usedMemoryGb += each.memoryGb
+        usedCpus += taskResources.cpus
+        usedGpus += taskResources.gpus
+        usedMemoryGb += taskResources.memoryGb
     }
 
     /** One that counted is certainly gone. */
-    fun vacate(each: Resources) {
+    fun vacate(taskResources: Resources) {
         if (--users == 0) {
             usedCpus = 0.0 // no rounding errors add up
-            usedCards = 0.0
+            usedGpus = 0.0
             usedMemoryGb = 0.0
             return
         }
-        usedCpus -= each.cpus
-        usedCards -= each.cards
-        usedMemoryGb -= each.memoryGb
+        usedCpus -= taskResources.cpus
+        usedGpus -= taskResources.gpus
+        usedMemoryGb -= taskResources.memoryGb
     }
 
     /** What is left of it for new tasks. */
@@ -111,7 +111,7 @@
         ) {
             all
         } else {
-            Resources(all.cpus - usedCpus, all.cards - usedCards, all.memoryGb - usedMemoryGb)
+            Resources(all.cpus - usedCpus, all.gpus - usedGpus, all.memoryGb - usedMemoryGb)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineReachability.kt
@@ -9,23 +9,23 @@
  * when that brings no proof either. Only placement and the return of machines rest on this, no proof about attempts
  * does.
  */
-class MachineReachability(private val context: CoreContext, reportS: Double, leaseS: Double) {
-    private val doubtMs = maxOf(UNANSWERED_GAP_MS, (reportS * DOUBT_MS_PER_S).toLong())
+class MachineReachability(private val context: CoreContext, heartbeatIntervalS: Double, leaseS: Double) {
+    private val doubtMs = maxOf(UNANSWERED_GAP_MS, (heartbeatIntervalS * DOUBT_MS_PER_S).toLong())
 
     /** A report is overdue after this long; no news from then on means more than that the next one is a little late. */
-    private val overdueMs = (reportS * OVERDUE_MS_PER_S).toLong() + LATE_MS
+    private val overdueMs = (heartbeatIntervalS * OVERDUE_MS_PER_S).toLong() + LATE_MS
     private val silentMs = maxOf((leaseS * MS_PER_S / 2).toLong(), overdueMs + DIRECT_MS + LATE_MS)
 
     /** A report that is newer than all before it has come in from [m]. */
-    fun reported(m: Machine, freshSession: Boolean, tellsToken: Boolean, atToken: Boolean) {
+    fun reported(m: Machine, newEpoch: Boolean, showsOurFencingToken: Boolean, atOurFencingToken: Boolean) {
         val t = context.steady
-        if (freshSession) {
+        if (newEpoch) {
             m.provedAt = Machine.NEVER
             m.askedAt = Machine.NEVER
         }
-        val soon = !freshSession && m.reportedAt != Machine.NEVER && t - m.reportedAt < UNANSWERED_GAP_MS
-        if (atToken && (tellsToken || soon)) m.provedAt = t
-        judge(m, atToken)
+        val soon = !newEpoch && m.heartbeatAt != Machine.NEVER && t - m.heartbeatAt < UNANSWERED_GAP_MS
+        if (atOurFencingToken && (showsOurFencingToken || soon)) m.provedAt = t
+        judge(m, atOurFencingToken)
     }
 
     /** [m] did what only one that hears us does. */
@@ -34,8 +34,8 @@
         judge(m, true)
     }
 
-    private fun judge(m: Machine, atToken: Boolean) {
-        val reachable = atToken && context.steady - m.provedAt < doubtMs + ASK_MS
+    private fun judge(m: Machine, atOurFencingToken: Boolean) {
+        val reachable = atOurFencingToken && context.steady - m.provedAt < doubtMs + ASK_MS
         if (reachable != m.reachable) context.changed()
         m.reachable = reachable
         m.unreachableSince =
@@ -57,13 +57,13 @@
     }
 
     /** Whether a report should have come from [m] by now. */
-    fun overdue(m: Machine): Boolean = m.reportedAt != Machine.NEVER && context.steady - m.reportedAt > overdueMs
+    fun overdue(m: Machine): Boolean = m.heartbeatAt != Machine.NEVER && context.steady - m.heartbeatAt > overdueMs
 
     /** Whether [m] has said nothing for long, not even when it was asked. */
     fun silent(m: Machine): Boolean {
         val t = context.steady
-        return m.reportedAt != Machine.NEVER && t - maxOf(m.reportedAt, m.provedAt) > silentMs &&
-            m.askedAt > maxOf(m.reportedAt, m.provedAt) && t - m.askedAt > DIRECT_MS
+        return m.heartbeatAt != Machine.NEVER && t - maxOf(m.heartbeatAt, m.provedAt) > silentMs &&
+            m.askedAt > maxOf(m.heartbeatAt, m.provedAt) && t - m.askedAt > DIRECT_MS
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/MachineChoice.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineSelector.kt
@@ -7,13 +7,13 @@
  * has no room. A job's tasks are alike, so each machine is given as many as it has room for. It takes the room off
  * [Machine.left]; [PlacementRound] and [Preemption] call it.
  */
-class MachineChoice(
+class MachineSelector(
     private val context: CoreContext,
     private val fleet: Fleet,
     private val options: OperatorSettings,
     private val objectives: ServiceLevelObjectives,
-    private val aging: Aging,
-    private val scarce: ScarceTypes,
+    private val starvation: StarvationPrevention,
+    private val scarce: ScarceMachineTypes,
     private val replicas: Replicas,
 ) {
     /** Whether [job] may use [m]; room aside. */
@@ -46,7 +46,7 @@
         skip: Int,
         heldOnly: Boolean,
     ): Int {
-        val zones = ZoneRule(job, fleet)
+        val zones = ZoneConstraint(job, fleet)
         if (zones.blocked) return 0
         val fits = fitting(job, machines, heldOnly)
         if (fits.isEmpty()) return 0
@@ -61,7 +61,7 @@
         for (k in 0 until ordered.size * passes) {
             if (left == 0) break
             val m = ordered[k % ordered.size]
-            var n = minOf(left, job.each.countIn(m.left), zones.roomIn(m.zone))
+            var n = minOf(left, job.taskResources.countIn(m.left), zones.roomIn(m.zone))
             if (job.service && k < ordered.size) n = minOf(n, replicas.mostOn(job) - replicas.on(m, job))
             if (n <= 0) continue
             val tasks = IntArray(n)
@@ -69,9 +69,9 @@
                 tasks[i] = next
                 next = job.ready.nextSetBit(next + 1)
             }
-            out.add(Allocation(job, m, tasks, aging.goesFirst(job)))
+            out.add(Allocation(job, m, tasks, starvation.goesFirst(job)))
             zones.take(m.zone, n)
-            m.left = m.left.without(job.each, n)
+            m.left = m.left.without(job.taskResources, n)
             if (job.image >= 0) m.images.add(job.image)
             left -= n
         }
@@ -82,7 +82,7 @@
         val urgent = objectives.startsCount(job)
         val fits = ArrayList<Machine>()
         for (m in machines) {
-            if (!job.each.fitsIn(m.left) || !allowed(job, m)) continue
+            if (!job.taskResources.fitsIn(m.left) || !allowed(job, m)) continue
             val fetches = fetches(job, m)
             if (heldOnly && fetches) continue
             m.rank = (if (scarce.wantedElsewhere(job, m.type)) WANTED_ELSEWHERE else 0) + fetchRank(fetches, urgent)
@@ -127,7 +127,14 @@
             if (part.isEmpty()) continue
             val start = context.random.nextInt(part.size)
             val n = minOf(part.size, options.sampleSize)
-            for (i in 0 until n) some.add(part[(start + i) % part.size].also { room += job.each.countIn(it.left) })
+            for (i in 0 until n) {
+                some.add(
+                    part[(start + i) % part.size].also {
+                        room +=
+                            job.taskResources.countIn(it.left)
+                    },
+                )
+            }
         }
         return if (room >= want) some else fits
     }
--- a/src/main/kotlin/org/chalkhollow/core/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/MachineTable.kt
@@ -6,7 +6,7 @@
  * Owns which machines this leader knows, and the cloud's machine types. A machine that is certainly gone is taken out
  * once and never comes back, however late a report or a list names it. [Fleet] and its parts share it.
  */
-class MachineTable(private val context: CoreContext, private val names: Names, private val leaseMs: Long) {
+class MachineTable(private val context: CoreContext, private val names: Interners, private val leaseMs: Long) {
     private val byName = LinkedHashMap<String, Machine>()
     private val gone = HashSet<String>()
 
@@ -17,7 +17,7 @@
     val types = ArrayList<MachineType?>()
 
     /** The generation in which this controller leads, and when it took over. */
-    var generation = 0L
+    var fencingToken = 0L
         private set
     var takenOverAt = 0L
         private set
@@ -25,10 +25,10 @@
     /** Told of a machine on which everything is certainly gone. */
     var onGone: (Machine) -> Unit = {}
 
-    fun start(newGeneration: Long) {
+    fun start(newFencingToken: Long) {
         byName.clear()
         gone.clear()
-        generation = newGeneration
+        fencingToken = newFencingToken
         takenOverAt = context.steady
     }
 
@@ -77,10 +77,10 @@
     private val Machine.takesTasks: Boolean
         get() = state == Machine.State.UP && reachable && !beingEmptied && noticeAt == Machine.NEVER
 
-    private val Machine.beingEmptied: Boolean get() = draining || shunned || retiring
+    private val Machine.beingEmptied: Boolean get() = draining || quarantined || cordoned
 
     private fun heardLately(m: Machine): Boolean =
-        context.steady >= m.fullUntil && context.steady - m.reportedAt < leaseMs / 2
+        context.steady >= m.fullUntil && context.steady - m.heartbeatAt < leaseMs / 2
 
     /** Whether tasks of [job] may run on machines of this kind; room and type aside. */
     fun allows(job: OpenJob, type: Int, zone: Int, spot: Boolean): Boolean {
--- a/src/main/kotlin/org/chalkhollow/core/NameRun.kt
+++ b/src/main/kotlin/org/chalkhollow/core/NumberedNames.kt
@@ -6,10 +6,10 @@
  * Names that differ in a counter at their end only, without a gap: [prefix], then the numbers from [first] to [last] in
  * [digits] digits. The cloud counts its machines, so thousands of names are a few runs.
  */
-data class NameRun(val prefix: String, val digits: Int, val first: Int, val last: Int) {
+data class NumberedNames(val prefix: String, val digits: Int, val first: Int, val last: Int) {
     val names: List<String> get() = (first..last).map { prefix + it.toString().padStart(digits, '0') }
 
-    private fun isFollowedBy(other: NameRun): Boolean =
+    private fun isFollowedBy(other: NumberedNames): Boolean =
         prefix == other.prefix && digits == other.digits && last + 1 == other.first
 
     fun value(): Map<String, Any?> =
@@ -18,15 +18,15 @@
     companion object {
         /** More names than any list has; a run that claims more is not ours. */
         private const val MOST = 1_000_000
-        private const val MOST_DIGITS = 9
+        private const val MAX_DIGITS = 9
 
-        fun of(f: Fields): NameRun? =
-            NameRun(f.text("prefix"), f.long("digits").toInt(), f.long("first").toInt(), f.long("last").toInt())
+        fun of(f: Fields): NumberedNames? =
+            NumberedNames(f.text("prefix"), f.long("digits").toInt(), f.long("first").toInt(), f.long("last").toInt())
                 .takeIf { it.last - it.first in 0 until MOST }
 
         /** The runs of [sorted] names; names without a counter are in none. */
-        fun of(sorted: List<String>): List<NameRun> {
-            val runs = ArrayList<NameRun>()
+        fun of(sorted: List<String>): List<NumberedNames> {
+            val runs = ArrayList<NumberedNames>()
             for (name in sorted) {
                 val one = single(name) ?: continue
                 val before = runs.lastOrNull()
@@ -39,10 +39,10 @@
             return runs
         }
 
-        private fun single(name: String): NameRun? {
-            val digits = name.takeLastWhile { it in '0'..'9' }.takeLast(MOST_DIGITS)
+        private fun single(name: String): NumberedNames? {
+            val digits = name.takeLastWhile { it in '0'..'9' }.takeLast(MAX_DIGITS)
             val number = digits.toIntOrNull() ?: return null
-            return NameRun(name.dropLast(digits.length), digits.length, number, number)
+            return NumberedNames(name.dropLast(digits.length), digits.length, number, number)
         }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/Strain.kt
+++ b/src/main/kotlin/org/chalkhollow/core/OverloadDetector.kt
@@ -4,7 +4,7 @@
  * Owns how short a controller is of processor time, as told by how late its ticks come. What can wait then waits
  * longer, so that renewals of the lead, workers' leases and users get what there is. Kept by [Controller].
  */
-class Strain {
+class OverloadDetector {
     /** By how much ticks have lately been late, in milliseconds: up at once, down over some ticks, bounded. */
     var lateMs = 0L
         private set
@@ -16,7 +16,7 @@
     /** A tick has come at [t]. */
     fun ticked(t: Long) {
         if (tickDueAt == NEVER) return
-        val late = (t - tickDueAt).coerceIn(0, MOST_MS)
+        val late = (t - tickDueAt).coerceIn(0, MAX_MS)
         lateMs = maxOf(late, (lateMs * (KEPT - 1) + late) / KEPT)
     }
 
@@ -27,7 +27,7 @@
 
     private companion object {
         /** A process that stood still for long is not short of processor time for as long. */
-        const val MOST_MS = 1000L
+        const val MAX_MS = 1000L
 
         /** Timers fire in steps of a few milliseconds, and a round or a collection takes some more. */
         const val HIGH_MS = 100L
--- a/src/main/kotlin/org/chalkhollow/core/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Placement.kt
@@ -5,26 +5,26 @@
 
 /**
  * Owns which ready tasks go where, round by round: [JobOrder] says which job is served first, [PlacementRound] how much
- * it is given, [MachineChoice] on which machines, and [Preemption] what gives way to those that found no room. A round
- * gives only what teams' limits and the rules on zones allow, counting every attempt that cannot be disproved. Called
- * by [Controller], which marks what a round gives before it starts any of it.
+ * it is given, [MachineSelector] on which machines, and [Preemption] what gives way to those that found no room. A
+ * round gives only what teams' limits and the rules on zones allow, counting every attempt that cannot be disproved.
+ * Called by [Controller], which marks what a round gives before it starts any of it.
  */
 class Placement(
     private val context: CoreContext,
     private val jobs: JobTable,
     private val quotas: Quotas,
-    settlement: Settlement,
+    reconciler: AttemptReconciler,
     private val fleet: Fleet,
     options: OperatorSettings,
     private val objectives: ServiceLevelObjectives,
 ) {
     private val replicas = Replicas(jobs)
-    private val aging = Aging(context, jobs, settlement, options)
-    private val scarce = ScarceTypes(context, jobs, fleet, objectives)
-    private val reserve = UrgentReserve(jobs, objectives, options)
-    private val order = JobOrder(context, jobs, quotas, fleet, objectives, aging)
-    private val choice = MachineChoice(context, fleet, options, objectives, aging, scarce, replicas)
-    private val moves = ReplicaMoves(context, fleet, quotas, replicas, choice::allowed)
+    private val starvation = StarvationPrevention(context, jobs, reconciler, options)
+    private val scarce = ScarceMachineTypes(context, jobs, fleet, objectives)
+    private val reserve = UrgentHeadroom(jobs, objectives, options)
+    private val order = JobOrder(context, jobs, quotas, fleet, objectives, starvation)
+    private val choice = MachineSelector(context, fleet, options, objectives, starvation, scarce, replicas)
+    private val moves = ReplicaMigration(context, fleet, quotas, replicas, choice::allowed)
     private val preemption = Preemption(context, quotas, fleet, objectives, order, choice)
 
     /** What the last round found no room for, most urgent first. */
@@ -47,13 +47,13 @@
         scarce.note()
         order.begin()
         reserve.noteSizes()
-        aging.begin(order.capacity)
+        starvation.begin(order.capacity)
         val waiting = order.waiting()
         val placeable = fleet.placeable()
         val room = PlacementRound.Room(withRoom(placeable, waiting), reserve.cpus()) { moves.plan(placeable) }
         val restarts = moves.start(placeable)
         val round =
-            PlacementRound(context, quotas, fleet, order, aging, choice, replicas, room)
+            PlacementRound(context, quotas, fleet, order, starvation, choice, replicas, room)
         round.take(restarts)
         serve(waiting, round)
         round.moveReplicas()
@@ -84,8 +84,8 @@
      * The machines that could take the smallest task that waits; in a full fleet they are few, and a round is short.
      */
     private fun withRoom(placeable: List<Machine>, waiting: List<OpenJob>): List<Machine> {
-        val cpus = waiting.minOfOrNull { it.each.cpus } ?: 0.0
-        val memory = waiting.minOfOrNull { it.each.memoryGb } ?: 0.0
+        val cpus = waiting.minOfOrNull { it.taskResources.cpus } ?: 0.0
+        val memory = waiting.minOfOrNull { it.taskResources.memoryGb } ?: 0.0
         val least = Resources(cpus, 0.0, memory)
         return placeable.filter { m ->
             m.left = m.room(fleet.types)
--- a/src/main/kotlin/org/chalkhollow/core/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementRound.kt
@@ -15,8 +15,8 @@
     private val quotas: Quotas,
     private val fleet: Fleet,
     private val order: JobOrder,
-    private val aging: Aging,
-    private val choice: MachineChoice,
+    private val starvation: StarvationPrevention,
+    private val choice: MachineSelector,
     private val replicas: Replicas,
     private val room: Room,
 ) {
@@ -24,7 +24,7 @@
      * The machines with room for any task that waits, CPUs that are to stay free for urgent work, and what finds room
      * for replicas that have to move.
      */
-    class Room(val machines: List<Machine>, val reserve: Double, val planMoves: () -> ReplicaMoves.Plan)
+    class Room(val machines: List<Machine>, val reserve: Double, val planMoves: () -> ReplicaMigration.Plan)
 
     val out = ArrayList<Allocation>()
     val left = ArrayList<UnplacedTasks>()
@@ -41,12 +41,12 @@
     /** CPU seconds of waiting work, this job's and what goes before it. */
     private var backlog = 0.0
     private val givenCpus = HashMap<Int, Double>() // by team
-    private val givenCards = HashMap<Int, Double>()
+    private val givenGpus = HashMap<Int, Double>()
     private val taken = HashMap<OpenJob, Int>()
 
     /** Whether room for services has been taken off what is left for other work. */
     private var kept = false
-    private var exceptions = MOST_EXCEPTIONS
+    private var exceptions = MAX_EXCEPTIONS
 
     /** Services of which a replica starts on the room held for it; the rest of them waits for the next round. */
     private val moved = HashSet<OpenJob>()
@@ -86,13 +86,13 @@
         if (placed > 0) note(job, placed)
         if (placed == ready) job.allPlacedWall = context.now.wall
         if (heldOnly || placed >= wanted) return
-        if (want > 0) backlog += (wanted - placed) * job.each.cpus * job.spec.expectedS
+        if (want > 0) backlog += (wanted - placed) * job.taskResources.cpus * job.spec.expectedS
         leaveOver(job, wanted - placed, want > 0 && order.pressing(job, backlog / maxOf(1.0, capacity)))
     }
 
     /** Before the first job that is neither a service nor owed anything, room is kept for services. */
     private fun keepRoomFrom(job: OpenJob) {
-        if (kept || job.service || aging.goesFirst(job)) return
+        if (kept || job.service || starvation.goesFirst(job)) return
         kept = true
         moveReplicas()
         free -= replicas.keepRoom(machines)
@@ -103,8 +103,8 @@
         var want = most
         // A probe, not the whole array.
         if (job.failures > 0 && job.failsAround(context.steady)) want = minOf(want, 1)
-        if (aging.goesFirst(job) && !job.gang) {
-            want = minOf(want, aging.most(job))
+        if (starvation.goesFirst(job) && !job.gang) {
+            want = minOf(want, starvation.most(job))
         } else if (order.yields(job)) {
             want = minOf(want, ((free - room.reserve) / job.countedCpus).toInt())
         }
@@ -136,8 +136,8 @@
     }
 
     private fun headroom(job: OpenJob): Int {
-        val given = Resources(givenCpus[job.team] ?: 0.0, givenCards[job.team] ?: 0.0, 0.0)
-        return quotas.headroom(job.team, job.each, given)
+        val given = Resources(givenCpus[job.team] ?: 0.0, givenGpus[job.team] ?: 0.0, 0.0)
+        return quotas.headroom(job.team, job.taskResources, given)
     }
 
     private fun leaveOver(job: OpenJob, count: Int, pressing: Boolean) {
@@ -146,18 +146,18 @@
     }
 
     /** The rule on zones as it stands with what this round has given the job. */
-    private fun zonesAfter(job: OpenJob): ZoneRule {
-        val zones = ZoneRule(job, fleet)
+    private fun zonesAfter(job: OpenJob): ZoneConstraint {
+        val zones = ZoneConstraint(job, fleet)
         for (a in out) if (a.job === job) zones.take(a.machine.zone, a.tasks.size)
         return zones
     }
 
     private fun note(job: OpenJob, placed: Int) {
-        free -= placed * job.each.cpus
+        free -= placed * job.taskResources.cpus
         taken.merge(job, placed, Int::plus)
-        aging.placed(job, placed)
-        givenCpus.merge(job.team, placed * job.each.cpus, Double::plus)
-        givenCards.merge(job.team, placed * job.each.cards, Double::plus)
+        starvation.placed(job, placed)
+        givenCpus.merge(job.team, placed * job.taskResources.cpus, Double::plus)
+        givenGpus.merge(job.team, placed * job.taskResources.gpus, Double::plus)
     }
 
     private companion object {
@@ -165,6 +165,6 @@
          * Of the jobs that wait long only the first few are offered the room kept for services: each offer costs a
          * pass.
          */
-        const val MOST_EXCEPTIONS = 5
+        const val MAX_EXCEPTIONS = 5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Preemption.kt
@@ -16,13 +16,13 @@
     private val fleet: Fleet,
     private val objectives: ServiceLevelObjectives,
     private val order: JobOrder,
-    private val choice: MachineChoice,
+    private val choice: MachineSelector,
 ) {
     /** Machines on which this round decided to stop tasks. */
     val preempted = LinkedHashSet<Machine>()
 
     /** Tasks that wait for room, and what entitles them to that of others. */
-    private class Claim(val tasks: UnplacedTasks, val urgent: Boolean, val owed: Boolean) {
+    private class Claim(val tasks: UnplacedTasks, val urgent: Boolean, val fromCredit: Boolean) {
         val job: OpenJob get() = tasks.job
     }
 
@@ -47,19 +47,19 @@
 
     private fun claimOf(u: UnplacedTasks): Claim? {
         val urgent = objectives.startable(u.job, context.now.wall) && u.job.spec.priority <= Priority.HIGH
-        val owed = order.freshGuarantee(u.job)
-        return if (u.job.gang || !urgent && !owed) null else Claim(u, urgent, owed)
+        val fromCredit = order.freshGuarantee(u.job)
+        return if (u.job.gang || !urgent && !fromCredit) null else Claim(u, urgent, fromCredit)
     }
 
     /** Work of lower priority of its own team gives way to replicas that the team's limit would keep from running. */
     fun makeRoomWithinLimit(job: OpenJob, count: Int) {
-        var need = count * job.each.cpus
+        var need = count * job.taskResources.cpus
         val victims = ArrayList<Attempt>()
         for (m in fleet.machines) {
             for (a in m.attempts) {
                 if (a.job.team != job.team) continue
                 if (a.stopping && a.onMachine) {
-                    need -= a.job.each.cpus
+                    need -= a.job.taskResources.cpus
                 } else if (yieldsTo(a, job)) {
                     victims.add(a)
                 }
@@ -69,7 +69,7 @@
         for (a in victims) {
             if (need <= Resources.EPSILON) return
             a.stopping = true
-            need -= a.job.each.cpus
+            need -= a.job.taskResources.cpus
             preempted.add(a.machine)
         }
     }
@@ -77,7 +77,7 @@
     private fun makeRoom(claim: Claim, candidates: List<Machine>) {
         val job = claim.job
         val places = candidates.filter { usable(claim, it) }
-        var need = claim.tasks.count - places.sumOf { job.each.countIn(roomAfterStops(it)) }
+        var need = claim.tasks.count - places.sumOf { job.taskResources.countIn(roomAfterStops(it)) }
         if (need <= 0) return
         val victims =
             places
@@ -110,14 +110,14 @@
      */
     private fun stopOn(m: Machine, victims: List<Attempt>, job: OpenJob, most: Int): Int {
         var room = roomAfterStops(m)
-        var fitting = job.each.countIn(room)
+        var fitting = job.taskResources.countIn(room)
         var made = 0
         val pending = ArrayList<Attempt>()
         for (v in victims) {
             if (made >= most) break
             pending.add(v)
-            room += v.job.each
-            val now = job.each.countIn(room)
+            room += v.job.taskResources
+            val now = job.taskResources.countIn(room)
             if (now == fitting) continue
             made += now - fitting
             fitting = now
@@ -131,13 +131,13 @@
     /** The room that this round leaves on [m], and what its tasks that are being stopped will leave. */
     private fun roomAfterStops(m: Machine): Resources {
         var room = m.left
-        for (a in m.attempts) if (a.stopping && a.onMachine) room += a.job.each
+        for (a in m.attempts) if (a.stopping && a.onMachine) room += a.job.taskResources
         return room
     }
 
     /** Whether little is lost by stopping [a], whatever for. */
     private fun stoppable(a: Attempt): Boolean {
-        if (!a.onMachine || a.stopping || a.owed) return false
+        if (!a.onMachine || a.stopping || a.fromCredit) return false
         if (a.job.spec.shape != Shape.ARRAY) return false
         val losesLittle = a.job.spec.checkpointS > 0 || context.steady - a.placedAt < YOUNG_MS
         return losesLittle && !order.withinGuarantee(a.job)
@@ -157,7 +157,7 @@
         if (by.service && yieldsTo(a, by)) return true
         if (!stoppable(a)) return false
         val lower = claim.urgent && a.job.spec.priority > by.spec.priority
-        return lower || claim.owed && borrows(a, by)
+        return lower || claim.fromCredit && borrows(a, by)
     }
 
     /** Whether [a] runs on what its team has beyond its guarantee, and [by] is another's and no less urgent. */
--- a/src/main/kotlin/org/chalkhollow/core/ReplicaMoves.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ReplicaMigration.kt
@@ -9,7 +9,7 @@
  * replica of a service at a time, unless its machine will be gone before that can be kept to. The held room is given to
  * the replica when its old attempt is proved gone, under the same rules as any start.
  */
-class ReplicaMoves(
+class ReplicaMigration(
     private val context: CoreContext,
     private val fleet: Fleet,
     private val quotas: Quotas,
@@ -43,7 +43,7 @@
             if (!mayStart(move, placeable, allocations)) continue // it is placed like any other task that is ready
             hold(move)
             val task = move.job.ready.nextSetBit(0)
-            allocations.add(Allocation(move.job, move.target, intArrayOf(task), owed = false))
+            allocations.add(Allocation(move.job, move.target, intArrayOf(task), fromCredit = false))
         }
         return allocations
     }
@@ -75,7 +75,7 @@
     }
 
     private fun leaves(m: Machine): Boolean =
-        m.state == Machine.State.UP && (m.noticeAt != Machine.NEVER || m.draining || m.retiring)
+        m.state == Machine.State.UP && (m.noticeAt != Machine.NEVER || m.draining || m.cordoned)
 
     private fun toBeMoved(a: Attempt): Boolean = a.job.service && wanted(a.job) && a.onMachine && !a.stopping
 
@@ -88,18 +88,24 @@
     private fun mayStart(move: Move, placeable: List<Machine>, given: List<Allocation>): Boolean {
         val job = move.job
         if (!job.placeable || job.notBefore > context.steady || move.target !in placeable) return false
-        if (!job.each.fitsIn(move.target.left) || !mayUse(job, move.target)) return false
-        val zones = ZoneRule(job, fleet)
+        if (!job.taskResources.fitsIn(move.target.left) || !mayUse(job, move.target)) return false
+        val zones = ZoneConstraint(job, fleet)
         if (zones.blocked || !zones.admits(move.target.zone)) return false
         val ofTeam = given.filter { it.job.team == job.team }
-        val extra = Resources(ofTeam.sumOf { it.job.each.cpus }, ofTeam.sumOf { it.job.each.cards }, 0.0)
-        return quotas.headroom(job.team, job.each, extra) >= 1
+        val extra =
+            Resources(ofTeam.sumOf { it.job.taskResources.cpus }, ofTeam.sumOf { it.job.taskResources.gpus }, 0.0)
+        return quotas.headroom(job.team, job.taskResources, extra) >= 1
     }
 
     private fun hold(move: Move) {
         val left = move.target.left
-        val each = move.job.each
-        move.target.left = Resources(left.cpus - each.cpus, left.cards - each.cards, left.memoryGb - each.memoryGb)
+        val taskResources = move.job.taskResources
+        move.target.left =
+            Resources(
+                left.cpus - taskResources.cpus,
+                left.gpus - taskResources.gpus,
+                left.memoryGb - taskResources.memoryGb,
+            )
         move.target.idleSince = Machine.NEVER // it is not returned for idling meanwhile
     }
 
@@ -126,8 +132,8 @@
     private fun deadline(m: Machine): Long = if (m.noticeAt == Machine.NEVER) Long.MAX_VALUE else m.noticeAt
 
     /** The rule on zones as it will stand once the moves under way are over and [attempt] is gone. */
-    private fun zonesWithout(attempt: Attempt): ZoneRule {
-        val zones = ZoneRule(attempt.job, fleet)
+    private fun zonesWithout(attempt: Attempt): ZoneConstraint {
+        val zones = ZoneConstraint(attempt.job, fleet)
         for (move in moves) {
             if (move.job !== attempt.job) continue
             if (!move.oldGone) zones.leave(move.old.machine.zone)
@@ -138,11 +144,11 @@
     }
 
     /** One that holds the image if there is any, then one that has few replicas of the service, then the fullest. */
-    private fun target(attempt: Attempt, zones: ZoneRule, placeable: List<Machine>): Machine? {
+    private fun target(attempt: Attempt, zones: ZoneConstraint, placeable: List<Machine>): Machine? {
         val job = attempt.job
         if (zones.blocked) return null
         return placeable
-            .filter { job.each.fitsIn(it.left) && mayUse(job, it) && zones.admits(it.zone) }
+            .filter { job.taskResources.fitsIn(it.left) && mayUse(job, it) && zones.admits(it.zone) }
             .minWithOrNull(
                 compareBy(
                     { if (job.image < 0 || job.image in it.images) 0 else 1 },
--- a/src/main/kotlin/org/chalkhollow/core/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Replicas.kt
@@ -10,7 +10,7 @@
  */
 class Replicas(private val jobs: JobTable) {
     /** The largest service seen of a class, and the images that its services run. */
-    private class ServiceClass(var each: Resources, var count: Int, var spotAllowed: Boolean) {
+    private class ServiceClass(var taskResources: Resources, var count: Int, var spotAllowed: Boolean) {
         val images = IntOpenHashSet()
 
         fun imagesOn(m: Machine): Int = images.count { it in m.images }
@@ -30,7 +30,7 @@
     fun giveBack() {
         for ((m, r) in kept) {
             m.left =
-                Resources(m.left.cpus + r.cpus, m.left.cards + r.cards, m.left.memoryGb + r.memoryGb)
+                Resources(m.left.cpus + r.cpus, m.left.gpus + r.gpus, m.left.memoryGb + r.memoryGb)
         }
         kept.clear()
     }
@@ -52,16 +52,23 @@
                 for (m in some.sortedWith(compareBy({ -its.imagesOn(it) }, { it.left.cpus }))) {
                     if (need == 0) break
                     if (m.spot && !its.spotAllowed) continue
-                    val n = minOf(need, its.each.countIn(m.left), MOST_KEPT)
+                    val n = minOf(need, its.taskResources.countIn(m.left), MAX_KEPT)
                     if (n <= 0) continue
                     need -= n
-                    cpus += n * its.each.cpus
-                    kept.add(m to Resources(n * its.each.cpus, n * its.each.cards, n * its.each.memoryGb))
+                    cpus += n * its.taskResources.cpus
+                    kept.add(
+                        m to
+                            Resources(
+                                n * its.taskResources.cpus,
+                                n * its.taskResources.gpus,
+                                n * its.taskResources.memoryGb,
+                            ),
+                    )
                     m.left =
                         Resources(
-                            m.left.cpus - n * its.each.cpus,
-                            m.left.cards - n * its.each.cards,
-                            m.left.memoryGb - n * its.each.memoryGb,
+                            m.left.cpus - n * its.taskResources.cpus,
+                            m.left.gpus - n * its.taskResources.gpus,
+                            m.left.memoryGb - n * its.taskResources.memoryGb,
                         )
                 }
             }
@@ -73,11 +80,13 @@
         for (job in jobs.open) {
             if (!job.service) continue
             val known = classes[job.spec.workload]
-            if (known == null && classes.size >= MOST_CLASSES) continue
-            val its = known ?: ServiceClass(job.each, 0, job.spec.spotAllowed).also { classes[job.spec.workload] = it }
-            if (job.image >= 0 && its.images.size < MOST_IMAGES) its.images.add(job.image)
+            if (known == null && classes.size >= MAX_CLASSES) continue
+            val its =
+                known
+                    ?: ServiceClass(job.taskResources, 0, job.spec.spotAllowed).also { classes[job.spec.workload] = it }
+            if (job.image >= 0 && its.images.size < MAX_IMAGES) its.images.add(job.image)
             if (its.count >= job.spec.tasks) continue
-            its.each = job.each
+            its.taskResources = job.taskResources
             its.count = job.spec.tasks
             its.spotAllowed = job.spec.spotAllowed
         }
@@ -85,8 +94,8 @@
 
     private companion object {
         const val PARTS = 4
-        const val MOST_KEPT = 4
-        const val MOST_CLASSES = 50
-        const val MOST_IMAGES = 50
+        const val MAX_KEPT = 4
+        const val MAX_CLASSES = 50
+        const val MAX_IMAGES = 50
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
@@ -16,11 +16,11 @@
 class RequestHandler(
     private val context: CoreContext,
     private val leadership: Leadership,
-    private val log: StateLog,
+    private val log: StateWriter,
     private val jobs: JobTable,
     private val quotas: Quotas,
     private val fleet: Fleet,
-    private val names: Names,
+    private val names: Interners,
 ) {
     private class Passed(val call: Int, val deadline: Long)
 
@@ -44,55 +44,55 @@
     /** Set by the controller once everything is rebuilt. */
     var open = false
 
-    fun ask(call: Int, ask: UserAsk) {
+    fun ask(call: Int, ask: UserRequest) {
         if (leadership.entitled()) {
             if (open) serve(call, ask) else later(call)
             return
         }
         val leader = leadership.reachableLeader()
-        if (leader < 0 || !leadership.leaderIsReady() || passed.size >= MOST_PASSED) return later(call)
+        if (leader < 0 || !leadership.leaderIsReady() || passed.size >= MAX_PASSED) return later(call)
         val seq = nextSeq++
         passed.put(seq, Passed(call, context.steady + PASS_MS))
         val message =
             when (ask) {
-                is UserAsk.Submit -> PeerMessage.Forward(seq, SUBMIT, ask.jobId, ask.raw)
-                is UserAsk.Unreadable -> PeerMessage.Forward(seq, SUBMIT, ask.jobId, ask.raw)
-                is UserAsk.Poll -> PeerMessage.Forward(seq, POLL, ask.jobId, NOTHING)
-                is UserAsk.Withdraw -> PeerMessage.Forward(seq, WITHDRAW, ask.jobId, NOTHING)
+                is UserRequest.Submit -> PeerMessage.ForwardedRequest(seq, SUBMIT, ask.jobId, ask.raw)
+                is UserRequest.Invalid -> PeerMessage.ForwardedRequest(seq, SUBMIT, ask.jobId, ask.raw)
+                is UserRequest.Query -> PeerMessage.ForwardedRequest(seq, POLL, ask.jobId, NOTHING)
+                is UserRequest.Cancel -> PeerMessage.ForwardedRequest(seq, WITHDRAW, ask.jobId, NOTHING)
             }
         context.emit(Effect.Send(leader, message))
     }
 
-    fun onForward(from: Int, m: PeerMessage.Forward) {
+    fun onForward(from: Int, m: PeerMessage.ForwardedRequest) {
         val call = nextRemoteCall--
         if (nextRemoteCall < LAST_REMOTE_CALL) nextRemoteCall = -1
         origins.put(call, Origin(from, m.seq))
         val ask =
             when (m.kind) {
-                SUBMIT -> UserAsk.ofSubmission(m.body) ?: return reply(call, HttpStatus.BAD_REQUEST)
-                POLL -> UserAsk.Poll(m.jobId)
-                WITHDRAW -> UserAsk.Withdraw(m.jobId)
+                SUBMIT -> UserRequest.ofSubmission(m.body) ?: return reply(call, HttpStatus.BAD_REQUEST)
+                POLL -> UserRequest.Query(m.jobId)
+                WITHDRAW -> UserRequest.Cancel(m.jobId)
                 else -> return later(call) // from a newer version: it must not be taken for anything else
             }
         if (leadership.entitled() && open) serve(call, ask) else later(call)
     }
 
-    fun onForwarded(m: PeerMessage.Forwarded) {
+    fun onForwarded(m: PeerMessage.ForwardedResponse) {
         val p = passed.remove(m.seq)
         if (p == null) {
             val asked = m.seq in firstSeq until nextSeq
-            context.dropped.count(if (asked) DroppedInput.MESSAGE_LATE else DroppedInput.MESSAGE_OTHER_LIFE)
+            context.dropped.count(if (asked) DroppedInput.MESSAGE_LATE else DroppedInput.MESSAGE_OTHER_INCARNATION)
             return
         }
-        context.emit(Effect.Answer(p.call, m.status, m.body.takeIf { it.isNotEmpty() }, m.retryAfterS))
+        context.emit(Effect.Response(p.call, m.status, m.body.takeIf { it.isNotEmpty() }, m.retryAfterS))
     }
 
-    private fun serve(call: Int, ask: UserAsk) =
+    private fun serve(call: Int, ask: UserRequest) =
         when (ask) {
-            is UserAsk.Submit -> submit(call, ask.spec)
-            is UserAsk.Unreadable -> unreadable(call, ask.jobId)
-            is UserAsk.Poll -> poll(call, ask.jobId)
-            is UserAsk.Withdraw -> withdraw(call, ask.jobId)
+            is UserRequest.Submit -> submit(call, ask.spec)
+            is UserRequest.Invalid -> unreadable(call, ask.jobId)
+            is UserRequest.Query -> poll(call, ask.jobId)
+            is UserRequest.Cancel -> withdraw(call, ask.jobId)
         }
 
     private fun submit(call: Int, spec: JobSpec) {
@@ -106,7 +106,7 @@
         if (!fleet.catalogKnown) return later(call)
         if (!canEverRun(spec)) return reply(call, HttpStatus.UNPROCESSABLE)
         if (!jobs.fits(spec)) return reply(call, HttpStatus.BAD_REQUEST)
-        if (log.stalled() || accepting.size >= MOST_ACCEPTING) return later(call)
+        if (log.stalled() || accepting.size >= MAX_ACCEPTING) return later(call)
         accepting[spec.id] = Waiting(arrayListOf(call), context.steady)
         jobs.accept(spec, refused = { accepting.remove(spec.id)?.calls?.forEach(::later) }) {
             accepting.remove(spec.id)?.calls?.forEachIndexed { i, c ->
@@ -133,10 +133,16 @@
         val team = names.teams.find(spec.team)
         if (team < 0) return false
         val atOnce = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
-        if (!quotas.possible(team, Resources(spec.each.cpus * atOnce, spec.each.cards * atOnce, 0.0))) return false
+        if (!quotas.possible(
+                team,
+                Resources(spec.taskResources.cpus * atOnce, spec.taskResources.gpus * atOnce, 0.0),
+            )
+        ) {
+            return false
+        }
         return fleet.types.filterNotNull().any { type ->
             (spec.types == null || type.name in spec.types) && (spec.zone == null || spec.zone in type.zones) &&
-                spec.each.fitsIn(type.room)
+                spec.taskResources.fitsIn(type.room)
         }
     }
 
@@ -237,7 +243,7 @@
         if (call >= 0) return context.answer(call, status, body, retryAfterS)
         val origin = origins.remove(call) ?: return
         val bytes = body?.let(org.chalkhollow.wire.Pack::encode) ?: NOTHING
-        context.emit(Effect.Send(origin.peer, PeerMessage.Forwarded(origin.seq, status, bytes, retryAfterS)))
+        context.emit(Effect.Send(origin.peer, PeerMessage.ForwardedResponse(origin.seq, status, bytes, retryAfterS)))
     }
 
     private companion object {
@@ -248,12 +254,12 @@
 
         /** Users wait 5 s for an answer. */
         const val WAIT_MS = 4000L
-        const val MOST_PASSED = 500
+        const val MAX_PASSED = 500
 
         /** Numbers of requests that are passed on begin at random: an answer to an earlier life must not count. */
         const val FIRST_SEQ_BOUND = 1L shl 61
         const val LAST_REMOTE_CALL = -1_000_000_000
-        const val MOST_ACCEPTING = 1000
+        const val MAX_ACCEPTING = 1000
         val NOTHING = ByteArray(0)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/MachineReturn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ScaleIn.kt
@@ -8,12 +8,12 @@
  * machine with tasks on it is returned only where a confirmed deletion is the sooner proof that they are gone. Called
  * by [Fleet].
  */
-class MachineReturn(
+class ScaleIn(
     private val context: CoreContext,
     private val table: MachineTable,
     private val cloud: CloudRequests,
     private val reachability: MachineReachability,
-    private val preProvisioned: PreProvisionedMachines,
+    private val staticMachines: StaticMachines,
     private val options: OperatorSettings,
     private val leaseMs: Long,
 ) {
@@ -42,7 +42,7 @@
             out.addAll(idle(t, stuck).filter { m -> unplaced.none { couldTake(m, it.job) } })
         }
         if (out.isEmpty() || !cloud.spend()) return false
-        delete(out.take(MOST_DELETED))
+        delete(out.take(MAX_DELETED))
         return true
     }
 
@@ -94,7 +94,7 @@
         val t = context.steady
         if (waits) {
             waitedAt = t
-            for (m in table.all) m.retiring = false
+            for (m in table.all) m.cordoned = false
             return
         }
         if (t - waitedAt < CALM_MS || t - retiredAt < RETIRE_EVERY_MS) return
@@ -109,7 +109,7 @@
         for ((m, room) in dear.take(maxOf(1, dear.size / RETIRED_OF))) {
             free -= room
             if (free < reserve() * RESERVES_KEPT) return
-            m.retiring = true
+            m.cordoned = true
             retiredAt = t
         }
     }
@@ -117,7 +117,7 @@
     private fun dearerThanItsLike(m: Machine): Boolean {
         val type = table.types.getOrNull(m.type) ?: return false
         // A replica never ends, so a machine that has one would never run dry.
-        return m.name !in preProvisioned.names && m.attempts.none { it.job.service } &&
+        return m.name !in staticMachines.names && m.attempts.none { it.job.service } &&
             table.priceOf(m.type, m.spot) > minOf(type.price, type.spotPrice)
     }
 
@@ -128,7 +128,7 @@
             m.state == Machine.State.BOOTING -> neverCameUp(m, t)
             unreachable(m, t) -> true
             m.draining -> !m.busy
-            m.retiring && m.state == Machine.State.UP -> m.vacant
+            m.cordoned && m.state == Machine.State.UP -> m.vacant
             m.noticeAt != Machine.NEVER -> m.vacant
             else -> false
         }
@@ -151,7 +151,7 @@
      * idle beside them while they cost less than [OperatorSettings.standbyShare] of what those do.
      */
     private fun idle(t: Long, stuck: Boolean): List<Machine> {
-        val idle = table.all.filter { idles(it) && it.name !in preProvisioned.names }
+        val idle = table.all.filter { idles(it) && it.name !in staticMachines.names }
         val long =
             idle
                 .filter {
@@ -173,7 +173,7 @@
     private fun idles(m: Machine): Boolean = m.state == Machine.State.UP && m.idleSince != Machine.NEVER && !m.draining
 
     private fun preProvisionedPrice(): Double =
-        table.all.filter { it.name in preProvisioned.names }.sumOf { table.priceOf(it.type, it.spot) }
+        table.all.filter { it.name in staticMachines.names }.sumOf { table.priceOf(it.type, it.spot) }
 
     private fun couldTake(m: Machine, job: OpenJob): Boolean {
         val type = table.types.getOrNull(m.type) ?: return false
@@ -201,7 +201,7 @@
             // Without a 200 they may or may not be gone: they stay out of use and are asked for again.
             for (m in list) {
                 m.state = Machine.State.LOST
-                m.lapsedSession = maxOf(m.session, m.lapsedSession)
+                m.expiredEpoch = maxOf(m.epoch, m.expiredEpoch)
                 m.lostAt = context.steady - LOST_MS
             }
         }
@@ -226,6 +226,6 @@
         const val RETIRE_EVERY_MS = 1500L
         const val RETIRED_OF = 15
         const val RESERVES_KEPT = 2.0
-        const val MOST_DELETED = 100
+        const val MAX_DELETED = 100
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/MachineRental.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ScaleOut.kt
@@ -13,9 +13,9 @@
  * offer that is not refused now. At most one rental is without an answer, and it is asked for again under its name
  * until the answer is known, so that the cloud carries it out at most once. Called by [Fleet].
  */
-class MachineRental(
+class ScaleOut(
     private val context: CoreContext,
-    private val names: Names,
+    private val names: Interners,
     private val table: MachineTable,
     private val cloud: CloudRequests,
     private val reachability: MachineReachability,
@@ -72,11 +72,11 @@
         val rent =
             CloudOp.Rent(
                 // The generation is in the name, and the label for good measure: no request name comes twice.
-                "$label-${table.generation}-$requests",
+                "$label-${table.fencingToken}-$requests",
                 names.types.name(offer.type),
                 names.zones.name(offer.zone),
                 offer.spot,
-                minOf(count, MOST_RENTED),
+                minOf(count, MAX_RENTED),
             )
         pending = rent
         send(rent)
@@ -102,7 +102,7 @@
                 cpus += room.room.cpus
                 rooms.add(room)
                 left -= room.take(u.job, left)
-                if (wanted.getValue(offer) >= MOST_RENTED) break
+                if (wanted.getValue(offer) >= MAX_RENTED) break
             }
         }
         return wanted
@@ -111,8 +111,8 @@
     /** The room of a machine that boots or is to be rented, while it is dealt out to the tasks that wait. */
     private class ExpectedRoom(val type: Int, val zone: Int, val spot: Boolean, var room: Resources) {
         fun take(job: OpenJob, most: Int): Int {
-            val n = minOf(most, job.each.countIn(room))
-            if (n > 0) room = room.without(job.each, n)
+            val n = minOf(most, job.taskResources.countIn(room))
+            if (n > 0) room = room.without(job.taskResources, n)
             return n
         }
     }
@@ -178,14 +178,14 @@
         zone: Int,
         inZone: Int,
     ): PricedOffer? {
-        val each = u.job.each.countIn(type.room)
-        if (each <= 0) return best
+        val taskResources = u.job.taskResources.countIn(type.room)
+        if (taskResources <= 0) return best
         var better = best
         for (spot in SPOT_FIRST) {
             val offer = Offer(index, zone, spot)
             if (!mayRent(u, offer, type)) continue
             // Ties between zones go to the one with fewer machines, so that no zone holds them all.
-            val price = table.priceOf(index, spot) / each * (1 + inZone * ZONE_TIE)
+            val price = table.priceOf(index, spot) / taskResources * (1 + inZone * ZONE_TIE)
             if (better == null || price < better.price) better = PricedOffer(offer, price)
         }
         return better
@@ -243,7 +243,7 @@
 
     /** The offer is not asked for again for a while, and for longer each time. */
     private fun refuse(offer: Offer) {
-        val wait = minOf(MOST_BACKOFF_MS, (backoff[offer] ?: FIRST_BACKOFF_MS))
+        val wait = minOf(MAX_BACKOFF_MS, (backoff[offer] ?: FIRST_BACKOFF_MS))
         refusedUntil[offer] = context.steady + wait
         backoff[offer] = wait + wait / 2
     }
@@ -251,10 +251,10 @@
     private companion object {
         val SPOT_FIRST = booleanArrayOf(true, false)
         const val ROOM_LEFT_OVER = 1.5
-        const val MOST_RENTED = 50
+        const val MAX_RENTED = 50
         const val RETRY_MS = 700L
         const val FIRST_BACKOFF_MS = 5000L
-        const val MOST_BACKOFF_MS = 20_000L
+        const val MAX_BACKOFF_MS = 20_000L
 
         /** Less than any two prices differ by. */
         const val ZONE_TIE = 1e-4
--- a/src/main/kotlin/org/chalkhollow/core/ScarceTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ScarceMachineTypes.kt
@@ -5,9 +5,9 @@
 
 /**
  * Owns which machine types alone can hold some jobs' tasks. Those are left to such jobs, since their work has nowhere
- * else to go. Called by [Placement], once a round, and read by [MachineChoice].
+ * else to go. Called by [Placement], once a round, and read by [MachineSelector].
  */
-class ScarceTypes(
+class ScarceMachineTypes(
     private val context: CoreContext,
     private val jobs: JobTable,
     private val fleet: Fleet,
@@ -32,7 +32,7 @@
         var othersAreTooSmall = false
         for ((index, type) in fleet.types.withIndex()) {
             if (type == null || (job.types != null && index !in job.types)) continue
-            if (!job.each.fitsIn(type.room)) {
+            if (!job.taskResources.fitsIn(type.room)) {
                 othersAreTooSmall = true
             } else if (only >= 0) {
                 return -1
--- a/src/main/kotlin/org/chalkhollow/core/Aging.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StarvationPrevention.kt
@@ -8,10 +8,10 @@
  * kind that was served longest ago first. All such work together has [OperatorSettings.patienceShare] of the machines.
  * Called by [Placement] and the parts of its rounds.
  */
-class Aging(
+class StarvationPrevention(
     private val context: CoreContext,
     private val jobs: JobTable,
-    private val settlement: Settlement,
+    private val reconciler: AttemptReconciler,
     private val options: OperatorSettings,
 ) {
     /** Jobs that users would compare: of one class and team, and of about one size. */
@@ -29,42 +29,42 @@
     private val kindServedWall = HashMap<Kind, Long>()
 
     /** CPUs that this round may still give to jobs that are owed something. */
-    private var owedLeft = 0.0
+    private var creditLeft = 0.0
 
     /** Finds what has waited for too long, in a fleet of [capacity] CPUs. */
     fun begin(capacity: Double) {
         val patienceMs = (options.patienceS * MS_PER_S).toLong()
         val share = options.patienceShare * capacity
         for (job in jobs.open) {
-            if (!job.placeable || job.owedCpus > 0 || context.now.wall - job.placedWall < patienceMs) continue
+            if (!job.placeable || job.creditCpus > 0 || context.now.wall - job.placedWall < patienceMs) continue
             if (context.now.wall - (kindServedWall[Kind(job)] ?: 0L) < patienceMs) continue // its like get their turn
-            job.owedCpus = share
-            job.owedSinceWall = job.placedWall + patienceMs
+            job.creditCpus = share
+            job.creditSinceWall = job.placedWall + patienceMs
         }
-        owedLeft = share - settlement.owedCpus
+        creditLeft = share - reconciler.creditCpus
     }
 
     /** Whether the job goes before all that is not owed anything. */
-    fun goesFirst(job: OpenJob): Boolean = job.owedCpus > 0 && owedLeft > 0
+    fun goesFirst(job: OpenJob): Boolean = job.creditCpus > 0 && creditLeft > 0
 
     /** The lower the sooner it is the turn of the job's kind. */
     fun turn(job: OpenJob): Long = kindPlacedWall[Kind(job)] ?: 0L
 
     /** How many tasks of a job that goes first it is owed now; at least one. */
-    fun most(job: OpenJob): Int = maxOf(1, (minOf(job.owedCpus, owedLeft) / job.countedCpus).toInt())
+    fun most(job: OpenJob): Int = maxOf(1, (minOf(job.creditCpus, creditLeft) / job.countedCpus).toInt())
 
     fun placed(job: OpenJob, count: Int) {
         val now = context.now.wall
-        val cpus = count * job.each.cpus
+        val cpus = count * job.taskResources.cpus
         val kind = Kind(job)
         if (kindPlacedWall.size > KINDS_KEPT) {
             kindPlacedWall.clear()
             kindServedWall.clear()
         }
         kindPlacedWall[kind] = now
-        if (goesFirst(job)) owedLeft -= cpus else kindServedWall[kind] = now
+        if (goesFirst(job)) creditLeft -= cpus else kindServedWall[kind] = now
         job.placedWall = now
-        job.owedCpus = maxOf(0.0, job.owedCpus - cpus)
+        job.creditCpus = maxOf(0.0, job.creditCpus - cpus)
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/StateLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StateWriter.kt
@@ -19,7 +19,7 @@
  * service refuses for its size, or again and again for its rate, is taken apart, down to one write each, so that no
  * write can hold up the others.
  */
-class StateLog(
+class StateWriter(
     private val context: CoreContext,
     private val limits: StateLimits,
     private val options: OperatorSettings,
@@ -34,9 +34,9 @@
     class Room(var ops: Int, var bytes: Int)
 
     private val sources = ArrayList<Source>()
-    private val stamps = Object2LongOpenHashMap<String>()
-    private var record = LeadRecord("", 0, 0, 0)
-    private var recordStamp = 0L
+    private val revisions = Object2LongOpenHashMap<String>()
+    private var record = LeadershipRecord("", 0, 0, 0)
+    private var recordRevision = 0L
     private var term = 0
     private var active = false
     private var batch: Batch? = null
@@ -66,10 +66,10 @@
         sources.add(source)
     }
 
-    fun start(lead: LeadRecord, stamp: Long) {
+    fun start(lead: LeadershipRecord, revision: Long) {
         stop()
         record = lead
-        recordStamp = stamp
+        recordRevision = revision
         active = true
         tokens = budget() / 2 // the one before us may have spent from this second's budget
         refilledAt = context.steady
@@ -83,20 +83,20 @@
         parts.clear()
         retryPartsAt = 0
         learnedOps = Int.MAX_VALUE
-        stamps.clear()
+        revisions.clear()
         failingSince = -1
         lastTookMs = 0
         retryAt = 0
     }
 
     /** Notes the stamp of a key that was read. */
-    fun seen(key: String, stamp: Long) {
-        stamps.put(key, stamp)
+    fun seen(key: String, revision: Long) {
+        revisions.put(key, revision)
     }
 
     /** Drops the stamp of a key that will never be written again. */
     fun retire(key: String) {
-        stamps.removeLong(key)
+        revisions.removeLong(key)
     }
 
     /** Whether writes have failed for long enough that new requests should be turned away at once. */
@@ -152,7 +152,7 @@
                 val write = source.next(room) ?: break
                 writes.add(write)
                 room.ops -= write.changes.size
-                room.bytes -= write.changes.sumOf { Sizes.of(it) }
+                room.bytes -= write.changes.sumOf { EncodedSize.of(it) }
             }
         }
         return writes
@@ -166,11 +166,11 @@
         record = record.copy(writes = record.writes + 1)
         val conditions = ArrayList<Condition>()
         val changes = ArrayList<Change>()
-        conditions.add(Condition(LeadRecord.KEY, recordStamp))
-        changes.add(Change(LeadRecord.KEY, record.value()))
+        conditions.add(Condition(LeadershipRecord.KEY, recordRevision))
+        changes.add(Change(LeadershipRecord.KEY, record.value()))
         for (write in writes) {
             for (change in write.changes) {
-                conditions.add(Condition(change.key, stamps.getLong(change.key)))
+                conditions.add(Condition(change.key, revisions.getLong(change.key)))
                 changes.add(change)
             }
         }
@@ -223,7 +223,7 @@
                     .take(KEYS_NAMED)
                     .joinToString { it.key }
             context.emit(
-                Effect.Note(
+                Effect.LogEvent(
                     Effect.Level.ERROR,
                     "the state service refuses a transaction of ${b.op.changes.size} changes ($keys): $why",
                 ),
@@ -272,18 +272,18 @@
      */
     private fun lookAtRecord(b: Batch, unchanged: (() -> Unit)? = null) {
         val inTerm = term
-        context.state(StateOp.Read(LeadRecord.KEY)) { reply ->
+        context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
             if (term != inTerm) return@state context.dropped.count(DroppedInput.REPLY_LATE)
             when (reply) {
                 is StateReply.Found -> {
-                    val stands = LeadRecord.of(reply.row)
+                    val stands = LeadershipRecord.of(reply.row)
                     if (stands == record) {
-                        committed(b, reply.row.stamp, b.firstSentAt)
-                    } else if (unchanged != null && reply.row.stamp == recordStamp) {
+                        committed(b, reply.row.revision, b.firstSentAt)
+                    } else if (unchanged != null && reply.row.revision == recordRevision) {
                         b.uncertain = false
                         unchanged()
                     } else {
-                        leadership.depose("generation ${stands.generation} of ${stands.owner} stands")
+                        leadership.depose("generation ${stands.fencingToken} of ${stands.owner} stands")
                     }
                 }
                 StateReply.Missing -> leadership.depose("the leadership record is gone")
@@ -301,9 +301,9 @@
         retryAt = 0
         failingSince = -1
         if (learnedOps < limits.txnOps) learnedOps++
-        recordStamp = revision
+        recordRevision = revision
         for (change in b.op.changes) {
-            if (change.value == null) stamps.removeLong(change.key) else stamps.put(change.key, revision)
+            if (change.value == null) revisions.removeLong(change.key) else revisions.put(change.key, revision)
         }
         leadership.renewed(sentAt)
         for (write in b.writes) write.onDurable()
--- a/src/main/kotlin/org/chalkhollow/core/PreProvisionedMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StaticMachines.kt
@@ -3,13 +3,13 @@
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.Row
+import org.chalkhollow.wire.KeyValue
 
 /**
  * Owns which machines were there before the first leader rented any: they are the operator's own and are kept, with the
  * images they hold, however long they idle. The names are written down once, by the first generation.
  */
-class PreProvisionedMachines(private val context: CoreContext, private val limits: StateLimits) {
+class StaticMachines(private val context: CoreContext, private val limits: StateLimits) {
     var names: Set<String> = emptySet()
         private set
     private var recorded = false
@@ -19,17 +19,17 @@
         private set
     private var due: Write? = null
 
-    fun start(generation: Long) {
+    fun start(fencingToken: Long) {
         names = emptySet()
         recorded = false
         due = null
-        first = generation == 1L
+        first = fencingToken == 1L
     }
 
-    fun load(row: Row) {
+    fun load(row: KeyValue) {
         recorded = true
         val fields = Fields.of(row.value, row.key)
-        val runs = if (fields.has(RUNS)) fields.maps(RUNS).mapNotNull(NameRun::of) else emptyList()
+        val runs = if (fields.has(RUNS)) fields.maps(RUNS).mapNotNull(NumberedNames::of) else emptyList()
         names = HashSet(fields.texts("names") + runs.flatMap { it.names })
     }
 
@@ -55,18 +55,18 @@
                 left -= bytes(name)
                 left > 0
             }
-        val runs = NameRun.of(sorted.drop(kept.size)).map { it.value() }
+        val runs = NumberedNames.of(sorted.drop(kept.size)).map { it.value() }
         var leftForRuns = room / RUNS_PART
         return write(
             kept,
             runs.takeWhile { run ->
-                leftForRuns -= Sizes.of(run) + 1
+                leftForRuns -= EncodedSize.of(run) + 1
                 leftForRuns > 0
             },
         )
     }
 
-    private fun bytes(name: String): Int = Sizes.of(name) + 1
+    private fun bytes(name: String): Int = EncodedSize.of(name) + 1
 
     /** What is refused although it should fit is halved; names that are not written count as rented. */
     private fun write(kept: List<String>, runs: List<Map<String, Any?>>): Write {
@@ -79,7 +79,7 @@
     /** Whether renting may begin: what is listed later might be ours. */
     val known: Boolean get() = recorded || !first
 
-    fun next(room: StateLog.Room): Write? {
+    fun next(room: StateWriter.Room): Write? {
         val write = due ?: return null
         if (room.ops < 1 || room.bytes < limits.valueBytes) return null
         due = null
--- a/src/main/kotlin/org/chalkhollow/core/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StatusReport.kt
@@ -14,9 +14,9 @@
     private val quotas: Quotas,
     private val fleet: Fleet,
     private val placement: Placement,
-    private val names: Names,
-    private val log: StateLog,
-    private val versions: Versions,
+    private val names: Interners,
+    private val log: StateWriter,
+    private val versions: ControllerVersions,
 ) {
     fun status(ready: Boolean): StatusView {
         val leads = leadership.entitled()
@@ -27,7 +27,7 @@
                 label,
                 leads,
                 leader,
-                leadership.generation,
+                leadership.fencingToken,
                 ready && leads,
                 controllers = controllers,
                 allNew = versions.allNew,
@@ -37,7 +37,7 @@
             label,
             true,
             leader,
-            leadership.generation,
+            leadership.fencingToken,
             true,
             jobs.size,
             jobs.open.size,
@@ -64,7 +64,7 @@
             .map { (name, some) -> service(name, some) }
 
     private fun service(name: String, some: List<OpenJob>): ServiceView {
-        val lacking = some.filter { it.running < it.spec.tasks }.sortedBy { it.acceptedWall }.take(MOST_EXPLAINED)
+        val lacking = some.filter { it.running < it.spec.tasks }.sortedBy { it.acceptedWall }.take(MAX_EXPLAINED)
         val down = lacking.map { "${it.spec.id}: ${whyDown(it)}" }
         return ServiceView(name, some.size, some.sumOf { it.spec.tasks }, some.sumOf { it.running }, down)
     }
@@ -105,7 +105,7 @@
             m.state != Machine.State.UP -> m.state.name.lowercase()
             !m.reachable -> "deaf"
             m.noticeAt != Machine.NEVER -> "noticed"
-            m.draining || m.retiring -> "draining"
+            m.draining || m.cordoned -> "draining"
             m.vacant -> "idle"
             else -> "busy"
         }
@@ -129,18 +129,18 @@
         if (job.cancelling) out.add("it is being cancelled")
         val pauseMs = job.notBefore - context.steady
         if (pauseMs > 0) out.add("its tasks fail; tried again in ${pauseMs / MS_IN_S} s")
-        if (quotas.headroom(job.team, job.each, Machine.NOTHING) <= 0) out.add("its team is at its limit")
+        if (quotas.headroom(job.team, job.taskResources, Machine.NOTHING) <= 0) out.add("its team is at its limit")
         val fits = fleet.placeable().filter { placement.mayUse(job, it) }
         if (fits.isEmpty()) {
             out.add("no machine that it may use is up")
-        } else if (fits.none { job.each.fitsIn(it.room(fleet.types)) }) {
+        } else if (fits.none { job.taskResources.fitsIn(it.room(fleet.types)) }) {
             out.add("the ${fits.size} machines that it may use have no room for a task")
         }
         return out.ifEmpty { listOf("other work goes first") }
     }
 
     private companion object {
-        const val MOST_EXPLAINED = 3
+        const val MAX_EXPLAINED = 3
         const val MS_IN_S = 1000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/StatusView.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StatusView.kt
@@ -1,5 +1,6 @@
 package org.chalkhollow.core
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /** What an operator is told of one controller; only the leader knows of jobs, machines and teams. */
@@ -8,7 +9,7 @@
     val label: String,
     val leads: Boolean,
     val leader: String?,
-    val generation: Long,
+    @SerialName("generation") val fencingToken: Long,
     val ready: Boolean,
     val jobsKnown: Int = 0,
     val jobsOpen: Int = 0,
--- a/src/main/kotlin/org/chalkhollow/core/Units.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Units.kt
@@ -15,10 +15,10 @@
 private const val ROUNDING_MS = 10
 
 /** What is certainly not over on another controller's clock when [ms] have passed on its own. */
-internal fun shrunk(ms: Long): Long = ms - ms / DRIFT_OF - ROUNDING_MS
+internal fun minusClockDrift(ms: Long): Long = ms - ms / DRIFT_OF - ROUNDING_MS
 
 /** After how long by our clock [ms] have certainly passed on another controller's. */
-internal fun stretched(ms: Long): Long = ms + ms / DRIFT_OF + ROUNDING_MS
+internal fun plusClockDrift(ms: Long): Long = ms + ms / DRIFT_OF + ROUNDING_MS
 
 /** How long a worker may run without an answer to its reports. */
 internal val PlatformSettings.leaseMs: Long get() = (leaseS * MS_PER_S).toLong()
--- a/src/main/kotlin/org/chalkhollow/core/UrgentReserve.kt
+++ b/src/main/kotlin/org/chalkhollow/core/UrgentHeadroom.kt
@@ -5,9 +5,9 @@
 /**
  * Owns how much room work that can wait leaves free for urgent work to come: as much as jobs of urgent classes mostly
  * take, by the last ones seen. Room for services is kept by machine, see [Replicas]. Called by [Placement], once a
- * round, and read by [MachineReturn].
+ * round, and read by [ScaleIn].
  */
-class UrgentReserve(
+class UrgentHeadroom(
     private val jobs: JobTable,
     private val objectives: ServiceLevelObjectives,
     private val options: OperatorSettings,
@@ -22,7 +22,7 @@
             if (job.entry.id <= newestSeen || !objectives.startsCount(job)) continue
             newest = maxOf(newest, job.entry.id)
             if (job.service) continue
-            sizes.addLast(job.each.cpus * job.spec.tasks)
+            sizes.addLast(job.taskResources.cpus * job.spec.tasks)
             if (sizes.size > SIZES_KEPT) sizes.removeFirst()
         }
         newestSeen = newest
--- a/src/main/kotlin/org/chalkhollow/core/DirectCommands.kt
+++ b/src/main/kotlin/org/chalkhollow/core/WorkerCommandSender.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Command
-import org.chalkhollow.wire.WorkerReport
+import org.chalkhollow.wire.WorkerHeartbeat
 
 /**
  * Owns the commands that go straight to workers, beside the answers to their reports: starts as soon as their marker is
@@ -10,18 +10,18 @@
  * token holds, so its attempt stays in doubt until it is reported, its session ends, or the generation is raised.
  * Called by [Controller].
  */
-class DirectCommands(
+class WorkerCommandSender(
     private val context: CoreContext,
     settings: PlatformSettings,
     private val leadership: Leadership,
-    private val log: StateLog,
+    private val log: StateWriter,
     private val dispatch: DispatchLog,
     private val fleet: Fleet,
-    private val settlement: Settlement,
-    private val workerCommands: WorkerCommands,
+    private val reconciler: AttemptReconciler,
+    private val commandPlanner: CommandPlanner,
 ) {
-    private val freshMs = (settings.reportS * FRESH_REPORTS * MS_PER_S).toLong()
-    private var generationRaisedAt = context.steady
+    private val freshMs = (settings.heartbeatIntervalS * FRESH_REPORTS * MS_PER_S).toLong()
+    private var fencingTokenAdvancedAt = context.steady
 
     /** Replies to what was sent in an earlier term mean nothing any more. */
     private var term = 0
@@ -37,7 +37,7 @@
      */
     fun send(m: Machine) {
         if (!leadership.entitled() || !reachableNow(m)) return
-        val starts = if (context.strain.high) emptyList() else m.attempts.filter(::mayStart)
+        val starts = if (context.overload.high) emptyList() else m.attempts.filter(::mayStart)
         val stops = m.attempts.filter { (it.stopping || it.job.cancelled) && it.onMachine && it.stopSentAt == 0L }
         if (starts.isEmpty() && stops.isEmpty()) return
         for (a in stops) a.stopSentAt = context.steady // once; answers to reports repeat it
@@ -48,67 +48,67 @@
         }
         m.directBusy = true
         m.askedAt = context.steady
-        val session = m.session
-        val commands = stops.map(workerCommands::stop) + starts.map(workerCommands::start)
-        call(m, commands) { reply -> onReply(m, session, starts, reply) }
+        val epoch = m.epoch
+        val commands = stops.map(commandPlanner::stop) + starts.map(commandPlanner::start)
+        call(m, commands) { reply -> onReply(m, epoch, starts, reply) }
     }
 
     private fun mayStart(a: Attempt): Boolean = a.phase == Attempt.Phase.MARKED && !a.job.cancelling && !a.job.cancelled
 
     private fun reachableNow(m: Machine): Boolean {
-        if (m.directBusy || m.address.isEmpty() || m.session == 0L) return false
-        return m.reachable && context.steady - m.reportedAt <= freshMs
+        if (m.directBusy || m.address.isEmpty() || m.epoch == 0L) return false
+        return m.reachable && context.steady - m.heartbeatAt <= freshMs
     }
 
     /** What is cancelled is stopped at once where few machines have it, else with the answers to their next reports. */
     fun stopAll(job: OpenJob) {
         val machines = fleet.machines.filter { m -> m.attempts.any { it.job === job && it.onMachine } }
-        machines.take(MOST_ASKED).forEach(::send)
+        machines.take(MAX_ASKED).forEach(::send)
     }
 
     /** A direct command without orders: its answer shows that the machine hears us. */
     fun askDoubtful() {
-        var left = MOST_ASKED
+        var left = MAX_ASKED
         for (m in fleet.machines) {
             if (left == 0) return
             if (m.address.isEmpty() || !fleet.toBeAsked(m)) continue
             left--
-            val session = m.session
+            val epoch = m.epoch
             call(m, emptyList()) { reply ->
-                if (m.session == session && reply is DirectReply.Executed) fleet.reached(m)
+                if (m.epoch == epoch && reply is CommandReply.Executed) fleet.reached(m)
             }
         }
     }
 
-    private fun call(m: Machine, commands: List<Command>, then: (DirectReply) -> Unit) {
+    private fun call(m: Machine, commands: List<Command>, then: (CommandReply) -> Unit) {
         val inTerm = term
-        val session = m.session
-        context.direct({ Effect.Direct(it, m.address, leadership.generation, session, commands) }) { reply ->
+        val epoch = m.epoch
+        context.direct({ Effect.WorkerCommand(it, m.address, leadership.fencingToken, epoch, commands) }) { reply ->
             if (term == inTerm) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
 
-    private fun onReply(m: Machine, session: Long, starts: List<Attempt>, reply: DirectReply) {
+    private fun onReply(m: Machine, epoch: Long, starts: List<Attempt>, reply: CommandReply) {
         m.directBusy = false
-        if (reply is DirectReply.NoResponse) return // it may still be executed: see [raiseGenerationIfNeeded]
+        if (reply is CommandReply.NoResponse) return // it may still be executed: see [advanceFencingTokenIfNeeded]
         for (a in starts) a.directPending = false
-        if (reply is DirectReply.Executed) {
-            onExecuted(m, session, reply.report)
+        if (reply is CommandReply.Executed) {
+            onExecuted(m, epoch, reply.heartbeat)
         } else {
             for (a in starts) if (a.phase == Attempt.Phase.SENT && !a.settled) a.phase = Attempt.Phase.MARKED
         }
     }
 
-    private fun onExecuted(m: Machine, session: Long, report: WorkerReport) {
-        val sameSession = report.session == session && m.session == session
+    private fun onExecuted(m: Machine, epoch: Long, heartbeat: WorkerHeartbeat) {
+        val sameSession = heartbeat.epoch == epoch && m.epoch == epoch
         if (sameSession) fleet.reached(m)
-        if (!sameSession || report.machine != m.name) {
-            context.dropped.count(DroppedInput.REPORT_OTHER_LIFE)
-        } else if (report.seq <= m.seq) {
-            context.dropped.count(DroppedInput.REPORT_LATE)
+        if (!sameSession || heartbeat.machine != m.name) {
+            context.dropped.count(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
+        } else if (heartbeat.seq <= m.seq) {
+            context.dropped.count(DroppedInput.HEARTBEAT_LATE)
         } else {
-            m.seq = report.seq
-            settlement.reconcile(m, report, beat = false)
+            m.seq = heartbeat.seq
+            reconciler.reconcile(m, heartbeat, fromHeartbeat = false)
         }
         if (m.attempts.any { it.phase == Attempt.Phase.MARKED }) send(m)
     }
@@ -117,17 +117,16 @@
      * A direct start without an answer may be executed as long as our token holds. When something waits for its fate,
      * the generation is raised: no worker that has seen the new token obeys the old one.
      */
-    fun raiseGenerationIfNeeded() {
+    fun advanceFencingTokenIfNeeded() {
         val t = context.steady
         if (dispatch.exhausted) return leadership.depose("attempt numbers are used up")
-        if (log.slow() || t - generationRaisedAt < RAISE_MS) return shunStuck(t)
+        if (log.slow() || t - fencingTokenAdvancedAt < RAISE_MS) return quarantineStuck(t)
         if (fleet.machines.none { stuck(it, t) || keepsTooMany(it) }) return
-        generationRaisedAt = t
+        fencingTokenAdvancedAt = t
         leadership.depose("raising the generation to settle direct starts without an answer")
     }
 
-    private fun keepsTooMany(m: Machine): Boolean =
-        m.attempts.size > MOST_KEPT && m.attempts.count(::isOver) > MOST_KEPT
+    private fun keepsTooMany(m: Machine): Boolean = m.attempts.size > MAX_KEPT && m.attempts.count(::isOver) > MAX_KEPT
 
     private fun isOver(a: Attempt): Boolean = a.phase == Attempt.Phase.EXITED && a.forgettable
 
@@ -144,12 +143,12 @@
      * its lease; an earlier version did. Nor is one raised again and again. A cancelled task's start that may still be
      * carried out ends with the session of its machine alone, so that one is answered no more.
      */
-    private fun shunStuck(t: Long) {
+    private fun quarantineStuck(t: Long) {
         for (m in fleet.machines) {
-            if (m.shunned || m.state != Machine.State.UP) continue
+            if (m.quarantined || m.state != Machine.State.UP) continue
             if (m.attempts.none { inDoubtForLong(it, t) && mayYetBegin(it) }) continue
             context.info("${m.name} may yet begin what was cancelled, and is left to its lease")
-            m.shunned = true
+            m.quarantined = true
         }
     }
 
@@ -161,9 +160,9 @@
         const val FRESH_REPORTS = 2
 
         /** More tasks that are over than this are not kept in a machine's reports for want of a newer token. */
-        const val MOST_KEPT = 200
+        const val MAX_KEPT = 200
 
         /** Each takes a connection; those that are left out are asked the next time. */
-        const val MOST_ASKED = 20
+        const val MAX_ASKED = 20
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/ZoneRule.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ZoneConstraint.kt
@@ -2,10 +2,10 @@
 
 /**
  * The rule on zones of one job, `together` or `spread`, counted against every attempt that may be on a machine,
- * wherever it may be: an attempt that cannot be disproved counts as there. Made by [PlacementRound] and [MachineChoice]
- * for each pass over a job.
+ * wherever it may be: an attempt that cannot be disproved counts as there. Made by [PlacementRound] and
+ * [MachineSelector] for each pass over a job.
  */
-class ZoneRule(private val job: OpenJob, fleet: Fleet) {
+class ZoneConstraint(private val job: OpenJob, fleet: Fleet) {
     private val perZone = HashMap<Int, Int>()
     private var unknown = 0
     private var only = -1
@@ -34,7 +34,7 @@
     fun chooseZone(machines: List<Machine>) {
         if (only >= 0) return
         val room = HashMap<Int, Int>()
-        for (m in machines) room.merge(m.zone, job.each.countIn(m.left), Int::plus)
+        for (m in machines) room.merge(m.zone, job.taskResources.countIn(m.left), Int::plus)
         only = room.entries.maxByOrNull { it.value }?.key ?: -1
     }
 
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -4,24 +4,24 @@
 enum class Priority { PRODUCTION, HIGH, STANDARD, BEST_EFFORT }
 
 /** What one task takes of its machine. */
-data class Resources(val cpus: Double, val cards: Double, val memoryGb: Double) {
+data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
     fun fitsIn(room: Resources): Boolean =
-        cpus <= room.cpus + EPSILON && cards <= room.cards + EPSILON && memoryGb <= room.memoryGb + EPSILON
+        cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON
 
     /** How many tasks of this size fit into [room]. */
     fun countIn(room: Resources): Int {
         var n = Int.MAX_VALUE.toDouble()
         if (cpus > 0) n = minOf(n, (room.cpus + EPSILON) / cpus)
-        if (cards > 0) n = minOf(n, (room.cards + EPSILON) / cards)
+        if (gpus > 0) n = minOf(n, (room.gpus + EPSILON) / gpus)
         if (memoryGb > 0) n = minOf(n, (room.memoryGb + EPSILON) / memoryGb)
         return maxOf(0, n.toInt())
     }
 
-    operator fun plus(other: Resources) = Resources(cpus + other.cpus, cards + other.cards, memoryGb + other.memoryGb)
+    operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
-    /** What is left of this room beside [n] tasks of size [each]. */
-    fun without(each: Resources, n: Int) =
-        Resources(cpus - n * each.cpus, cards - n * each.cards, memoryGb - n * each.memoryGb)
+    /** What is left of this room beside [n] tasks of size [taskResources]. */
+    fun without(taskResources: Resources, n: Int) =
+        Resources(cpus - n * taskResources.cpus, gpus - n * taskResources.gpus, memoryGb - n * taskResources.memoryGb)
 
     companion object {
         const val EPSILON = 1e-6
@@ -39,7 +39,7 @@
     val shape: Shape,
     val priority: Priority,
     val tasks: Int,
-    val each: Resources,
+    val taskResources: Resources,
     val image: String?,
     val imageGb: Double,
     val types: List<String>?,
@@ -57,7 +57,7 @@
 enum class JobState { OPEN, DONE, CANCELLED }
 
 /** A team's guarantee and its limit. */
-data class Team(val name: String, val cpus: Double, val cpusMax: Double, val cards: Double, val cardsMax: Double)
+data class Team(val name: String, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double)
 
 /** A machine type of the cloud's catalog. */
 data class MachineType(
--- a/src/main/kotlin/org/chalkhollow/runtime/ClientHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ClientHandler.kt
@@ -8,9 +8,9 @@
 import org.chalkhollow.core.JobView
 import org.chalkhollow.core.Now
 import org.chalkhollow.core.StatusView
-import org.chalkhollow.core.UserAsk
+import org.chalkhollow.core.UserRequest
+import org.chalkhollow.wire.HeartbeatReader
 import org.chalkhollow.wire.Malformed
-import org.chalkhollow.wire.ReportReader
 import org.slf4j.Logger
 
 /** What the [ClientHandler]s of all connections share. */
@@ -27,7 +27,7 @@
 
 /** Turns the requests of a user, a worker or an operator on one connection into inputs of the controller. */
 internal class ClientHandler(private val context: ClientContext) : HttpHandler {
-    private val reports = ReportReader()
+    private val heartbeats = HeartbeatReader()
 
     override fun priorityOf(head: RequestHead): Priority =
         if (head.path == REPORT_PATH) Priority.WORKER else Priority.USER
@@ -58,7 +58,7 @@
     private fun route(request: HttpMessage<RequestHead>, path: String, responder: HttpResponder) {
         val method = request.head.method
         when {
-            path == REPORT_PATH -> only(POST, method, responder) { report(request.body, responder) }
+            path == REPORT_PATH -> only(POST, method, responder) { heartbeat(request.body, responder) }
             path == "/up" -> only(GET, method, responder) { responder.answer(up()) }
             path == "/work" -> only(POST, method, responder) { submit(request.body, responder) }
             path.startsWith(JOB_PREFIX) -> job(method, path.substring(JOB_PREFIX.length), responder)
@@ -110,26 +110,26 @@
     }
 
     /** A controller that does not lead names the leader whatever a report says, so it need not read it. */
-    private fun report(body: ByteArray, responder: HttpResponder) {
-        if (!context.controller.leads(context.clock())) return call(responder) { Input.UnreadReport(it) }
-        val report =
+    private fun heartbeat(body: ByteArray, responder: HttpResponder) {
+        if (!context.controller.leads(context.clock())) return call(responder) { Input.UnreadHeartbeat(it) }
+        val heartbeat =
             try {
-                reports.read(body)
+                heartbeats.read(body)
             } catch (e: Malformed) {
                 context.meters.malformedReport()
                 if (context.complaints.tryAcquire()) context.log.warn("a worker's report is malformed: {}", e.message)
                 return responder.answer(HttpReply(HttpStatus.BAD_REQUEST, null))
             }
-        call(responder) { Input.Report(it, report) }
+        call(responder) { Input.Heartbeat(it, heartbeat) }
     }
 
     private fun submit(body: ByteArray, responder: HttpResponder) {
-        val ask = UserAsk.ofSubmission(body)
+        val ask = UserRequest.ofSubmission(body)
         if (ask == null) {
             context.log.debug("a submission is malformed and names no job")
             return responder.answer(HttpReply(HttpStatus.BAD_REQUEST, null))
         }
-        if (ask is UserAsk.Unreadable) context.log.debug("a submission of {} is malformed: {}", ask.jobId, ask.why)
+        if (ask is UserRequest.Invalid) context.log.debug("a submission of {} is malformed: {}", ask.jobId, ask.why)
         call(responder) { Input.User(it, ask) }
     }
 
@@ -138,9 +138,9 @@
         val withdraw = id.length != rest.length
         if (id.isEmpty() || '/' in id) return responder.answer(HttpReply(HttpStatus.NOT_FOUND, null))
         if (withdraw) {
-            only(POST, method, responder) { call(responder) { Input.User(it, UserAsk.Withdraw(id)) } }
+            only(POST, method, responder) { call(responder) { Input.User(it, UserRequest.Cancel(id)) } }
         } else {
-            only(GET, method, responder) { call(responder) { Input.User(it, UserAsk.Poll(id)) } }
+            only(GET, method, responder) { call(responder) { Input.User(it, UserRequest.Query(id)) } }
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -4,15 +4,15 @@
 import io.ktor.http.encodeURLParameter
 import org.chalkhollow.core.CloudOp
 import org.chalkhollow.core.CloudReply
-import org.chalkhollow.core.DirectReply
+import org.chalkhollow.core.CommandReply
 import org.chalkhollow.core.Effect
 import org.chalkhollow.core.HttpStatus
 import org.chalkhollow.core.StateOp
 import org.chalkhollow.core.StateReply
 import org.chalkhollow.wire.Fields
+import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Malformed
 import org.chalkhollow.wire.Pack
-import org.chalkhollow.wire.Row
 import org.chalkhollow.wire.ServiceCodec
 import org.chalkhollow.wire.WorkerCodec
 
@@ -72,7 +72,7 @@
             r.status != 200 -> StateReply.NoResponse
             op is StateOp.Read -> {
                 val f = Pack.decodeMap(r.body)
-                StateReply.Found(Row(op.key, f.map["value"], f.long("stamp")))
+                StateReply.Found(KeyValue(op.key, f.map["value"], f.long("stamp")))
             }
             op is StateOp.List -> StateReply.Page(ServiceCodec.rows(r.body))
             else -> StateReply.Committed(ServiceCodec.revision(r.body))
@@ -147,25 +147,25 @@
 
 /** Direct commands to workers, over one kept connection each for as many workers as [links] holds. */
 class WorkerClient(private val links: (String) -> HttpLink?, private val replies: ReplyReader) {
-    fun run(e: Effect.Direct, onReply: (DirectReply) -> Unit) {
-        val link = links(e.address) ?: return onReply(DirectReply.NotSent)
-        val body = Pack.encode(WorkerCodec.direct(e.token, e.session, e.commands))
+    fun run(e: Effect.WorkerCommand, onReply: (CommandReply) -> Unit) {
+        val link = links(e.address) ?: return onReply(CommandReply.NotSent)
+        val body = Pack.encode(WorkerCodec.direct(e.fencingToken, e.epoch, e.commands))
         link.request(POST, "/orders", body, TIMEOUT_MS) { onReply(reply(it)) }
     }
 
-    private fun reply(result: HttpResult): DirectReply =
+    private fun reply(result: HttpResult): CommandReply =
         when (result) {
-            HttpResult.NotSent -> DirectReply.NotSent
-            HttpResult.NoResponse -> DirectReply.NoResponse
-            is HttpResult.Answered -> replies.read(ifMalformed = DirectReply.NoResponse) { decode(result) }
+            HttpResult.NotSent -> CommandReply.NotSent
+            HttpResult.NoResponse -> CommandReply.NoResponse
+            is HttpResult.Answered -> replies.read(ifMalformed = CommandReply.NoResponse) { decode(result) }
         }
 
-    private fun decode(result: HttpResult.Answered): DirectReply =
+    private fun decode(result: HttpResult.Answered): CommandReply =
         when (result.status) {
-            HttpStatus.OK -> DirectReply.Executed(WorkerCodec.report(result.body))
-            CONFLICT -> DirectReply.Refused(WorkerCodec.report(result.body))
-            HttpStatus.BAD_REQUEST -> DirectReply.NotSent
-            else -> DirectReply.NoResponse
+            HttpStatus.OK -> CommandReply.Executed(WorkerCodec.heartbeat(result.body))
+            CONFLICT -> CommandReply.Refused(WorkerCodec.heartbeat(result.body))
+            HttpStatus.BAD_REQUEST -> CommandReply.NotSent
+            else -> CommandReply.NoResponse
         }
 
     private companion object {
