--- a/src/main/kotlin/org/chalkhollow/StatusCommand.kt
+++ b/src/main/kotlin/org/chalkhollow/StatusCommand.kt
@@ -8,8 +8,8 @@
 import com.github.ajalt.clikt.parameters.options.required
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
-import org.chalkhollow.core.JobView
-import org.chalkhollow.core.StatusView
+import org.chalkhollow.core.operations.JobView
+import org.chalkhollow.core.operations.StatusView
 import java.io.IOException
 import java.net.HttpURLConnection
 import java.net.URI
--- a/src/main/kotlin/org/chalkhollow/core/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -1,5 +1,14 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.attempts
 
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.DispatchMarker
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.JobState
 import org.chalkhollow.wire.ExitCause
 import org.chalkhollow.wire.TaskStatus
--- a/src/main/kotlin/org/chalkhollow/core/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -1,5 +1,7 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.attempts
 
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.wire.Command
 import org.chalkhollow.wire.TaskStatus
 
--- a/src/main/kotlin/org/chalkhollow/core/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -1,5 +1,14 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.attempts
+
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.DispatchMarker
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.Write
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
--- a/src/main/kotlin/org/chalkhollow/core/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -1,5 +1,17 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.attempts
+
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CommandReply
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Command
 import org.chalkhollow.wire.WorkerHeartbeat
--- a/src/main/kotlin/org/chalkhollow/core/Interners.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Interners.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.cluster
 
 import org.chalkhollow.model.Interner
 
--- a/src/main/kotlin/org/chalkhollow/core/Job.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Job.kt
@@ -1,8 +1,10 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.cluster
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.placement.Placement
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.MachineType
--- a/src/main/kotlin/org/chalkhollow/core/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -1,6 +1,8 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.cluster
 
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.MachineReachability
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.wire.TaskStatus
--- a/src/main/kotlin/org/chalkhollow/core/CoreContext.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/CoreContext.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.common
 
 import org.agrona.collections.Int2ObjectHashMap
 import org.chalkhollow.wire.Pack
--- a/src/main/kotlin/org/chalkhollow/core/DroppedInputs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/DroppedInputs.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.common
 
 /** What is dropped without an effect, and why; [metric] names it among the metrics. */
 enum class DroppedInput(val metric: String) {
--- a/src/main/kotlin/org/chalkhollow/core/HttpStatus.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/HttpStatus.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.common
 
 /** Statuses of the answers to users and workers. */
 internal object HttpStatus {
--- a/src/main/kotlin/org/chalkhollow/core/OverloadDetector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/OverloadDetector.kt
@@ -1,4 +1,6 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.common
+
+import org.chalkhollow.core.Controller
 
 /**
  * Owns how short a controller is of processor time, as told by how late its ticks come. What can wait then waits
--- a/src/main/kotlin/org/chalkhollow/core/CloudRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudRequests.kt
@@ -1,4 +1,10 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
+
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.MS_PER_S
 
 /**
  * Owns the budget of requests to the cloud, and that at most one that rents or returns machines is under way. A reply
--- a/src/main/kotlin/org/chalkhollow/core/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -1,5 +1,15 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.fleet
+
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.common.leaseMs
+import org.chalkhollow.core.placement.ReplicaMigration
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
--- a/src/main/kotlin/org/chalkhollow/core/ImageLocations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
@@ -1,5 +1,11 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
 
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.Write
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
--- a/src/main/kotlin/org/chalkhollow/core/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -1,4 +1,8 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
+
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.MS_PER_S
 
 /**
  * Owns whether machines hear us. Reports alone do not tell, since a cut can stop one direction only; a machine that
--- a/src/main/kotlin/org/chalkhollow/core/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -1,5 +1,9 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
 
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.model.MachineType
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/NumberedNames.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/NumberedNames.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
 
 import org.chalkhollow.wire.Fields
 
--- a/src/main/kotlin/org/chalkhollow/core/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -1,6 +1,12 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.settings.OperatorSettings
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/ScaleOut.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
@@ -1,5 +1,13 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
 
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.common.leaseMs
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
--- a/src/main/kotlin/org/chalkhollow/core/UnplacedTasks.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/UnplacedTasks.kt
@@ -1,4 +1,6 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
+
+import org.chalkhollow.core.cluster.OpenJob
 
 /**
  * Tasks of one job that found no room in a round, for the fleet to rent by; [pressing] if they would be late without
--- a/src/main/kotlin/org/chalkhollow/core/ZoneConstraint.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
@@ -1,4 +1,10 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
+
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.placement.MachineSelector
+import org.chalkhollow.core.placement.PlacementRound
 
 /**
  * The rule on zones of one job, `together` or `spread`, counted against every attempt that may be on a machine,
--- a/src/main/kotlin/org/chalkhollow/core/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -1,6 +1,13 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.jobs
 
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.JobEntry
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Interner
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
--- a/src/main/kotlin/org/chalkhollow/core/Quotas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/Quotas.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.jobs
 
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Team
--- a/src/main/kotlin/org/chalkhollow/core/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -1,5 +1,7 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.jobs
 
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.settings.Objective
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/Candidacy.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Candidacy.kt
@@ -1,5 +1,10 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.leadership
 
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.NEVER
+import org.chalkhollow.core.common.minusClockDrift
 import org.chalkhollow.peer.PeerMessage
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
@@ -1,5 +1,9 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.leadership
 
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.wire.KeyValue
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/GrantedFollowerLease.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/GrantedFollowerLease.kt
@@ -1,5 +1,8 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.leadership
 
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.NEVER
+import org.chalkhollow.core.common.plusClockDrift
 import org.chalkhollow.settings.OperatorSettings
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/HeartbeatTraffic.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
@@ -1,4 +1,6 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.leadership
+
+import org.chalkhollow.core.cluster.Machine
 
 /**
  * Owns which controllers the workers reach. A leader that none of them reaches any more, while they ask at its peers,
--- a/src/main/kotlin/org/chalkhollow/core/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -1,5 +1,14 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.leadership
+
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.NEVER
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.core.common.minusClockDrift
+import org.chalkhollow.core.common.plusClockDrift
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.wire.Change
--- a/src/main/kotlin/org/chalkhollow/core/LeadershipRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.leadership
 
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.KeyValue
--- a/src/main/kotlin/org/chalkhollow/core/ControllerVersions.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/ControllerVersions.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.operations
 
 import org.chalkhollow.peer.PeerMessage
 
--- a/src/main/kotlin/org/chalkhollow/core/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -1,5 +1,15 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.operations
 
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.placement.Placement
+import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.Team
 
--- a/src/main/kotlin/org/chalkhollow/core/StatusView.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.operations
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
--- a/src/main/kotlin/org/chalkhollow/core/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -1,5 +1,12 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.placement
+
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.jobs.ServiceLevelObjectives
 import org.chalkhollow.model.Priority
 import java.util.PriorityQueue
 
--- a/src/main/kotlin/org/chalkhollow/core/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -1,5 +1,16 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.placement
 
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.attempts.Allocation
+import org.chalkhollow.core.attempts.AttemptReconciler
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.UnplacedTasks
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.jobs.ServiceLevelObjectives
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
 
--- a/src/main/kotlin/org/chalkhollow/core/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -1,5 +1,13 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.placement
+
+import org.chalkhollow.core.attempts.Allocation
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.UnplacedTasks
+import org.chalkhollow.core.fleet.ZoneConstraint
+import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.Resources
 
 /** Replicas of one service that their team's limit keeps from running. */
--- a/src/main/kotlin/org/chalkhollow/core/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -1,5 +1,15 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.placement
+
+import org.chalkhollow.core.attempts.Allocation
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.UnplacedTasks
+import org.chalkhollow.core.fleet.ZoneConstraint
+import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.Resources
 
--- a/src/main/kotlin/org/chalkhollow/core/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Replicas.kt
@@ -1,6 +1,10 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.placement
 
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.model.Resources
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -1,6 +1,12 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.placement
 
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.ServiceLevelObjectives
 import org.chalkhollow.model.Priority
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -1,5 +1,10 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.placement
 
+import org.chalkhollow.core.attempts.AttemptReconciler
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.settings.OperatorSettings
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/UrgentHeadroom.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
@@ -1,5 +1,8 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.placement
 
+import org.chalkhollow.core.fleet.ScaleIn
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.ServiceLevelObjectives
 import org.chalkhollow.settings.OperatorSettings
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -1,7 +1,20 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.requests
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.JobEntry
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.core.common.UserRequest
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.Resources
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -2,13 +2,13 @@
 
 import com.google.common.util.concurrent.RateLimiter
 import io.ktor.http.encodeURLParameter
-import org.chalkhollow.core.CloudOp
-import org.chalkhollow.core.CloudReply
-import org.chalkhollow.core.CommandReply
-import org.chalkhollow.core.Effect
-import org.chalkhollow.core.HttpStatus
-import org.chalkhollow.core.StateOp
-import org.chalkhollow.core.StateReply
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CommandReply
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Malformed
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.runtime
 
-import org.chalkhollow.core.HttpStatus
+import org.chalkhollow.core.common.HttpStatus
 
 /** What a request is answered with. */
 class HttpReply(
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
@@ -1,15 +1,15 @@
 package org.chalkhollow.runtime
 
-import org.chalkhollow.core.CloudOp
-import org.chalkhollow.core.CloudReply
-import org.chalkhollow.core.CommandReply
 import org.chalkhollow.core.Controller
-import org.chalkhollow.core.Effect
-import org.chalkhollow.core.Input
-import org.chalkhollow.core.Now
-import org.chalkhollow.core.StateOp
-import org.chalkhollow.core.StateReply
-import org.chalkhollow.core.UserRequest
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CommandReply
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
--- a/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
+++ b/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow
 
-import org.chalkhollow.core.Effect
+import org.chalkhollow.core.common.Effect
 import org.chalkhollow.settings.Objective
 import org.chalkhollow.simulation.EffectDigest
 import org.chalkhollow.simulation.FaultInjection
--- a/src/test/kotlin/org/chalkhollow/RandomRunsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RandomRunsTest.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow
 
-import org.chalkhollow.core.Effect
+import org.chalkhollow.core.common.Effect
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow
 
-import org.chalkhollow.core.JobTable
+import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.simulation.FaultInjection
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -1,11 +1,11 @@
 package org.chalkhollow.compat
 
-import org.chalkhollow.core.CoreContext
-import org.chalkhollow.core.DispatchLog
-import org.chalkhollow.core.Interners
-import org.chalkhollow.core.JobTable
-import org.chalkhollow.core.LeadershipRecord
-import org.chalkhollow.core.StaticMachines
+import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.leadership.LeadershipRecord
 import org.chalkhollow.model.JobState
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -1,5 +1,17 @@
 package org.chalkhollow.core
 
+import org.chalkhollow.core.leadership.CandidateSnapshot
+import org.chalkhollow.core.operations.ControllerVersions
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Team
--- a/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
@@ -1,5 +1,13 @@
 package org.chalkhollow.core
 
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.Priority
--- a/src/test/kotlin/org/chalkhollow/core/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -1,5 +1,14 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.common
+
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.leadership.CandidateSnapshot
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.Write
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.runtime.Meters
--- a/src/test/kotlin/org/chalkhollow/core/OverloadDetectorTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/OverloadDetectorTest.kt
@@ -1,4 +1,4 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.common
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/org/chalkhollow/core/StaticMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/StaticMachinesTest.kt
@@ -1,5 +1,8 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.fleet
 
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
--- a/src/test/kotlin/org/chalkhollow/core/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
@@ -1,5 +1,7 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.jobs
 
+import org.chalkhollow.core.cluster.JobEntry
+import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
--- a/src/test/kotlin/org/chalkhollow/core/CandidacyTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/CandidacyTest.kt
@@ -1,5 +1,8 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.leadership
 
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Now
 import org.chalkhollow.peer.PeerMessage
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/core/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -1,5 +1,22 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.placement
 
+import org.chalkhollow.core.attempts.Allocation
+import org.chalkhollow.core.attempts.AttemptReconciler
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Priority
--- a/src/test/kotlin/org/chalkhollow/core/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -1,5 +1,14 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.placement
 
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
--- a/src/test/kotlin/org/chalkhollow/core/RequestHandlerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
@@ -1,5 +1,17 @@
-package org.chalkhollow.core
-
+package org.chalkhollow.core.requests
+
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.model.JobState
--- a/src/test/kotlin/org/chalkhollow/core/StateWriterTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
@@ -1,5 +1,14 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.storage
 
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.leadership.LeadershipRecord
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Change
--- a/src/test/kotlin/org/chalkhollow/simulation/EffectDigest.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/EffectDigest.kt
@@ -1,8 +1,8 @@
 package org.chalkhollow.simulation
 
-import org.chalkhollow.core.CloudOp
-import org.chalkhollow.core.Effect
-import org.chalkhollow.core.StateOp
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.StateOp
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.ServiceCodec
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.simulation
 
-import org.chalkhollow.core.CloudOp
-import org.chalkhollow.core.CloudReply
+import org.chalkhollow.core.common.CloudOp
+import org.chalkhollow.core.common.CloudReply
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.wire.ListedMachine
 import org.chalkhollow.wire.ListedPage
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.simulation
 
-import org.chalkhollow.core.StateOp
-import org.chalkhollow.core.StateReply
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.KeyValuePage
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -1,8 +1,8 @@
 package org.chalkhollow.simulation
 
-import org.chalkhollow.core.CommandReply
-import org.chalkhollow.core.Effect
-import org.chalkhollow.core.Input
+import org.chalkhollow.core.common.CommandReply
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Shape
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -1,13 +1,13 @@
 package org.chalkhollow.simulation
 
 import org.chalkhollow.core.Controller
-import org.chalkhollow.core.DroppedInput
-import org.chalkhollow.core.Effect
-import org.chalkhollow.core.Input
-import org.chalkhollow.core.JobView
-import org.chalkhollow.core.Now
-import org.chalkhollow.core.StatusView
-import org.chalkhollow.core.UserRequest
+import org.chalkhollow.core.common.DroppedInput
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.common.UserRequest
+import org.chalkhollow.core.operations.JobView
+import org.chalkhollow.core.operations.StatusView
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
--- a/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.simulation
 
-import org.chalkhollow.core.CommandReply
-import org.chalkhollow.core.Effect
+import org.chalkhollow.core.common.CommandReply
+import org.chalkhollow.core.common.Effect
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Team
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.simulation
 
-import org.chalkhollow.core.Effect
-import org.chalkhollow.core.UserRequest
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
