--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -30,10 +30,10 @@
 import org.chalkhollow.core.requests.RequestHandler
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
-import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Malformed
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -9,10 +9,10 @@
 import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.JobState
-import org.chalkhollow.wire.ExitCause
-import org.chalkhollow.wire.TaskStatus
-import org.chalkhollow.wire.WorkerHeartbeat
+import org.chalkhollow.model.TaskStatus
+import org.chalkhollow.model.WorkerHeartbeat
 
 /**
  * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. An attempt is settled, and its task
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -2,8 +2,8 @@
 
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.Machine
-import org.chalkhollow.wire.Command
-import org.chalkhollow.wire.TaskStatus
+import org.chalkhollow.model.Command
+import org.chalkhollow.model.TaskStatus
 
 /**
  * What machines are to be told, by what [AttemptReconciler] knows of their attempts: starts are repeated until they
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -9,10 +9,10 @@
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Malformed
 
 /** Tasks of one job that a placement round gives to one machine; [fromCredit] to a job that had been passed over. */
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -6,10 +6,10 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.ImageLocations
 import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.WorkerCodec
-import org.chalkhollow.wire.WorkerHeartbeat
 
 /**
  * Answers workers' reports. An answer renews the lease of all that runs on a machine, so only an entitled leader gives
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -12,9 +12,9 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.model.Command
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.PlatformSettings
-import org.chalkhollow.wire.Command
-import org.chalkhollow.wire.WorkerHeartbeat
 
 /**
  * Owns the commands that go straight to workers, beside the answers to their reports: starts as soon as their marker is
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -5,7 +5,7 @@
 import org.chalkhollow.core.fleet.MachineReachability
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
-import org.chalkhollow.wire.TaskStatus
+import org.chalkhollow.model.TaskStatus
 
 /** A machine as this leader knows it. */
 class Machine(val id: Int, val name: String) {
--- a/src/main/kotlin/org/chalkhollow/core/common/EncodedSize.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/EncodedSize.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core.common
 
-import org.chalkhollow.wire.Change
+import org.chalkhollow.model.Change
 
 /**
  * Estimates, never too low, of how large a value is as JSON, by which the state service counts. Called by all that put
--- a/src/main/kotlin/org/chalkhollow/core/common/Io.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Io.kt
@@ -1,17 +1,17 @@
 package org.chalkhollow.core.common
 
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.Command
+import org.chalkhollow.model.Condition
 import org.chalkhollow.model.JobSpec
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.KeyValuePage
+import org.chalkhollow.model.ListedPage
 import org.chalkhollow.model.MachineType
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.peer.PeerMessage
-import org.chalkhollow.wire.Change
-import org.chalkhollow.wire.Command
-import org.chalkhollow.wire.Condition
-import org.chalkhollow.wire.KeyValue
-import org.chalkhollow.wire.KeyValuePage
-import org.chalkhollow.wire.ListedPage
 import org.chalkhollow.wire.Malformed
 import org.chalkhollow.wire.UserCodec
-import org.chalkhollow.wire.WorkerHeartbeat
 
 /** The moment of an input: [steady] never jumps, [wall] is the time of day; both in milliseconds. */
 data class Now(val steady: Long, val wall: Long)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -6,8 +6,8 @@
 import org.chalkhollow.core.common.CloudReply
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.model.ListedMachine
 import org.chalkhollow.model.MachineType
-import org.chalkhollow.wire.ListedMachine
 
 /**
  * Owns what the cloud says there is: machine types, and the list of machines. The list lags behind, so a machine counts
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -11,9 +11,9 @@
 import org.chalkhollow.core.common.leaseMs
 import org.chalkhollow.core.placement.ReplicaMigration
 import org.chalkhollow.model.MachineType
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
-import org.chalkhollow.wire.WorkerHeartbeat
 
 /**
  * Owns the state of each machine: what reports say of it, its session, its lease. Nothing on a machine counts as gone
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -4,10 +4,10 @@
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 
 /**
  * Owns which machines were there before the first leader rented any: they are the operator's own and are kept, with the
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -8,13 +8,13 @@
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.model.Change
 import org.chalkhollow.model.Interner
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.UserCodec
 import java.util.Base64
 import java.util.BitSet
--- a/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.core.common.DroppedInput
 import org.chalkhollow.core.common.StateOp
 import org.chalkhollow.core.common.StateReply
-import org.chalkhollow.wire.KeyValue
+import org.chalkhollow.model.KeyValue
 
 /**
  * Reads all that leaders have written, under [prefixes] and in their order, before this controller stands for
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -9,10 +9,10 @@
 import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.core.common.minusClockDrift
 import org.chalkhollow.core.common.plusClockDrift
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.Condition
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.wire.Change
-import org.chalkhollow.wire.Condition
 import org.chalkhollow.wire.Malformed
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.core.leadership
 
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 
 /**
  * The leadership record: who leads, in which life of that process, under which generation, after how many writes. It is
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -10,10 +10,10 @@
 import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.Condition
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.Change
-import org.chalkhollow.wire.Condition
 
 /**
  * Changes that belong into one transaction, and what to do once they are durable, or once the state service has refused
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/model/ListedMachines.kt
@@ -0,0 +1,17 @@
+package org.chalkhollow.model
+
+/** A machine as the cloud lists it. */
+data class ListedMachine(
+    val name: String,
+    val address: String,
+    val type: String,
+    val zone: String,
+    val spot: Boolean,
+    val status: Status,
+    val ageS: Double,
+) {
+    enum class Status { STARTING, RUNNING, FAILED }
+}
+
+/** A page of the cloud's machine list. */
+data class ListedPage(val machines: List<ListedMachine>, val more: Boolean)
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -9,8 +9,8 @@
 import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.StateOp
 import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Malformed
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.ServiceCodec
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
@@ -10,13 +10,13 @@
 import org.chalkhollow.core.common.StateOp
 import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.core.common.UserRequest
+import org.chalkhollow.model.KeyValuePage
+import org.chalkhollow.model.ListedPage
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.HeartbeatReader
-import org.chalkhollow.wire.KeyValuePage
-import org.chalkhollow.wire.ListedPage
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.ServiceCodec
 import org.chalkhollow.wire.UserCodec
--- a/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
@@ -1,5 +1,7 @@
 package org.chalkhollow.wire
 
+import org.chalkhollow.model.TaskStatus
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.wire.Pack.take
 import org.chalkhollow.wire.Pack.takeInteger
 import org.msgpack.core.MessageUnpacker
--- a/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
@@ -1,36 +1,14 @@
 package org.chalkhollow.wire
 
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.Condition
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.KeyValuePage
+import org.chalkhollow.model.ListedMachine
+import org.chalkhollow.model.ListedPage
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 
-/** One key of the state service. */
-data class KeyValue(val key: String, val value: Any?, val revision: Long)
-
-/** A page of keys. */
-data class KeyValuePage(val rows: List<KeyValue>, val more: Boolean)
-
-/** A change in a transaction; a null [value] removes the key. */
-data class Change(val key: String, val value: Map<String, Any?>?)
-
-/** A condition: [key] has revision [revision]; 0 means that it does not exist. */
-data class Condition(val key: String, val revision: Long)
-
-/** A machine as the cloud lists it. */
-data class ListedMachine(
-    val name: String,
-    val address: String,
-    val type: String,
-    val zone: String,
-    val spot: Boolean,
-    val status: Status,
-    val ageS: Double,
-) {
-    enum class Status { STARTING, RUNNING, FAILED }
-}
-
-/** A page of the cloud's machine list. */
-data class ListedPage(val machines: List<ListedMachine>, val more: Boolean)
-
 /** Bodies of the state service and of the cloud. */
 object ServiceCodec {
     fun commit(conditions: List<Condition>, changes: List<Change>): Map<String, Any?> =
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -1,44 +1,9 @@
 package org.chalkhollow.wire
 
-/** Why a task exited. */
-enum class ExitCause { DONE, HALTED, ERROR, FULL, BUSY, NO_SUCH }
-
-/** What a worker says of one task. */
-data class TaskStatus(val jobId: String, val index: Int, val attempt: Long, val phase: Phase, val cause: ExitCause?) {
-    enum class Phase { FETCHING, RUNNING, SAVING, EXITED }
-}
-
-/** A worker's report. */
-data class WorkerHeartbeat(
-    val machine: String,
-    val address: String,
-    val type: String,
-    val zone: String,
-    val spot: Boolean,
-    val epoch: Long,
-    val seq: Long,
-    val fencingToken: Long,
-    val noticeS: Double?,
-    val tasks: List<TaskStatus>,
-)
-
-/** Commands to a worker. */
-sealed interface Command {
-    val jobId: String
-    val index: Int
-    val attempt: Long
-
-    data class Start(override val jobId: String, override val index: Int, override val attempt: Long) : Command
-
-    data class Stop(
-        override val jobId: String,
-        override val index: Int,
-        override val attempt: Long,
-        val graceS: Double,
-    ) : Command
-
-    data class Forget(override val jobId: String, override val index: Int, override val attempt: Long) : Command
-}
+import org.chalkhollow.model.Command
+import org.chalkhollow.model.ExitCause
+import org.chalkhollow.model.TaskStatus
+import org.chalkhollow.model.WorkerHeartbeat
 
 /** The workers' side of the protocol. */
 object WorkerCodec {
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -1,10 +1,10 @@
 package org.chalkhollow
 
+import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.wire.ExitCause
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.FakeWorker
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.wire.ExitCause
+import org.chalkhollow.model.ExitCause
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
--- a/src/test/kotlin/org/chalkhollow/ServicesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicesTest.kt
@@ -1,5 +1,6 @@
 package org.chalkhollow
 
+import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
@@ -7,7 +8,6 @@
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.SimulatedController
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.wire.ExitCause
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -7,11 +7,11 @@
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.leadership.LeadershipRecord
 import org.chalkhollow.model.JobState
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
 import org.junit.jupiter.api.Assertions.assertArrayEquals
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -17,9 +17,9 @@
 import org.chalkhollow.model.Team
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
-import org.chalkhollow.wire.KeyValue
-import org.chalkhollow.wire.KeyValuePage
-import org.chalkhollow.wire.WorkerHeartbeat
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.KeyValuePage
+import org.chalkhollow.model.WorkerHeartbeat
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
@@ -10,12 +10,12 @@
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Pack
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -9,15 +9,15 @@
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
+import org.chalkhollow.model.TaskStatus
 import org.chalkhollow.model.Team
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.ExitCause
-import org.chalkhollow.wire.TaskStatus
-import org.chalkhollow.wire.WorkerHeartbeat
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -9,6 +9,10 @@
 import org.chalkhollow.core.leadership.LeadershipRecord
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.KeyValuePage
+import org.chalkhollow.model.ListedPage
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.runtime.Meters
@@ -17,10 +21,6 @@
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.simulation.SimulatedController
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.wire.Change
-import org.chalkhollow.wire.KeyValue
-import org.chalkhollow.wire.KeyValuePage
-import org.chalkhollow.wire.ListedPage
 import org.chalkhollow.wire.Malformed
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
@@ -4,10 +4,10 @@
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Now
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.wire.KeyValue
-import org.chalkhollow.wire.WorkerHeartbeat
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/core/fleet/StaticMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/StaticMachinesTest.kt
@@ -3,10 +3,10 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.Change
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.KeyValue
 import org.chalkhollow.wire.Pack
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
@@ -22,8 +22,8 @@
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.Pack
-import org.chalkhollow.wire.KeyValue
-import org.chalkhollow.wire.KeyValuePage
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.KeyValuePage
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
@@ -9,10 +9,10 @@
 import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.Change
-import org.chalkhollow.wire.KeyValue
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
@@ -2,9 +2,9 @@
 
 import org.chalkhollow.core.common.CloudOp
 import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.model.ListedMachine
+import org.chalkhollow.model.ListedPage
 import org.chalkhollow.model.MachineType
-import org.chalkhollow.wire.ListedMachine
-import org.chalkhollow.wire.ListedPage
 
 /** A fake of the cloud: rents fake workers, lists them late, takes spot machines back. */
 class FakeCloud(
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -2,9 +2,9 @@
 
 import org.chalkhollow.core.common.StateOp
 import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.KeyValuePage
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.KeyValue
-import org.chalkhollow.wire.KeyValuePage
 import org.chalkhollow.wire.Pack
 import java.util.TreeMap
 
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -3,15 +3,15 @@
 import org.chalkhollow.core.common.CommandReply
 import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.common.Input
+import org.chalkhollow.model.Command
+import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Shape
-import org.chalkhollow.wire.Command
-import org.chalkhollow.wire.ExitCause
+import org.chalkhollow.model.TaskStatus
+import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.Pack
-import org.chalkhollow.wire.TaskStatus
-import org.chalkhollow.wire.WorkerHeartbeat
 
 /** A fake of a worker: leases, sessions, tokens, reports to one controller at a time, direct commands. */
 class FakeWorker(
--- a/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
-import org.chalkhollow.wire.TaskStatus
+import org.chalkhollow.model.TaskStatus
 
 /** The rules of the protocol, held against what the fakes see; [check] runs after each step. */
 class Rules(private val simulation: Simulation) {
--- a/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.simulation
 
 import org.chalkhollow.model.JobSpec
-import org.chalkhollow.wire.TaskStatus
+import org.chalkhollow.model.TaskStatus
 
 /**
  * What is counted of services, whose tasks (replicas) run until they are withdrawn: when each ran, and which is down
--- a/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
@@ -1,6 +1,8 @@
 package org.chalkhollow.wire
 
+import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.Priority
+import org.chalkhollow.model.TaskStatus
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
