--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -84,8 +84,8 @@
         fleet.reserve = placement::reserve
         jobs.onDone = requestHandler::finished
         jobs.onCancelled = { job ->
-            reconciler.recorded(job, job.done)
-            if (!job.live.isEmpty()) direct.stopAll(job)
+            reconciler.recorded(job, job.progress.snapshot())
+            if (!job.tasks.noneLive) direct.stopAll(job)
         }
         log.source(jobs::nextUrgent)
         log.source(::place)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -57,7 +57,7 @@
         attempt.cached = job.image in machine.held
         machine.attempts.add(attempt)
         machine.occupy(job.taskResources)
-        job.taken(index)
+        job.tasks.attemptReserved(index)
         quotas.add(job.team, job.taskResources)
         if (marker != null) marker.outstanding++
         return attempt
@@ -86,12 +86,12 @@
     }
 
     private fun release(a: Attempt) {
-        if (a.onMachine && a.phase != Attempt.Phase.FETCHING) a.job.running--
+        if (a.onMachine && a.phase != Attempt.Phase.FETCHING) a.job.tasks.runEnded()
         quotas.remove(a.job.team, a.job.taskResources)
         a.machine.vacate(a.job.taskResources)
         if (a.fromCredit) creditCpus -= a.job.taskResources.cpus
         context.changed()
-        a.job.released(a.index)
+        a.job.tasks.attemptReleased(a.index)
     }
 
     /** Everything on [machine] is certainly gone: deleted, lapsed, or from a session before a new one. */
@@ -183,17 +183,17 @@
         if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.held.add(a.job.image)
         val runs = phase != Attempt.Phase.FETCHING
         if (runs && !ran) begun(a)
-        if (!runs && ran) a.job.running--
+        if (!runs && ran) a.job.tasks.runEnded()
         a.since = context.steady
     }
 
     private fun begun(a: Attempt) {
         val job = a.job
-        job.running++
+        job.tasks.runStarted()
         val startMs = context.steady - a.placedAt
         val waitMs = context.now.wall - job.acceptedWall
         context.emit(Effect.Timing("start", startMs))
-        if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
+        if (job.tasks.running == 1 && job.progress.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
         val task = "${job.spec.id}/${a.index} (${job.spec.workload})"
         val held = if (a.cached) ", image held" else ""
         context.debug(
@@ -206,8 +206,7 @@
         val job = a.job
         val completed = cause == ExitCause.DONE && !job.service
         if (completed && a.phase == Attempt.Phase.RUNNING && !a.inherited) {
-            job.runs++
-            job.ranS += (context.steady - a.since) / MS_PER_S
+            job.runTimes.add((context.steady - a.since) / MS_PER_S)
         }
         a.phase = Attempt.Phase.EXITED
         a.completed = completed
@@ -217,7 +216,7 @@
             ExitCause.ERROR -> failed(a)
             ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) ended(a)
             ExitCause.FULL -> a.machine.fullUntil = context.steady + FULL_MS
-            ExitCause.BUSY, ExitCause.NO_SUCH -> job.notBefore = maxOf(job.notBefore, context.steady + RETRY_MS)
+            ExitCause.BUSY, ExitCause.NO_SUCH -> job.backoff.pauseUntil(context.steady + RETRY_MS)
             else -> Unit
         }
     }
@@ -226,34 +225,23 @@
     private fun completed(a: Attempt) {
         val job = a.job
         a.machine.failedJobs.clear()
-        if (!job.done.get(a.index)) {
-            job.failures = 0
-            jobs.taskDone(job, a.index)
+        if (!job.progress.isDone(a.index)) {
+            job.backoff.taskCompleted()
+            job.completeTask(a.index, context.steady)
         }
         job.unrecorded.add(a)
     }
 
-    /** A replica has ended by itself: it runs again, elsewhere, and later and later if that happens again and again. */
+    /** A replica has ended by itself. */
     private fun ended(a: Attempt) {
         val job = a.job
-        job.failedOn(a.machine.id, context.steady)
-        job.failures = if (context.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
-        if (job.failures > job.spec.tasks) {
-            val wait = FAILED_MS shl minOf(job.failures / job.spec.tasks, MAX_DOUBLINGS)
-            job.notBefore = context.steady + wait
-        }
+        job.backoff.replicaEnded(a.machine.id, context.steady, context.steady - a.placedAt, job.spec.tasks)
     }
 
     private fun failed(a: Attempt) {
         val job = a.job
         a.machine.failedJobs.add(job.entry.id)
-        job.failedOn(a.machine.id, context.steady)
-        job.failures++
-        // One machine's faults should not hold a job up; a job that fails wherever it goes waits longer and longer.
-        if (job.failsAround(context.steady)) {
-            val wait = FAILED_MS shl minOf(job.failures / FAILURES_EACH, MAX_DOUBLINGS)
-            job.notBefore = maxOf(job.notBefore, context.steady + wait)
-        }
+        job.backoff.taskFailed(a.machine.id, context.steady)
         context.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
     }
 
@@ -280,7 +268,11 @@
         val job = jobs.find(t.jobId)?.open ?: return false
         if (t.index >= job.spec.tasks) return false
         if (t.phase == TaskStatus.Phase.EXITED && t.cause != ExitCause.DONE) return false
-        if (t.phase != TaskStatus.Phase.EXITED && (job.done.get(t.index) || job.live.get(t.index) > 0)) return false
+        if (t.phase != TaskStatus.Phase.EXITED &&
+            (job.progress.isDone(t.index) || job.tasks.isLive(t.index))
+        ) {
+            return false
+        }
         val a = reserve(job, t.index, t.attempt, m, null)
         a.inherited = true
         a.phase = Attempt.Phase.SENT
@@ -298,11 +290,5 @@
     private companion object {
         const val FULL_MS = 3000L
         const val RETRY_MS = 2000L
-        const val FAILED_MS = 1000L
-        const val LASTED_MS = 15_000L
-
-        /** So many failures, wherever they were, double the wait, and the wait is doubled so many times at most. */
-        const val FAILURES_EACH = 3
-        const val MAX_DOUBLINGS = 5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -27,7 +27,7 @@
     }
 
     private fun commandFor(a: Attempt, startsAllowed: Boolean): Command? {
-        val unwanted = a.job.cancelled || a.job.done.get(a.index)
+        val unwanted = a.job.cancelled || a.job.progress.isDone(a.index)
         return when (a.phase) {
             Attempt.Phase.MARKING -> null
             Attempt.Phase.MARKED -> firstStart(a, unwanted, startsAllowed)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -148,7 +148,7 @@
             val job = jobs.marked(parts[0].toString()) ?: continue
             val machine = fleet.known(parts[1].toString())
             for (index in indices(parts[2].toString())) {
-                if (index >= job.spec.tasks || job.done.get(index)) continue
+                if (index >= job.spec.tasks || job.progress.isDone(index)) continue
                 val attempt = reconciler.reserve(job, index, marker.number, machine, marker)
                 attempt.inherited = true
                 attempt.phase = Attempt.Phase.SENT
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
@@ -43,7 +43,7 @@
     fun leastLeftS(t: Long): Double {
         if (job.service) return Double.MAX_VALUE
         val ran = if (phase == Phase.RUNNING) (t - since) / MS_PER_S else 0.0
-        return (if (job.runs > 0) job.ranS / job.runs else job.spec.expectedS) * MIN_OF_EXPECTED - ran
+        return job.runTimes.meanS(job.spec.expectedS) * MIN_OF_EXPECTED - ran
     }
 
     val onMachine: Boolean get() = phase == Phase.FETCHING || phase == Phase.RUNNING || phase == Phase.SAVING
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FairShareCredit.kt
@@ -0,0 +1,52 @@
+package org.chalkhollow.core.cluster
+
+import org.chalkhollow.core.placement.PlacementRound
+import org.chalkhollow.core.placement.StarvationPrevention
+
+/**
+ * Owns when a job was last served, and the credit that it has for having been passed over. All moments are by the time
+ * of day, since a new leader goes on counting from [acceptedWall]. Written by [StarvationPrevention] and, for
+ * [allPlaced], by [PlacementRound].
+ */
+class FairShareCredit(acceptedWall: Long) {
+    /** CPUs that the job is given before others; zero without credit. */
+    var cpus = 0.0
+        private set
+
+    /** From when on the job has had credit, if it has any. */
+    var sinceWall = 0L
+        private set
+
+    /** When this leader last placed a task of the job. */
+    var lastPlacedWall = acceptedWall
+        private set
+
+    /** When nothing of the job was left waiting last. */
+    private var allPlacedWall = acceptedWall
+
+    /**
+     * Whether some of the job has waited for so long that room kept for other work is no longer kept from it. An
+     * earlier version kept it for ever, so that work waited beside machines with room for it.
+     */
+    fun waitsLong(wall: Long): Boolean = wall - allPlacedWall > MAX_WAIT_BESIDE_KEPT_ROOM_MS
+
+    fun grant(cpus: Double, sinceWall: Long) {
+        this.cpus = cpus
+        this.sinceWall = sinceWall
+    }
+
+    /** Tasks of [placedCpus] CPUs in all were placed, which uses up credit. */
+    fun placed(placedCpus: Double, wall: Long) {
+        lastPlacedWall = wall
+        cpus = maxOf(0.0, cpus - placedCpus)
+    }
+
+    /** Nothing of the job is left waiting. */
+    fun allPlaced(wall: Long) {
+        allPlacedWall = wall
+    }
+
+    private companion object {
+        const val MAX_WAIT_BESIDE_KEPT_ROOM_MS = 60_000L
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -184,7 +184,7 @@
     private fun couldTake(m: Machine, job: OpenJob): Boolean {
         val type = table.types.getOrNull(m.type) ?: return false
         return table.allows(job, m.type, m.zone, m.spot) && job.fitsType(m.type, type) &&
-            !job.avoids(m.id, context.steady)
+            !job.backoff.avoids(m.id, context.steady)
     }
 
     /** The dearer a machine is, compared with the cheapest way to have its like, the sooner it goes. */
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -69,7 +69,7 @@
         val wall = context.now.wall
         urgent.add(
             Write(listOf(Change(JOB + spec.id, record(spec, wall))), refused) {
-                entry.state = JobState.OPEN
+                entry.accepted()
                 openUp(entry, spec, wall)
                 then()
             },
@@ -78,7 +78,7 @@
 
     private fun openUp(entry: JobEntry, spec: JobSpec, wall: Long): OpenJob =
         describe(entry, spec, wall).also {
-            entry.open = it
+            entry.opened(it)
             openJobs.add(it)
             context.changed()
         }
@@ -87,12 +87,12 @@
         val types = spec.types?.let { list -> IntOpenHashSet(list.map { names.types.intern(it) }) }
         val image = spec.image?.let(names.images::intern) ?: Interner.UNKNOWN
         val zone = spec.zone?.let(names.zones::intern) ?: Interner.UNKNOWN
-        return OpenJob(entry, spec, names.teams.find(spec.team), image, types, zone, wall)
+        return OpenJob(entry, spec, names.teams.find(spec.team), image, types, zone, wall, pageTasks)
     }
 
     /** Queues the cancellation of an open job; [then] runs once it is durable. */
     fun cancel(job: OpenJob, then: () -> Unit) {
-        job.cancelling = true
+        job.beginCancellation()
         val records = cancelledRecords(job)
         val first = records.indexOfFirst { EncodedSize.of(it) <= limits.valueBytes }
         cancel(job, if (first < 0) records.takeLast(1) else records.drop(first), then)
@@ -138,17 +138,9 @@
     private fun finalRecord(state: String, job: OpenJob): Map<String, Any?> = mapOf("s" to state, "n" to job.spec.tasks)
 
     private fun close(job: OpenJob, state: JobState) {
-        job.entry.state = state
-        job.entry.open = null
+        job.entry.ended(state)
         openJobs.remove(job)
-        for (from in job.writtenPages.iterator()) trash.add(remove(pageKey(job, from)))
-    }
-
-    /** Notes that a task has completed; it is written with the next transaction that has room. */
-    fun taskDone(job: OpenJob, index: Int) {
-        if (!job.markDone(index)) return
-        if (job.dirtyPages.isEmpty) job.dirtySince = context.steady
-        job.dirtyPages.set(index / pageTasks)
+        for (from in job.pages.stored.iterator()) trash.add(remove(pageKey(job, from)))
     }
 
     /** Accepted and cancelled jobs come first. */
@@ -164,20 +156,24 @@
         // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
         var waiting: OpenJob? = null
         for (job in openJobs) {
-            if (job.cancelling || job.sealing || !job.progressDue(context.steady)) continue
-            if (job.complete) return sealed(job, attemptsRecorded).takeIf { it.fits(room) }?.also { job.sealing = true }
-            if (waiting == null && context.steady - job.dirtySince >= GATHER_MS) waiting = job
+            if (job.cancelling || !job.pages.mayWrite(context.steady)) continue
+            if (job.complete) {
+                return sealed(
+                    job,
+                    attemptsRecorded,
+                ).takeIf { it.fits(room) }?.also { job.pages.completionSent() }
+            }
+            if (waiting == null && context.steady - job.pages.dirtySince >= GATHER_MS) waiting = job
         }
         return waiting?.let { page(it, attemptsRecorded, room) }
     }
 
     private fun sealed(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit): Write {
-        val done = job.done.clone() as BitSet
+        val done = job.progress.snapshot()
         return Write(listOf(Change(JOB + job.spec.id, finalRecord("done", job))), onRefused = {
-            job.sealing = false
-            job.writeAfter = context.steady + AGAIN_MS
+            job.pages.completionRefused(context.steady + AGAIN_MS)
         }) {
-            job.dirtyPages.clear()
+            job.pages.completionWritten()
             close(job, JobState.DONE)
             recorded(job, done)
             onDone(job)
@@ -191,47 +187,27 @@
     var onDone: (OpenJob) -> Unit = {}
 
     private fun page(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit, room: StateWriter.Room): Write? {
-        val page = nextPage(job)
+        val page = job.pages.nextToWrite()
         if (page < 0) return null
-        val from = page * pageTasks
-        val slice = job.done.get(from, minOf(from + pageTasks, job.spec.tasks))
+        val from = job.pages.firstTask(page)
+        val slice = job.progress.slice(from, from + pageTasks)
         val text = Base64.getEncoder().encodeToString(slice.toByteArray())
         val key = pageKey(job, from)
         val write =
             Write(listOf(Change(key, mapOf("b" to text))), onRefused = {
-                job.dirtyPages.set(page)
-                job.writeAfter = context.steady + AGAIN_MS
+                job.pages.pageRefused(page, context.steady + AGAIN_MS)
             }) {
-                job.writtenPages.add(from)
-                job.oversized.clear(page)
-                job.rewritten.clear(page)
+                job.pages.pageWritten(page)
                 if (job.entry.state != JobState.OPEN) trash.add(remove(key))
                 val done = BitSet()
                 for (i in slice.stream()) done.set(from + i)
                 recorded(job, done)
             }
         if (!write.fits(room)) return null
-        job.dirtyPages.clear(page)
-        job.dirtySince = context.steady
+        job.pages.pageSent(page, context.steady)
         return write
     }
 
-    /**
-     * The page to write next, or -1. A version with larger values wrote larger pages: what such a one holds beyond ours
-     * must be durable elsewhere before it is overwritten, so those parts go first, the highest before all.
-     */
-    private fun nextPage(job: OpenJob): Int {
-        val highest = job.rewritten.length() - 1
-        var page = job.dirtyPages.length() - 1
-        while (page >= 0) {
-            if (job.rewritten.get(page) && !(job.oversized.get(page) && page < highest)) return page
-            page = job.dirtyPages.previousSetBit(page - 1)
-        }
-        page = job.dirtyPages.nextSetBit(0)
-        while (page >= 0 && job.oversized.get(page) && page < highest) page = job.dirtyPages.nextSetBit(page + 1)
-        return page
-    }
-
     fun nextTrash(room: StateWriter.Room): Write? {
         val write = trash.firstOrNull() ?: return null
         return if (write.fits(room)) trash.removeFirst() else null
@@ -250,13 +226,13 @@
             "open" -> {
                 val spec = UserCodec.storedJob(Fields.of(f.map["j"], row.key))
                 val entry = entry(id, spec.tasks)
-                entry.state = JobState.OPEN
+                entry.accepted()
                 openUp(entry, spec, f.long("at"))
             }
-            "done" -> entry(id, f.long("n").toInt()).state = JobState.DONE
+            "done" -> entry(id, f.long("n").toInt()).ended(JobState.DONE)
             else -> {
                 val entry = entry(id, f.long("n").toInt())
-                entry.state = JobState.CANCELLED
+                entry.ended(JobState.CANCELLED)
                 // Its tasks may still be on machines, and count against the team's limit until they are gone: an
                 // earlier version forgot them at a change of leader and let the team exceed its limit.
                 f.map["j"]?.let { spec ->
@@ -277,18 +253,8 @@
         }
         val from = parts[1].toInt()
         val bits = BitSet.valueOf(Base64.getDecoder().decode(Fields.of(row.value, row.key).text("b")))
-        job.writtenPages.add(from)
-        for (i in bits.stream()) job.markDone(from + i)
-        if (from % pageTasks != 0 || bits.length() <= pageTasks) return
-        job.oversized.set(from / pageTasks)
-        var i = bits.nextSetBit(pageTasks)
-        while (i >= 0 && from + i < job.spec.tasks) {
-            val page = (from + i) / pageTasks
-            job.rewritten.set(page)
-            job.dirtyPages.set(page)
-            i = bits.nextSetBit((page + 1) * pageTasks - from)
-        }
-        job.dirtyPages.set(from / pageTasks)
+        for (i in bits.stream()) job.restoreCompletion(from + i)
+        job.pages.loaded(from, bits, job.spec.tasks)
     }
 
     private val cancelledJobs = HashMap<String, Lazy<OpenJob>>()
@@ -299,7 +265,7 @@
     /** A job whose last page was written but not its end: the end is written now. */
     fun afterLoad() {
         cancelledJobs.clear()
-        for (job in openJobs) if (job.complete) job.dirtyPages.set(0)
+        for (job in openJobs) if (job.complete) job.pages.completionMissing()
     }
 
     companion object {
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -63,7 +63,7 @@
     private fun classes(): List<ClassView> =
         jobs.open.groupBy { it.spec.workload }.toSortedMap().map { (name, some) ->
             val oldest = some.maxOf { context.now.wall - it.acceptedWall } / MS_IN_S
-            ClassView(name, some.size, some.sumOf { it.ready.cardinality() }, some.sumOf { it.live.size }, oldest)
+            ClassView(name, some.size, some.sumOf { it.tasks.readyCount }, some.sumOf { it.tasks.liveCount }, oldest)
         }
 
     private fun services(): List<ServiceView> =
@@ -74,14 +74,14 @@
             .map { (name, some) -> service(name, some) }
 
     private fun service(name: String, some: List<OpenJob>): ServiceView {
-        val lacking = some.filter { it.running < it.spec.tasks }.sortedBy { it.acceptedWall }.take(MAX_EXPLAINED)
+        val lacking = some.filter { it.tasks.running < it.spec.tasks }.sortedBy { it.acceptedWall }.take(MAX_EXPLAINED)
         val down = lacking.map { "${it.spec.id}: ${whyDown(it)}" }
-        return ServiceView(name, some.size, some.sumOf { it.spec.tasks }, some.sumOf { it.running }, down)
+        return ServiceView(name, some.size, some.sumOf { it.spec.tasks }, some.sumOf { it.tasks.running }, down)
     }
 
     private fun whyDown(job: OpenJob): String {
-        val why = if (job.ready.isEmpty) emptyList() else reasons(job)
-        val doubtful = job.live.size - job.running
+        val why = if (job.tasks.noneReady) emptyList() else reasons(job)
+        val doubtful = job.tasks.liveCount - job.tasks.running
         val doubt = "$doubtful begin, or are not yet proved gone where they were".takeIf { doubtful > 0 }
         return (why + listOfNotNull(doubt)).joinToString("; ")
     }
@@ -93,7 +93,7 @@
         for (job in jobs.open) {
             if (job.service && !job.cancelling) {
                 wanted += job.spec.tasks
-                up += job.running
+                up += job.tasks.running
             }
         }
         return wanted to up
@@ -129,15 +129,23 @@
             val done = if (entry.state == JobState.DONE) entry.tasks else 0
             return JobView(id, state, entry.tasks, done, 0, 0, emptyList())
         }
-        val waitsFor = if (job.ready.isEmpty) emptyList() else reasons(job)
-        return JobView(id, state, job.spec.tasks, job.doneCount, job.running, job.live.size, waitsFor)
+        val waitsFor = if (job.tasks.noneReady) emptyList() else reasons(job)
+        return JobView(
+            id,
+            state,
+            job.spec.tasks,
+            job.progress.doneCount,
+            job.tasks.running,
+            job.tasks.liveCount,
+            waitsFor,
+        )
     }
 
     private fun reasons(job: OpenJob): List<String> {
         val out = ArrayList<String>()
         if (log.stalled()) out.add("the state service takes no writes, and nothing starts without a marker")
         if (job.cancelling) out.add("it is being cancelled")
-        val pauseMs = job.notBefore - context.steady
+        val pauseMs = job.backoff.notBefore - context.steady
         if (pauseMs > 0) out.add("its tasks fail; tried again in ${pauseMs / MS_IN_S} s")
         if (quotas.headroom(job.team, job.taskResources, Machine.NOTHING) <= 0) out.add("its team is at its limit")
         val fits = fleet.placeable().filter { placement.mayUse(job, it) }
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -45,13 +45,13 @@
 
     /** Jobs with ready tasks, most urgent first. */
     fun waiting(): List<OpenJob> {
-        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.notBefore <= context.steady }
+        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
         return waiting.sortedWith(
             compareBy(
                 { if (starvation.goesFirst(it)) -1 else it.spec.priority.ordinal },
                 { if (starvation.goesFirst(it)) 0 else standing(it).ordinal },
                 { if (starvation.goesFirst(it)) starvation.turn(it) else due(it) },
-                { if (starvation.goesFirst(it)) it.creditSinceWall else it.acceptedWall },
+                { if (starvation.goesFirst(it)) it.credit.sinceWall else it.acceptedWall },
                 { it.entry.id },
             ),
         )
@@ -72,7 +72,7 @@
     /** Whether the job leaves the room free that is kept for urgent work to come. */
     fun yields(job: OpenJob): Boolean {
         if (job.spec.priority < Priority.STANDARD || objectives.startsCount(job)) return false
-        return !withinGuarantee(job) && !pressing(job, 0.0) && !job.waitsLong(context.now.wall)
+        return !withinGuarantee(job) && !pressing(job, 0.0) && !job.credit.waitsLong(context.now.wall)
     }
 
     /** Whether a job that waits for [waitS] more seconds would start or end too late. */
@@ -124,7 +124,7 @@
      */
     private fun findGivenUp() {
         givenUp.clear()
-        val started = jobs.open.filter { it.placeable || !it.live.isEmpty() }
+        val started = jobs.open.filter { it.placeable || !it.tasks.noneLive }
         for ((pool, jobs) in started.groupBy { Pool(it.onlyType, it.spec.priority) }) {
             val cpus = cpusOf(pool.type)
             if (cpus > 0) giveUpAmong(jobs, cpus)
@@ -135,13 +135,13 @@
         val chosen = PriorityQueue<Load>(compareBy { -it.seconds })
         var sum = 0.0
         for (job in jobs.filter { due(it) != Long.MAX_VALUE && !hopeless(it) }.sortedBy { due(it) }) {
-            val seconds = (job.spec.tasks - job.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
+            val seconds = (job.spec.tasks - job.progress.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
             chosen.add(Load(job, seconds))
             sum += seconds
             if (context.now.wall + maxOf(sum, job.spec.expectedS) * SURE_FACTOR * MS_PER_S <= due(job)) continue
             val largest = chosen.poll()
             sum -= largest.seconds
-            if (largest.job.live.isEmpty()) givenUp.add(largest.job)
+            if (largest.job.tasks.noneLive) givenUp.add(largest.job)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -25,7 +25,7 @@
 ) {
     /** Whether [job] may use [m]; room aside. */
     fun allowed(job: OpenJob, m: Machine): Boolean =
-        fleet.allows(job, m.type, m.zone, m.spot) && !job.avoids(m.id, context.steady) &&
+        fleet.allows(job, m.type, m.zone, m.spot) && !job.backoff.avoids(m.id, context.steady) &&
             !scarce.sparedFor(job, m.type)
 
     /** Whether [m] would have to fetch the job's image. */
@@ -61,8 +61,8 @@
         ordered.sortWith(preference)
         if (job.spec.together) zones.chooseZone(ordered)
         var left = want
-        var next = job.ready.nextSetBit(0)
-        repeat(skip) { next = job.ready.nextSetBit(next + 1) }
+        var next = job.tasks.nextReady(0)
+        repeat(skip) { next = job.tasks.nextReady(next + 1) }
         // Replicas of one service are spread over machines first, and share machines only for want of others.
         val passes = if (job.service) 2 else 1
         for (k in 0 until ordered.size * passes) {
@@ -74,7 +74,7 @@
             val tasks = IntArray(n)
             for (i in 0 until n) {
                 tasks[i] = next
-                next = job.ready.nextSetBit(next + 1)
+                next = job.tasks.nextReady(next + 1)
             }
             out.add(Allocation(job, m, tasks, starvation.goesFirst(job)))
             zones.take(m.zone, n)
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -1,6 +1,7 @@
 package org.chalkhollow.core.placement
 
 import org.chalkhollow.core.attempts.Allocation
+import org.chalkhollow.core.cluster.FairShareCredit
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
@@ -85,14 +86,14 @@
 
     private fun give(job: OpenJob, heldOnly: Boolean) {
         keepRoomFrom(job)
-        val ready = job.ready.cardinality() - (taken[job] ?: 0)
+        val ready = job.tasks.readyCount - (taken[job] ?: 0)
         val wanted = minOf(ready, headroom(job))
         if (job.service && wanted < ready) limited.add(ReplicasAtLimit(job, ready - wanted))
         // Rules on zones are counted over what one call places, so such jobs are placed in one.
         val want = if (heldOnly && (job.gang || job.boundToZones)) 0 else wanted(job, wanted, ready)
         val placed = if (want > 0) placeAlsoWhereKept(job, want, heldOnly) else 0
         if (placed > 0) note(job, placed)
-        if (placed == ready) job.allPlacedWall = context.now.wall
+        if (placed == ready) job.credit.allPlaced(context.now.wall)
         if (heldOnly || placed >= wanted) return
         if (want > 0) backlog += (wanted - placed) * job.taskResources.cpus * job.spec.expectedS
         leaveOver(job, wanted - placed, want > 0 && order.pressing(job, backlog / maxOf(1.0, capacity)))
@@ -110,13 +111,13 @@
     private fun wanted(job: OpenJob, most: Int, ready: Int): Int {
         var want = most
         // A probe, not the whole array.
-        if (job.failures > 0 && job.failsAround(context.steady)) want = minOf(want, 1)
+        if (job.backoff.failures > 0 && job.backoff.failsOnSeveralMachines(context.steady)) want = minOf(want, 1)
         if (starvation.goesFirst(job) && !job.gang) {
             want = minOf(want, starvation.most(job))
         } else if (order.yields(job)) {
             want = minOf(want, ((free - room.reserve) / job.countedCpus).toInt())
         }
-        if (job.gang && (!job.live.isEmpty() || want < ready)) want = 0 // all at once or not at all
+        if (job.gang && (!job.tasks.noneLive || want < ready)) want = 0 // all at once or not at all
         return want
     }
 
@@ -136,11 +137,11 @@
             choice.place(job, want, machines, out, (taken[job] ?: 0) + placed, heldOnly)
         }
 
-    /** Room for services is no longer kept from what waits long, see [OpenJob.waitsLong]. */
+    /** Room for services is no longer kept from what waits long, see [FairShareCredit.waitsLong]. */
     private fun mayUseKeptRoom(job: OpenJob, placed: Int): Boolean {
         if (!kept || job.service) return false
         if (placed > 0 && job.boundToZones) return false
-        return job.waitsLong(context.now.wall) && exceptions-- > 0
+        return job.credit.waitsLong(context.now.wall) && exceptions-- > 0
     }
 
     private fun headroom(job: OpenJob): Int {
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -52,7 +52,7 @@
             moves.remove(move)
             if (!mayStart(move, placeable, allocations)) continue // it is placed like any other task that is ready
             hold(move)
-            val task = move.job.ready.nextSetBit(0)
+            val task = move.job.tasks.nextReady(0)
             allocations.add(Allocation(move.job, move.target, intArrayOf(task), fromCredit = false))
         }
         return allocations
@@ -97,7 +97,7 @@
 
     private fun mayStart(move: Move, placeable: List<Machine>, given: List<Allocation>): Boolean {
         val job = move.job
-        if (!job.placeable || job.notBefore > context.steady || move.target !in placeable) return false
+        if (!job.placeable || job.backoff.notBefore > context.steady || move.target !in placeable) return false
         if (!job.taskResources.fitsIn(move.target.left) || !mayUse(job, move.target)) return false
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked || !zones.admits(move.target.zone)) return false
@@ -124,7 +124,7 @@
         val job = attempt.job
         val stopping = moves.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.settled }
         val itself = if (attempt.phase == Attempt.Phase.RUNNING) 0 else 1
-        return job.spec.tasks - job.running + stopping - itself > 0
+        return job.spec.tasks - job.tasks.running + stopping - itself > 0
     }
 
     /** Whether [count] replicas of the service can still be moved one after the other before the machine is gone. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -29,7 +29,7 @@
             job.onlyType = type
             if (type < 0) continue
             seenAt.put(type, context.steady)
-            if (!job.ready.isEmpty) waitedAt.put(type, context.steady)
+            if (!job.tasks.noneReady) waitedAt.put(type, context.steady)
         }
     }
 
@@ -61,7 +61,7 @@
         val t = context.steady
         if (t - seenAt.get(type) > SCARCE_MS || job.onlyType == type) return false
         if (objectives.startsCount(job) || job.spec.priority < Priority.STANDARD) return false
-        if (job.waitsLong(context.now.wall)) return false
+        if (job.credit.waitsLong(context.now.wall)) return false
         return context.now.wall - job.acceptedWall < WAITED_MS || t - waitedAt.get(type) < WAITED_MS
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -41,22 +41,25 @@
         val patienceMs = (options.patienceS * MS_PER_S).toLong()
         val share = options.patienceShare * capacity
         for (job in jobs.open) {
-            if (!job.placeable || job.creditCpus > 0 || context.now.wall - job.placedWall < patienceMs) continue
+            if (!job.placeable || job.credit.cpus > 0 ||
+                context.now.wall - job.credit.lastPlacedWall < patienceMs
+            ) {
+                continue
+            }
             if (context.now.wall - (kindServedWall[Kind(job)] ?: 0L) < patienceMs) continue // its like get their turn
-            job.creditCpus = share
-            job.creditSinceWall = job.placedWall + patienceMs
+            job.credit.grant(share, job.credit.lastPlacedWall + patienceMs)
         }
         creditLeft = share - reconciler.creditCpus
     }
 
     /** Whether the job goes before all that is not owed anything. */
-    fun goesFirst(job: OpenJob): Boolean = job.creditCpus > 0 && creditLeft > 0
+    fun goesFirst(job: OpenJob): Boolean = job.credit.cpus > 0 && creditLeft > 0
 
     /** The lower the sooner it is the turn of the job's kind. */
     fun turn(job: OpenJob): Long = kindPlacedWall[Kind(job)] ?: 0L
 
     /** How many tasks of a job that goes first it is owed now; at least one. */
-    fun most(job: OpenJob): Int = maxOf(1, (minOf(job.creditCpus, creditLeft) / job.countedCpus).toInt())
+    fun most(job: OpenJob): Int = maxOf(1, (minOf(job.credit.cpus, creditLeft) / job.countedCpus).toInt())
 
     fun placed(job: OpenJob, count: Int) {
         val now = context.now.wall
@@ -68,8 +71,7 @@
         }
         kindPlacedWall[kind] = now
         if (goesFirst(job)) creditLeft -= cpus else kindServedWall[kind] = now
-        job.placedWall = now
-        job.creditCpus = maxOf(0.0, job.creditCpus - cpus)
+        job.credit.placed(cpus, now)
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -166,15 +166,24 @@
             return if (id in accepting) later(call) else reply(call, HttpStatus.NOT_FOUND)
         }
         val job = entry.open
-        val done = if (entry.state == JobState.DONE) entry.tasks else job?.doneCount ?: 0
-        reply(call, HttpStatus.OK, UserCodec.progress(id, status(entry), minOf(done, entry.tasks), job?.running ?: 0))
+        val done = if (entry.state == JobState.DONE) entry.tasks else job?.progress?.doneCount ?: 0
+        reply(
+            call,
+            HttpStatus.OK,
+            UserCodec.progress(
+                id,
+                status(entry),
+                minOf(done, entry.tasks),
+                job?.tasks?.running ?: 0,
+            ),
+        )
     }
 
     private fun status(entry: JobEntry): String =
         when (entry.state) {
             JobState.DONE -> "done"
             JobState.CANCELLED -> "aborted"
-            else -> if ((entry.open?.running ?: 0) > 0) "running" else "queued"
+            else -> if ((entry.open?.tasks?.running ?: 0) > 0) "running" else "queued"
         }
 
     private fun withdraw(call: Int, id: String) {
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -131,7 +131,7 @@
                 KeyValue(JobTable.JOB + id, Pack.decode(Pack.encode(mapOf("s" to "open", "at" to 5L, "j" to spec))), 1),
             )
             jobs.loadPage(row(line))
-            val done = checkNotNull(jobs.find(id)?.open).done
+            val done = checkNotNull(jobs.find(id)?.open).progress.snapshot()
             assertEquals(
                 bits
                     .stream()
--- a/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
@@ -106,7 +106,7 @@
             return this
         }
 
-        fun done(tasks: Iterable<Int>) = tasks.forEach { jobs.taskDone(job, it) }
+        fun done(tasks: Iterable<Int>) = tasks.forEach { job.completeTask(it, context.steady) }
     }
 
     /** What any version reads of the job's progress: the union of all pages, whatever their keys. */
@@ -139,13 +139,13 @@
             old.writeAll()
             assertEquals(first.size, stored().cardinality())
             val new = Leader(after)
-            assertEquals(first.size, new.job.doneCount)
+            assertEquals(first.size, new.job.progress.doneCount)
             new.done(listOf(0, 1, 2))
             val all = (first + listOf(0, 1, 2)).toSet()
             new.writeAll { assertTrue(first.all(stored()::get), "a completion is gone from the records") }
             assertEquals(all.size, stored().cardinality())
             val back = Leader(before)
-            assertEquals(all.size, back.job.doneCount, "the older version reads less than was written")
+            assertEquals(all.size, back.job.progress.doneCount, "the older version reads less than was written")
             back.done(listOf(tasks - 1))
             back.writeAll { assertTrue(all.all(stored()::get)) }
             val last = Leader(after)
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -81,8 +81,8 @@
             WorkerHeartbeat("n-1", "n-1", "x", "z", false, 1, 2, 1, null, tasks),
             fromHeartbeat = true,
         )
-        assertEquals("{1}", job.done.toString())
-        assertEquals(2, job.running)
+        assertEquals("{1}", job.progress.snapshot().toString())
+        assertEquals(2, job.tasks.running)
         assertEquals(listOf(0, 2), m.attempts.filter { it.phase == Attempt.Phase.RUNNING }.map { it.index })
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
@@ -48,7 +48,7 @@
                 0.0,
                 dueS,
             )
-        return OpenJob(JobEntry(0, 10), spec, 0, -1, null, -1, 0)
+        return OpenJob(JobEntry(0, 10), spec, 0, -1, null, -1, 0, 8192)
     }
 
     // One aim of each kind was kept once, the last: then every class with a limit of minutes passed for urgent.
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -98,7 +98,7 @@
     private fun running(job: OpenJob, index: Int, m: Machine): Attempt =
         reconciler.reserve(job, index, 100L + index, m, null).also {
             it.phase = Attempt.Phase.RUNNING
-            job.running++
+            job.tasks.runStarted()
         }
 
     /** The attempt is certainly gone, as when its worker reports that it has obeyed. */
@@ -143,9 +143,9 @@
         assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "one is under way")
 
         replicas[0].phase = Attempt.Phase.EXITED
-        job.running--
+        job.tasks.runEnded()
         quotas.remove(job.team, job.taskResources)
-        job.released(0)
+        job.tasks.attemptReleased(0)
         offer(other, 8.0)
         val started = moves.start(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
@@ -248,8 +248,8 @@
         assertEquals(0, startAfter { _, target -> target.noticeAt = 5000 }, "it is about to be taken itself")
         assertEquals(0, startAfter { _, target -> target.left = Resources(1.0, 0.0, 64.0) }, "it has no room")
         assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
-        assertEquals(0, startAfter { job, _ -> job.cancelling = true }, "the service is withdrawn")
-        assertEquals(0, startAfter { job, _ -> job.notBefore = 1000 }, "its replicas fail")
+        assertEquals(0, startAfter { job, _ -> job.beginCancellation() }, "the service is withdrawn")
+        assertEquals(0, startAfter { job, _ -> job.backoff.pauseUntil(1000) }, "its replicas fail")
     }
 
     @Test
