--- a/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ProgressPagesTest.kt
@@ -1,11 +1,10 @@
-package org.chalkhollow.core
+package org.chalkhollow.core.jobs
 
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.common.Now
-import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.JobSpec
