--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -6,6 +6,7 @@
 import org.chalkhollow.core.attempts.HeartbeatHandler
 import org.chalkhollow.core.attempts.WorkerCommandSender
 import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.DroppedInput
 import org.chalkhollow.core.common.Effect
@@ -16,7 +17,11 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.ImageLocations
 import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.CompletionWriter
+import org.chalkhollow.core.jobs.JobCancellation
+import org.chalkhollow.core.jobs.JobRecord
 import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.ProgressPageRecord
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.jobs.ServiceLevelObjectives
 import org.chalkhollow.core.leadership.CandidateSnapshot
@@ -68,7 +73,9 @@
     private val direct =
         WorkerCommandSender(context, settings, leadership, log, dispatch, fleet, reconciler, commandPlanner)
     private val heartbeats = HeartbeatHandler(context, settings, leadership, fleet, images, reconciler, commandPlanner)
-    private val requestHandler = RequestHandler(context, leadership, log, jobs, quotas, fleet, names)
+    private val cancellation = JobCancellation(jobs, settings.stateLimits, ::onJobCancelled)
+    private val requestHandler = RequestHandler(context, leadership, log, jobs, cancellation, quotas, fleet, names)
+    private val completions = CompletionWriter(context, jobs, reconciler::recorded, requestHandler::finished)
     private val incarnationId = incarnation
     private var loaded = false
     private var fleetAt = 0L
@@ -82,18 +89,13 @@
         fleet.onGone = reconciler::machineGone
         fleet.newEpochListener = reconciler::onNewEpoch
         fleet.reserve = placement::reserve
-        jobs.onDone = requestHandler::finished
-        jobs.onCancelled = { job ->
-            reconciler.recorded(job, job.progress.snapshot())
-            if (!job.tasks.noneLive) direct.stopAll(job)
-        }
-        log.source(jobs::nextUrgent)
+        log.source(jobs.urgentWrites::next)
         log.source(::place)
-        log.source { room -> jobs.nextCompletion(room, reconciler::recorded) }
+        log.source(completions::next)
         log.source(staticMachines::next)
         log.source(images::next)
         log.source(dispatch::nextTrash)
-        log.source(jobs::nextTrash)
+        log.source(jobs.garbage::next)
     }
 
     private val versions = ControllerVersions(settings.label, peerLabels)
@@ -283,7 +285,7 @@
         log.start(LeadershipRecord(settings.label, incarnationId, fencingToken, writes), revision)
         context.emit(Effect.Timing("takeover", snapshot.ageMs))
         snapshot.take(basis).forEach(::take)
-        jobs.afterLoad()
+        jobs.finishLoading()
         loaded = true
         leadership.ready = true
         requestHandler.open = true
@@ -301,8 +303,8 @@
     private fun take(row: KeyValue) {
         try {
             when {
-                row.key.startsWith(JobTable.JOB) -> jobs.loadJob(row)
-                row.key.startsWith(JobTable.PROGRESS) -> jobs.loadPage(row)
+                row.key.startsWith(JobRecord.KEY_PREFIX) -> jobs.loadJob(row)
+                row.key.startsWith(ProgressPageRecord.KEY_PREFIX) -> jobs.loadPage(row)
                 row.key == StaticMachines.KEY -> staticMachines.load(row)
                 row.key.startsWith(ImageLocations.KEY) -> images.load(row)
                 else -> dispatch.load(row, jobs)
@@ -313,6 +315,11 @@
         }
     }
 
+    private fun onJobCancelled(job: OpenJob) {
+        reconciler.recorded(job, job.progress.snapshot())
+        if (!job.tasks.noneLive) direct.stopAll(job)
+    }
+
     /** One placement round as part of the next transaction: its marker is written before any start is sent. */
     private fun place(room: StateWriter.Room): Write? {
         if (!loaded || room.ops < 1) return null
@@ -330,7 +337,7 @@
     private companion object {
         /** What a candidate reads before it may lead, in this order. */
         val READ_BEFORE_LEADING =
-            listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, StaticMachines.PREFIX)
+            listOf(JobRecord.KEY_PREFIX, ProgressPageRecord.KEY_PREFIX, DispatchLog.MARK, StaticMachines.PREFIX)
         const val TICK_MS = 100L
         const val FOLLOWER_TICK_MS = 150L
         const val FLEET_MS = 500L
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -145,7 +145,7 @@
         marker.outstanding = 1 // held until the whole marker is read
         for (item in f.list("a")) {
             val parts = item as? List<*> ?: throw Malformed("${row.key} is not a marker")
-            val job = jobs.marked(parts[0].toString()) ?: continue
+            val job = jobs.findForMarker(parts[0].toString()) ?: continue
             val machine = fleet.known(parts[1].toString())
             for (index in indices(parts[2].toString())) {
                 if (index >= job.spec.tasks || job.progress.isDone(index)) continue
--- a/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
@@ -1,11 +1,10 @@
 package org.chalkhollow.core.cluster
 
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
-import org.chalkhollow.core.attempts.AttemptReconciler
 
 /**
  * Owns how long a job's tasks are not placed because they fail: nowhere before [notBefore], and not on machines where
- * one failed lately. Moments are by the steady clock. Written by [AttemptReconciler], read by placement.
+ * one failed lately. Moments are by the steady clock. Written by `AttemptReconciler`, read by placement.
  */
 class FailureBackoff {
     /** Nothing of the job is placed before this moment. */
--- a/src/main/kotlin/org/chalkhollow/core/cluster/FairShareCredit.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FairShareCredit.kt
@@ -1,12 +1,9 @@
 package org.chalkhollow.core.cluster
 
-import org.chalkhollow.core.placement.PlacementRound
-import org.chalkhollow.core.placement.StarvationPrevention
-
 /**
  * Owns when a job was last served, and the credit that it has for having been passed over. All moments are by the time
- * of day, since a new leader goes on counting from [acceptedWall]. Written by [StarvationPrevention] and, for
- * [allPlaced], by [PlacementRound].
+ * of day, since a new leader goes on counting from [acceptedWall]. Written by `StarvationPrevention` and, for
+ * [allPlaced], by `PlacementRound`.
  */
 class FairShareCredit(acceptedWall: Long) {
     /** CPUs that the job is given before others; zero without credit. */
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ObservedRunTimes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ObservedRunTimes.kt
@@ -1,9 +1,7 @@
 package org.chalkhollow.core.cluster
 
-import org.chalkhollow.core.attempts.AttemptReconciler
-
 /**
- * Owns how long those of a job's tasks took that this leader saw run from start to end. Written by [AttemptReconciler].
+ * Owns how long those of a job's tasks took that this leader saw run from start to end. Written by `AttemptReconciler`.
  */
 class ObservedRunTimes {
     private var runs = 0
--- a/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
@@ -1,16 +1,13 @@
 package org.chalkhollow.core.cluster
 
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
-import org.chalkhollow.core.attempts.AttemptReconciler
-import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.placement.ScarceMachineTypes
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Shape
 
 /**
- * A job that is not over, or whose attempts are not all gone yet; indices stand for all names. Made by [JobTable]. What
+ * A job that is not over, or whose attempts are not all gone yet; indices stand for all names. Made by `JobTable`. What
  * changes about it is held by parts with one owner each, which others only read.
  */
 class OpenJob(
@@ -35,10 +32,10 @@
     var cancelling = false
         private set
 
-    /** The one machine type that can hold its tasks although others exist, or -1. Written by [ScarceMachineTypes]. */
+    /** The one machine type that can hold its tasks although others exist, or -1. Written by `ScarceMachineTypes`. */
     var onlyType = -1
 
-    /** Completed attempts whose completion is not durable yet. Written by [AttemptReconciler]. */
+    /** Completed attempts whose completion is not durable yet. Written by `AttemptReconciler`. */
     val unrecorded = ArrayList<Attempt>()
 
     val gang: Boolean get() = spec.shape == Shape.GANG
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
@@ -2,14 +2,13 @@
 
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
 import it.unimi.dsi.fastutil.ints.IntSet
-import org.chalkhollow.core.jobs.JobTable
 import java.util.BitSet
 
 /**
  * Owns what of a job's progress is written in the state service and what is not. Progress is written in pages of
  * [tasksPerPage] tasks each, named by their first task; a stored page may be of another size when a version with other
  * limits wrote it. A completion that is not durable always has its page among the dirty ones or in flight. Written by
- * [JobTable].
+ * `CompletionWriter` and, while records are loaded, `JobTable`.
  */
 class ProgressPages(private val tasksPerPage: Int) {
     private val dirty = BitSet()
--- a/src/main/kotlin/org/chalkhollow/core/cluster/TaskReadiness.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/TaskReadiness.kt
@@ -1,12 +1,11 @@
 package org.chalkhollow.core.cluster
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
-import org.chalkhollow.core.attempts.AttemptReconciler
 import java.util.BitSet
 
 /**
  * Owns which of a job's tasks are ready to be placed, live and running. A task is ready exactly when it is neither done
- * nor live; it is live while at least one of its attempts may be on a machine. Written by [AttemptReconciler].
+ * nor live; it is live while at least one of its attempts may be on a machine. Written by `AttemptReconciler`.
  */
 class TaskReadiness(tasks: Int, private val progress: JobProgress) {
     private val ready = BitSet().apply { set(0, tasks) }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -6,7 +6,6 @@
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
-import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.Interner
@@ -14,22 +13,24 @@
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
-import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.UserCodec
-import java.util.Base64
-import java.util.BitSet
 
-/** Owns the jobs: what is accepted, done and cancelled, and how that is written down. */
+/**
+ * Owns which jobs there are and the durable state of each: an entry for every job that was ever accepted, and an
+ * [OpenJob] for those that are neither done nor cancelled. An entry changes its state only when the record that says so
+ * is durable. Loaded by the controller when it becomes leader; jobs are accepted by `RequestHandler`, cancelled by
+ * [JobCancellation] and completed by [CompletionWriter].
+ */
 class JobTable(private val context: CoreContext, private val names: Interners, private val limits: StateLimits) {
     private val entries = ArrayList<JobEntry>()
     private val openJobs = LinkedHashSet<OpenJob>()
-    private val urgent = ArrayDeque<Write>()
-    private val trash = ArrayDeque<Write>()
 
-    /** What was refused and is tried again, by when. */
-    private val refused = ArrayDeque<Pair<Long, Write>>()
-    private val pageTasks = limits.valueBytes * 2 // a page's Base64 text then takes a third of a value
+    /** While loading: cancelled jobs whose tasks may still be on machines, built when a marker names them. */
+    private val cancelledJobs = HashMap<String, Lazy<OpenJob>>()
+
+    val urgentWrites = UrgentWrites(context)
+    val garbage = KeyGarbageCollector(urgentWrites)
 
+    /** The jobs that are neither done nor cancelled, in the order of acceptance. */
     val open: Collection<OpenJob> get() = openJobs
     val size: Int get() = entries.size
 
@@ -37,9 +38,8 @@
         entries.clear()
         openJobs.clear()
         cancelledJobs.clear()
-        urgent.clear()
-        trash.clear()
-        refused.clear()
+        urgentWrites.clear()
+        garbage.clear()
         names.jobs.clear()
     }
 
@@ -48,231 +48,100 @@
         return if (index == Interner.UNKNOWN) null else entries[index]
     }
 
-    private fun entry(id: String, tasks: Int): JobEntry {
-        val index = names.jobs.intern(id)
-        if (index == entries.size) entries.add(JobEntry(index, tasks))
-        return entries[index]
-    }
-
     /** Whether the record of [spec] fits into one value of the state service. */
-    fun fits(spec: JobSpec): Boolean = EncodedSize.of(record(spec, 0)) <= limits.valueBytes
-
-    private fun record(spec: JobSpec, wall: Long): Map<String, Any?> =
-        mapOf("s" to "open", "at" to wall, "j" to UserCodec.map(spec))
+    fun recordFits(spec: JobSpec): Boolean = EncodedSize.of(JobRecord.encodeOpen(spec, 0)) <= limits.valueBytes
 
     /**
-     * Queues a new job for its durable record; [then] runs once it is accepted, [refused] when its record cannot be
-     * written.
+     * Queues a new job for its durable record; [onAccepted] runs once it is accepted, [onRefused] when its record
+     * cannot be written.
      */
-    fun accept(spec: JobSpec, refused: () -> Unit, then: () -> Unit) {
-        val entry = entry(spec.id, spec.tasks)
+    fun accept(spec: JobSpec, onRefused: () -> Unit, onAccepted: () -> Unit) {
+        val entry = findOrAddEntry(spec.id, spec.tasks)
         val wall = context.now.wall
-        urgent.add(
-            Write(listOf(Change(JOB + spec.id, record(spec, wall))), refused) {
+        val change = Change(JobRecord.key(spec.id), JobRecord.encodeOpen(spec, wall))
+        urgentWrites.add(
+            Write(listOf(change), onRefused) {
                 entry.accepted()
-                openUp(entry, spec, wall)
-                then()
+                addOpenJob(entry, spec, wall)
+                onAccepted()
             },
         )
     }
 
-    private fun openUp(entry: JobEntry, spec: JobSpec, wall: Long): OpenJob =
-        describe(entry, spec, wall).also {
-            entry.opened(it)
-            openJobs.add(it)
-            context.changed()
-        }
-
-    private fun describe(entry: JobEntry, spec: JobSpec, wall: Long): OpenJob {
-        val types = spec.types?.let { list -> IntOpenHashSet(list.map { names.types.intern(it) }) }
-        val image = spec.image?.let(names.images::intern) ?: Interner.UNKNOWN
-        val zone = spec.zone?.let(names.zones::intern) ?: Interner.UNKNOWN
-        return OpenJob(entry, spec, names.teams.find(spec.team), image, types, zone, wall, pageTasks)
-    }
-
-    /** Queues the cancellation of an open job; [then] runs once it is durable. */
-    fun cancel(job: OpenJob, then: () -> Unit) {
-        job.beginCancellation()
-        val records = cancelledRecords(job)
-        val first = records.indexOfFirst { EncodedSize.of(it) <= limits.valueBytes }
-        cancel(job, if (first < 0) records.takeLast(1) else records.drop(first), then)
-    }
-
-    /** Writes the first of [records], or the next when that is refused; the last is tried again and again. */
-    private fun cancel(job: OpenJob, records: List<Map<String, Any?>>, then: () -> Unit) {
-        fun write(record: Map<String, Any?>, onRefused: () -> Unit) =
-            Write(listOf(Change(JOB + job.spec.id, record)), onRefused) {
-                close(job, JobState.CANCELLED)
-                onCancelled(job)
-                then()
-            }
-        if (records.size > 1) {
-            urgent.add(write(records.first()) { cancel(job, records.drop(1), then) })
-        } else {
-            urgent.add(write(records.first()) { later(write(records.first()) { cancel(job, records, then) }) })
-        }
-    }
-
-    /**
-     * What is written of a cancelled job, the fullest first. Its tasks are only waited for, so where they may run can
-     * be left out.
-     */
-    private fun cancelledRecords(job: OpenJob): List<Map<String, Any?>> {
-        val last = finalRecord("cancelled", job)
-        val spec = UserCodec.map(job.spec)
-        val small = spec - "flavours"
-        return listOf(
-            last + ("j" to spec),
-            last + ("j" to small),
-            last + ("j" to small - PLACEMENT_ONLY),
-            last,
-        ).distinct()
-    }
-
-    private fun later(write: Write) {
-        refused.add(context.steady + AGAIN_MS to write)
-    }
-
-    private fun remove(key: String): Write = Write(listOf(Change(key, null)), onRefused = { later(remove(key)) }) {}
-
-    private fun finalRecord(state: String, job: OpenJob): Map<String, Any?> = mapOf("s" to state, "n" to job.spec.tasks)
-
-    private fun close(job: OpenJob, state: JobState) {
+    /** The record that [job] is done or cancelled is durable; the pages of its progress are needed no more. */
+    internal fun end(job: OpenJob, state: JobState) {
         job.entry.ended(state)
         openJobs.remove(job)
-        for (from in job.pages.stored.iterator()) trash.add(remove(pageKey(job, from)))
-    }
-
-    /** Accepted and cancelled jobs come first. */
-    fun nextUrgent(room: StateWriter.Room): Write? {
-        while (refused.isNotEmpty() && context.steady >= refused.first().first) urgent.add(refused.removeFirst().second)
-        val write = urgent.firstOrNull() ?: return null
-        return if (write.fits(room)) urgent.removeFirst() else null
-    }
-
-    /** Then completions: jobs that are over at once, others gathered for a while, since writes are few. */
-    fun nextCompletion(room: StateWriter.Room, attemptsRecorded: (OpenJob, BitSet) -> Unit): Write? {
-        if (room.ops < 1) return null
-        // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
-        var waiting: OpenJob? = null
-        for (job in openJobs) {
-            if (job.cancelling || !job.pages.mayWrite(context.steady)) continue
-            if (job.complete) {
-                return sealed(
-                    job,
-                    attemptsRecorded,
-                ).takeIf { it.fits(room) }?.also { job.pages.completionSent() }
-            }
-            if (waiting == null && context.steady - job.pages.dirtySince >= GATHER_MS) waiting = job
+        for (firstTask in job.pages.stored.iterator()) {
+            garbage.collect(ProgressPageRecord.key(job.spec.id, firstTask))
         }
-        return waiting?.let { page(it, attemptsRecorded, room) }
     }
 
-    private fun sealed(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit): Write {
-        val done = job.progress.snapshot()
-        return Write(listOf(Change(JOB + job.spec.id, finalRecord("done", job))), onRefused = {
-            job.pages.completionRefused(context.steady + AGAIN_MS)
-        }) {
-            job.pages.completionWritten()
-            close(job, JobState.DONE)
-            recorded(job, done)
-            onDone(job)
-        }
+    private fun findOrAddEntry(id: String, tasks: Int): JobEntry {
+        val index = names.jobs.intern(id)
+        if (index == entries.size) entries.add(JobEntry(index, tasks))
+        return entries[index]
     }
 
-    /** Called when a job is durably cancelled. */
-    var onCancelled: (OpenJob) -> Unit = {}
-
-    /** Called when a job is durably done. */
-    var onDone: (OpenJob) -> Unit = {}
-
-    private fun page(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit, room: StateWriter.Room): Write? {
-        val page = job.pages.nextToWrite()
-        if (page < 0) return null
-        val from = job.pages.firstTask(page)
-        val slice = job.progress.slice(from, from + pageTasks)
-        val text = Base64.getEncoder().encodeToString(slice.toByteArray())
-        val key = pageKey(job, from)
-        val write =
-            Write(listOf(Change(key, mapOf("b" to text))), onRefused = {
-                job.pages.pageRefused(page, context.steady + AGAIN_MS)
-            }) {
-                job.pages.pageWritten(page)
-                if (job.entry.state != JobState.OPEN) trash.add(remove(key))
-                val done = BitSet()
-                for (i in slice.stream()) done.set(from + i)
-                recorded(job, done)
-            }
-        if (!write.fits(room)) return null
-        job.pages.pageSent(page, context.steady)
-        return write
+    private fun addOpenJob(entry: JobEntry, spec: JobSpec, acceptedWall: Long) {
+        val job = buildJob(entry, spec, acceptedWall)
+        entry.opened(job)
+        openJobs.add(job)
+        context.changed()
     }
 
-    fun nextTrash(room: StateWriter.Room): Write? {
-        val write = trash.firstOrNull() ?: return null
-        return if (write.fits(room)) trash.removeFirst() else null
+    private fun buildJob(entry: JobEntry, spec: JobSpec, acceptedWall: Long): OpenJob {
+        val types = spec.types?.let { list -> IntOpenHashSet(list.map { names.types.intern(it) }) }
+        val image = spec.image?.let(names.images::intern) ?: Interner.UNKNOWN
+        val zone = spec.zone?.let(names.zones::intern) ?: Interner.UNKNOWN
+        val tasksPerPage = ProgressPageRecord.tasksPerPage(limits.valueBytes)
+        return OpenJob(entry, spec, names.teams.find(spec.team), image, types, zone, acceptedWall, tasksPerPage)
     }
 
-    private fun Write.fits(room: StateWriter.Room): Boolean =
-        changes.size <= room.ops && changes.sumOf { EncodedSize.of(it) } <= room.bytes
-
-    private fun pageKey(job: OpenJob, from: Int): String = PROGRESS + job.spec.id + "/" + from
+    // Loading
 
-    /** Takes in a row that an earlier leader wrote. */
+    /** Takes in the record of a job that an earlier leader wrote. */
     fun loadJob(row: KeyValue) {
-        val f = Fields.of(row.value, row.key)
-        val id = row.key.substring(JOB.length)
-        when (f.text("s")) {
-            "open" -> {
-                val spec = UserCodec.storedJob(Fields.of(f.map["j"], row.key))
-                val entry = entry(id, spec.tasks)
+        val id = JobRecord.jobId(row)
+        when (val record = JobRecord.decode(row)) {
+            is JobRecord.Open -> {
+                val entry = findOrAddEntry(id, record.spec.tasks)
+                // Before the moment is read: a job whose moment is unreadable must not be accepted a second time.
                 entry.accepted()
-                openUp(entry, spec, f.long("at"))
-            }
-            "done" -> entry(id, f.long("n").toInt()).ended(JobState.DONE)
-            else -> {
-                val entry = entry(id, f.long("n").toInt())
-                entry.ended(JobState.CANCELLED)
-                // Its tasks may still be on machines, and count against the team's limit until they are gone: an
-                // earlier version forgot them at a change of leader and let the team exceed its limit.
-                f.map["j"]?.let { spec ->
-                    cancelledJobs[id] =
-                        lazy { describe(entry, UserCodec.storedJob(Fields.of(spec, row.key)), 0) }
-                }
+                addOpenJob(entry, record.spec, record.acceptedWall())
             }
+            is JobRecord.Done -> findOrAddEntry(id, record.tasks).ended(JobState.DONE)
+            is JobRecord.Cancelled -> loadCancelled(id, record)
         }
     }
 
+    /**
+     * A cancelled job's tasks may still be on machines, and count against the team's limit until they are gone: an
+     * earlier version forgot them at a change of leader and let the team exceed its limit.
+     */
+    private fun loadCancelled(id: String, record: JobRecord.Cancelled) {
+        val entry = findOrAddEntry(id, record.tasks)
+        entry.ended(JobState.CANCELLED)
+        if (record.describesJob) cancelledJobs[id] = lazy { buildJob(entry, record.readSpec(), 0) }
+    }
+
     /** Takes in a page of done tasks; pages of jobs that are over are removed. */
     fun loadPage(row: KeyValue) {
-        val parts = row.key.substring(PROGRESS.length).split('/')
-        val job = find(parts[0])?.open
-        if (job == null) {
-            trash.add(remove(row.key))
-            return
-        }
-        val from = parts[1].toInt()
-        val bits = BitSet.valueOf(Base64.getDecoder().decode(Fields.of(row.value, row.key).text("b")))
-        for (i in bits.stream()) job.restoreCompletion(from + i)
-        job.pages.loaded(from, bits, job.spec.tasks)
+        val job = find(ProgressPageRecord.jobId(row))?.open ?: return garbage.collect(row.key)
+        val page = ProgressPageRecord.decode(row)
+        for (index in page.done.stream()) job.restoreCompletion(page.firstTask + index)
+        job.pages.loaded(page.firstTask, page.done, job.spec.tasks)
     }
 
-    private val cancelledJobs = HashMap<String, Lazy<OpenJob>>()
-
-    /** While loading: the job whose attempts a marker lists, unless all of them are certainly over. */
-    fun marked(id: String): OpenJob? = find(id)?.open ?: cancelledJobs[id]?.value
+    /**
+     * While loading: the job whose attempts a dispatch marker lists, or null when all of them are certainly over.
+     * Called by `DispatchLog`.
+     */
+    fun findForMarker(id: String): OpenJob? = find(id)?.open ?: cancelledJobs[id]?.value
 
-    /** A job whose last page was written but not its end: the end is written now. */
-    fun afterLoad() {
+    /** All records are loaded. A job whose last page was written but not its end: the end is written now. */
+    fun finishLoading() {
         cancelledJobs.clear()
         for (job in openJobs) if (job.complete) job.pages.completionMissing()
     }
-
-    companion object {
-        const val JOB = "job/"
-        const val PROGRESS = "prog/"
-        private const val GATHER_MS = 1500L
-        private const val AGAIN_MS = 3000L
-        private val PLACEMENT_ONLY = setOf("bundle", "pullGb", "site", "dueS")
-    }
 }
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -11,6 +11,7 @@
 import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobCancellation
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.leadership.Leadership
@@ -31,6 +32,7 @@
     private val leadership: Leadership,
     private val log: StateWriter,
     private val jobs: JobTable,
+    private val cancellation: JobCancellation,
     private val quotas: Quotas,
     private val fleet: Fleet,
     private val names: Interners,
@@ -118,10 +120,10 @@
         }
         if (!fleet.catalogKnown) return later(call)
         if (!canEverRun(spec)) return reply(call, HttpStatus.UNPROCESSABLE)
-        if (!jobs.fits(spec)) return reply(call, HttpStatus.BAD_REQUEST)
+        if (!jobs.recordFits(spec)) return reply(call, HttpStatus.BAD_REQUEST)
         if (log.stalled() || accepting.size >= MAX_ACCEPTING) return later(call)
         accepting[spec.id] = Waiting(arrayListOf(call), context.steady)
-        jobs.accept(spec, refused = { accepting.remove(spec.id)?.calls?.forEach(::later) }) {
+        jobs.accept(spec, onRefused = { accepting.remove(spec.id)?.calls?.forEach(::later) }) {
             accepting.remove(spec.id)?.calls?.forEachIndexed { i, c ->
                 reply(c, if (i == 0) HttpStatus.CREATED else HttpStatus.OK, UserCodec.status(spec.id, "queued"))
             }
@@ -199,7 +201,7 @@
             job.complete -> finishing.getOrPut(id) { Waiting(ArrayList(), context.steady) }.calls.add(call)
             else -> {
                 cancelling[id] = Waiting(arrayListOf(call), context.steady)
-                jobs.cancel(job) {
+                cancellation.cancel(job) {
                     cancelling.remove(id)?.calls?.forEach { reply(it, HttpStatus.OK, UserCodec.status(id, "aborted")) }
                 }
             }
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -1,6 +1,7 @@
 package org.chalkhollow
 
-import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.JobRecord
+import org.chalkhollow.core.jobs.ProgressPageRecord
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.simulation.FaultInjection
@@ -107,10 +108,10 @@
         var atUpgrade = 0
 
         fun watch() {
-            val record = r.state.stored(JobTable.JOB + id)[JobTable.JOB + id]
+            val record = r.state.stored(JobRecord.KEY_PREFIX + id)[JobRecord.KEY_PREFIX + id]
             if (record != null && Fields.of(record, id).text("s") == "open") {
                 val written = BitSet()
-                for ((key, value) in r.state.stored(JobTable.PROGRESS + id + "/")) {
+                for ((key, value) in r.state.stored(ProgressPageRecord.KEY_PREFIX + id + "/")) {
                     val from = key.substringAfterLast('/').toInt()
                     for (i in BitSet.valueOf(Base64.getDecoder().decode(Fields.of(value, key).text("b"))).stream()) {
                         written.set(from + i)
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -4,7 +4,9 @@
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.JobRecord
 import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.ProgressPageRecord
 import org.chalkhollow.core.leadership.LeadershipRecord
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.KeyValue
@@ -82,7 +84,7 @@
         val promises = messages.filterIsInstance<PeerMessage.FollowerLeaseResponse>()
         assertTrue(promises.any { it.heartbeats > 0 }, "no promise counts reports")
         assertTrue(promises.any { it.prepared }, "no promise of a prepared peer")
-        val described = version.records(JobTable.JOB).mapNotNull { fields(it).map["j"] as? Map<*, *> }
+        val described = version.records(JobRecord.KEY_PREFIX).mapNotNull { fields(it).map["j"] as? Map<*, *> }
         val optional = setOf("bundle", "pullGb", "flavours", "site", "dueS")
         assertEquals(emptySet<String>(), optional - described.flatMap { it.keys }.toSet(), "no job has these")
         assertEquals(
@@ -96,10 +98,10 @@
     fun `a version's jobs are read as they were written`(version: Version) {
         val names = Interners().apply { listOf("red", "blue").forEach(teams::intern) }
         val jobs = JobTable(CoreContext(1), names, limits)
-        for (line in version.records(JobTable.JOB)) {
+        for (line in version.records(JobRecord.KEY_PREFIX)) {
             jobs.loadJob(row(line))
             val f = fields(line)
-            val entry = checkNotNull(jobs.find(line.name.removePrefix(JobTable.JOB)))
+            val entry = checkNotNull(jobs.find(line.name.removePrefix(JobRecord.KEY_PREFIX)))
             val expected =
                 mapOf(
                     "open" to JobState.OPEN,
@@ -109,7 +111,7 @@
             assertEquals(expected, entry.state, line.name)
             if (expected != JobState.OPEN) assertEquals(f.long("n").toInt(), entry.tasks)
             val described = f.map["j"] ?: continue
-            val spec = checkNotNull(jobs.marked(line.name.removePrefix(JobTable.JOB))).spec
+            val spec = checkNotNull(jobs.findForMarker(line.name.removePrefix(JobRecord.KEY_PREFIX))).spec
             assertArrayEquals(Pack.encode(described), Pack.encode(UserCodec.map(spec)), line.name)
             if (expected == JobState.OPEN) assertEquals(f.long("at"), entry.open?.acceptedWall)
         }
@@ -118,17 +120,25 @@
     @ParameterizedTest
     @EnumSource
     fun `a version's pages count for the tasks that they name, also where ours are smaller`(version: Version) {
-        for (line in version.records(JobTable.PROGRESS)) {
-            val (id, from) = line.name.removePrefix(JobTable.PROGRESS).split('/')
+        for (line in version.records(ProgressPageRecord.KEY_PREFIX)) {
+            val (id, from) = line.name.removePrefix(ProgressPageRecord.KEY_PREFIX).split('/')
             val bits = BitSet.valueOf(Base64.getDecoder().decode(fields(line).text("b")))
             val job =
                 Pack.decodeMap(
-                    version.records(JobTable.JOB).first { Recording.kind(it.name, it.bytes) == "job open batch" }.bytes,
+                    version
+                        .records(
+                            JobRecord.KEY_PREFIX,
+                        ).first { Recording.kind(it.name, it.bytes) == "job open batch" }
+                        .bytes,
                 )
             val spec = Fields.of(job.map["j"], "j").map + mapOf("nameId" to id, "pieces" to 100_000)
             val jobs = JobTable(CoreContext(1), Interners(), limits.copy(valueBytes = 1024))
             jobs.loadJob(
-                KeyValue(JobTable.JOB + id, Pack.decode(Pack.encode(mapOf("s" to "open", "at" to 5L, "j" to spec))), 1),
+                KeyValue(
+                    JobRecord.KEY_PREFIX + id,
+                    Pack.decode(Pack.encode(mapOf("s" to "open", "at" to 5L, "j" to spec))),
+                    1,
+                ),
             )
             jobs.loadPage(row(line))
             val done = checkNotNull(jobs.find(id)?.open).progress.snapshot()
@@ -235,7 +245,7 @@
         foreign("mark/000000000001/1", mapOf("n" to 65537L, "a" to listOf(listOf("j-1", "n-1", "0-3", 2L))))
         foreign("fleet/spares", mapOf("names" to listOf("n-1")))
         foreign("fleet/images/0", mapOf("images" to listOf("i"), "held" to mapOf("n-1" to "i")))
-        val open = Version.PRODUCTION.records(JobTable.JOB).first { fields(it).text("s") == "open" }
+        val open = Version.PRODUCTION.records(JobRecord.KEY_PREFIX).first { fields(it).text("s") == "open" }
         val spec = Fields.of(fields(open).map["j"], "j").map
         for (change in listOf(
             "shape" to "stream",
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ProgressPagesTest.kt
@@ -58,13 +58,21 @@
     private inner class Leader(private val valueBytes: Int, loaded: Boolean = true) {
         val context = CoreContext(1)
         val jobs = JobTable(context, Interners(), limits(valueBytes))
+        val cancellation = JobCancellation(jobs, limits(valueBytes)) {}
+        private val completions = CompletionWriter(context, jobs, { _, _ -> }, {})
         private var t = 0L
 
         init {
             context.now = Now(0, 0)
-            for ((k, v) in store.filterKeys { it.startsWith(JobTable.JOB) }) jobs.loadJob(KeyValue(k, v, 1))
-            for ((k, v) in store.filterKeys { it.startsWith(JobTable.PROGRESS) }) jobs.loadPage(KeyValue(k, v, 1))
-            if (loaded) jobs.afterLoad()
+            for ((k, v) in store.filterKeys { it.startsWith(JobRecord.KEY_PREFIX) }) jobs.loadJob(KeyValue(k, v, 1))
+            for ((k, v) in store.filterKeys {
+                it.startsWith(
+                    ProgressPageRecord.KEY_PREFIX,
+                )
+            }) {
+                jobs.loadPage(KeyValue(k, v, 1))
+            }
+            if (loaded) jobs.finishLoading()
         }
 
         val job: OpenJob get() = checkNotNull(jobs.find("j-000001")?.open)
@@ -73,7 +81,7 @@
             t += 2000
             context.now = Now(t, t)
             val room = StateWriter.Room(11, 40 * 1024)
-            return jobs.nextUrgent(room) ?: jobs.nextCompletion(room) { _, _ -> } ?: jobs.nextTrash(room)
+            return jobs.urgentWrites.next(room) ?: completions.next(room) ?: jobs.garbage.next(room)
         }
 
         fun apply(write: Write) {
@@ -100,7 +108,7 @@
         }
 
         fun accept(tasks: Int): Leader {
-            jobs.accept(spec(tasks), refused = {}) {}
+            jobs.accept(spec(tasks), onRefused = {}) {}
             writeAll()
             return this
         }
@@ -111,7 +119,7 @@
     /** What any version reads of the job's progress: the union of all pages, whatever their keys. */
     private fun stored(): BitSet {
         val all = BitSet()
-        for ((k, v) in store.filterKeys { it.startsWith(JobTable.PROGRESS) }) {
+        for ((k, v) in store.filterKeys { it.startsWith(ProgressPageRecord.KEY_PREFIX) }) {
             val from = k.substringAfterLast('/').toInt()
             for (i in BitSet.valueOf(Base64.getDecoder().decode(Fields.of(v, k).text("b"))).stream()) all.set(from + i)
         }
@@ -152,7 +160,7 @@
             last.writeAll()
             assertEquals(JobState.DONE, last.jobs.find("j-000001")?.state)
             Leader(after).writeAll()
-            assertEquals(listOf(JobTable.JOB + "j-000001"), store.keys.toList(), "pages are left behind")
+            assertEquals(listOf(JobRecord.KEY_PREFIX + "j-000001"), store.keys.toList(), "pages are left behind")
         }
     }
 
@@ -179,14 +187,14 @@
 
     private fun cancelled(job: JobSpec, valueBytes: Int): Fields {
         val before = Leader(8192)
-        before.jobs.accept(job, refused = {}) {}
+        before.jobs.accept(job, onRefused = {}) {}
         before.writeAll()
         val leader = Leader(valueBytes)
-        leader.jobs.cancel(leader.job) {}
+        leader.cancellation.cancel(leader.job) {}
         leader.writeAll()
         val again = Leader(valueBytes)
         assertEquals(JobState.CANCELLED, again.jobs.find(job.id)?.state)
-        return Fields.of(store.getValue(JobTable.JOB + job.id), "record")
+        return Fields.of(store.getValue(JobRecord.KEY_PREFIX + job.id), "record")
     }
 
     @Test
@@ -201,7 +209,7 @@
             "red",
             Leader(1024, loaded = false)
                 .jobs
-                .marked("j-000001")
+                .findForMarker("j-000001")
                 ?.spec
                 ?.team,
         )
@@ -210,7 +218,7 @@
     @Test
     fun `a cancellation that is refused is tried smaller, then again and again`() {
         val leader = Leader(8192).accept(5)
-        leader.jobs.cancel(leader.job) {}
+        leader.cancellation.cancel(leader.job) {}
         val sizes = ArrayList<Int>()
         repeat(8) {
             val write = leader.next() ?: return@repeat
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -77,8 +77,11 @@
                 saveS = 0.0,
                 dueS = null,
             )
-        jobs.accept(change(spec), refused = {}) {}
-        jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
+        jobs.accept(change(spec), onRefused = {}) {}
+        jobs.urgentWrites
+            .next(StateWriter.Room(10, 10_000))
+            ?.onDurable
+            ?.invoke()
         return checkNotNull(jobs.find("j-1")?.open)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -50,8 +50,11 @@
                 saveS = 0.0,
                 dueS = null,
             )
-        jobs.accept(spec, refused = {}) {}
-        jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
+        jobs.accept(spec, onRefused = {}) {}
+        jobs.urgentWrites
+            .next(StateWriter.Room(10, 10_000))
+            ?.onDurable
+            ?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
@@ -234,7 +234,7 @@
         jobs.loadJob(KeyValue("job/j-000011", mapOf("s" to "open", "at" to 1L, "j" to spec), 1))
         assertEquals(JobState.OPEN, jobs.find("j-000011")?.state)
         jobs.loadJob(KeyValue("job/j-000012", mapOf("s" to "cancelled", "n" to 2L, "j" to spec + ("nameId" to "j-000012")), 1))
-        assertEquals("j-000012", jobs.marked("j-000012")?.spec?.id)
+        assertEquals("j-000012", jobs.findForMarker("j-000012")?.spec?.id)
     }
 
     // A leader that has not read everything, or is none any more, does not know what was never accepted.
