--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -128,11 +128,11 @@
         // Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came
         // out the same, the one's completion was taken for the other's.
         val known = HashMap<Identity, Attempt>(m.attempts.size * 2)
-        for (a in m.attempts) known[Identity(a.job.entry.id, a.index, a.number)] = a
+        for (a in m.attempts) known[Identity(a.job.entry.index, a.index, a.number)] = a
         val reported = HashMap<Attempt, TaskStatus>(heartbeat.tasks.size * 2)
         val unknown = ArrayList<TaskStatus>()
         for (t in heartbeat.tasks) {
-            val a = jobs.find(t.jobId)?.let { known[Identity(it.id, t.index, t.attempt)] }
+            val a = jobs.find(t.jobId)?.let { known[Identity(it.index, t.index, t.attempt)] }
             if (a == null) unknown.add(t) else reported[a] = t
         }
         for (a in ArrayList(m.attempts)) {
@@ -240,7 +240,7 @@
 
     private fun failed(a: Attempt) {
         val job = a.job
-        a.machine.failedJobs.add(job.entry.id)
+        a.machine.failedJobs.add(job.entry.index)
         job.backoff.taskFailed(a.machine.id, context.steady)
         context.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
     }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/JobEntry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/JobEntry.kt
@@ -6,7 +6,7 @@
  * What stays of a job for ever: its index, its size, and its durable state, which is null while the job is being
  * accepted. [open] is set exactly while the job is neither done nor cancelled. Written by `JobTable` alone.
  */
-class JobEntry(val id: Int, val tasks: Int) {
+class JobEntry(val index: Int, val tasks: Int) {
     var state: JobState? = null
         private set
     var open: OpenJob? = null
--- a/src/main/kotlin/org/chalkhollow/core/jobs/Quotas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/Quotas.kt
@@ -36,18 +36,18 @@
         }
 
     /** Whether this much fits into what the team is guaranteed. */
-    fun guarantees(team: Int, cpus: Double, gpus: Double): Boolean =
+    fun withinGuarantee(team: Int, cpus: Double, gpus: Double): Boolean =
         team >= 0 && cpus <= teams[team].cpus + Resources.EPSILON && gpus <= teams[team].gpus + Resources.EPSILON
 
     /** CPUs that the team uses. */
-    fun cpusOf(team: Int): Double = cpus[team]
+    fun usedCpus(team: Int): Double = cpus[team]
 
     /** Whether the team runs more than its guarantee. */
-    fun beyond(team: Int): Boolean =
+    fun exceedsGuarantee(team: Int): Boolean =
         cpus[team] > teams[team].cpus + Resources.EPSILON || gpus[team] > teams[team].gpus + Resources.EPSILON
 
     /** Whether one task of this size could ever be allowed. */
-    fun possible(team: Int, taskResources: Resources): Boolean =
+    fun couldEverFit(team: Int, taskResources: Resources): Boolean =
         count(teams[team].cpusMax, teams[team].gpusMax, taskResources) > 0
 
     private fun count(cpusLeft: Double, gpusLeft: Double, taskResources: Resources): Int =
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -41,7 +41,7 @@
      * Whether users of this class wait for its tasks to start, as they do for a service's replicas: sooner than a
      * machine can be had for them, so that room has to be there already.
      */
-    fun startsCount(job: OpenJob): Boolean =
+    fun awaitsPromptStart(job: OpenJob): Boolean =
         job.service || (starts[job.spec.workload]?.firstOrNull() ?: return false) < leastBootMs()
 
     /**
@@ -49,11 +49,12 @@
      * starting. Ending with the first of them put what had just come before what had waited for seconds, and half a
      * flood of urgent work was late that need not be.
      */
-    fun startable(job: OpenJob, wall: Long): Boolean =
-        job.service || startsCount(job) && wall < job.acceptedWall + (starts[job.spec.workload]?.last() ?: return false)
+    fun canStartInTime(job: OpenJob, wall: Long): Boolean =
+        job.service ||
+            awaitsPromptStart(job) && wall < job.acceptedWall + (starts[job.spec.workload]?.last() ?: return false)
 
     /** Whether most of the time that the class's tasks may wait for their start is over, and not all of it. */
-    fun mustStart(job: OpenJob, wall: Long): Boolean {
+    fun startDeadlineNear(job: OpenJob, wall: Long): Boolean {
         val waited = wall - job.acceptedWall
         return starts[job.spec.workload]?.any {
             it >= leastBootMs() && waited < it && waited * WAITED_OF >= it * WAITED
@@ -62,7 +63,7 @@
     }
 
     /** Whether tasks within a guarantee that start now are still in time. */
-    fun freshGuarantee(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithin
+    fun guaranteeStartsInTime(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithin
 
     /**
      * When the job should be over, by its owner's deadline and its class's objectives: the first moment that can still
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -52,7 +52,7 @@
             jobs.size,
             jobs.open.size,
             classes(),
-            teams.mapIndexed { i, t -> TeamView(t.name, quotas.cpusOf(i), t.cpus, t.cpusMax) },
+            teams.mapIndexed { i, t -> TeamView(t.name, quotas.usedCpus(i), t.cpus, t.cpusMax) },
             machines(),
             controllers,
             versions.allNew,
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -52,7 +52,7 @@
                 { if (starvation.goesFirst(it)) 0 else standing(it).ordinal },
                 { if (starvation.goesFirst(it)) starvation.turn(it) else due(it) },
                 { if (starvation.goesFirst(it)) it.credit.sinceWall else it.acceptedWall },
-                { it.entry.id },
+                { it.entry.index },
             ),
         )
     }
@@ -60,24 +60,25 @@
     /** Whether neither of two jobs has to go before the other. */
     fun alike(a: OpenJob, b: OpenJob): Boolean {
         if (starvation.goesFirst(a) || starvation.goesFirst(b) || a.spec.priority != b.spec.priority) return false
-        if (objectives.startsCount(a) != objectives.startsCount(b)) return false
+        if (objectives.awaitsPromptStart(a) != objectives.awaitsPromptStart(b)) return false
         return standing(a) == standing(b) && (canWait(a) || standing(a) == Candidate.LATE)
     }
 
     fun withinGuarantee(job: OpenJob): Boolean = job in guaranteed
 
     /** Whether the job is within its team's guarantee, and users would still see it start in time. */
-    fun freshGuarantee(job: OpenJob): Boolean = withinGuarantee(job) && objectives.freshGuarantee(job, context.now.wall)
+    fun freshGuarantee(job: OpenJob): Boolean =
+        withinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
 
     /** Whether the job leaves the room free that is kept for urgent work to come. */
     fun yields(job: OpenJob): Boolean {
-        if (job.spec.priority < Priority.STANDARD || objectives.startsCount(job)) return false
+        if (job.spec.priority < Priority.STANDARD || objectives.awaitsPromptStart(job)) return false
         return !withinGuarantee(job) && !pressing(job, 0.0) && !job.credit.waitsLong(context.now.wall)
     }
 
     /** Whether a job that waits for [waitS] more seconds would start or end too late. */
     fun pressing(job: OpenJob, waitS: Double): Boolean {
-        if (objectives.startsCount(job) || withinGuarantee(job)) return true
+        if (objectives.awaitsPromptStart(job) || withinGuarantee(job)) return true
         val due = due(job)
         if (due == Long.MAX_VALUE) return false
         return context.now.wall + (waitS + job.spec.expectedS * LATE_FACTOR) * MS_PER_S > due
@@ -91,7 +92,7 @@
             if (job.cancelling || job.complete) continue
             val c = cpus.merge(job.team, job.taskResources.cpus * job.spec.tasks, Double::plus) ?: 0.0
             val g = gpus.merge(job.team, job.taskResources.gpus * job.spec.tasks, Double::plus) ?: 0.0
-            if (quotas.guarantees(job.team, c, g)) guaranteed.add(job)
+            if (quotas.withinGuarantee(job.team, c, g)) guaranteed.add(job)
         }
     }
 
@@ -104,9 +105,9 @@
      */
     private fun standing(job: OpenJob): Candidate =
         when {
-            objectives.startable(job, context.now.wall) -> Candidate.IN_TIME_TO_START
+            objectives.canStartInTime(job, context.now.wall) -> Candidate.IN_TIME_TO_START
             freshGuarantee(job) -> Candidate.IN_TIME_TO_START
-            objectives.mustStart(job, context.now.wall) -> Candidate.IN_TIME_TO_START
+            objectives.startDeadlineNear(job, context.now.wall) -> Candidate.IN_TIME_TO_START
             hopeless(job) || job in givenUp -> Candidate.LATE
             withinGuarantee(job) -> Candidate.GUARANTEED
             else -> Candidate.COMMON
@@ -150,7 +151,7 @@
      * in time goes first: running what is late anyway would only make the rest late too.
      */
     private fun hopeless(job: OpenJob): Boolean {
-        if (objectives.startable(job, context.now.wall)) return false
+        if (objectives.canStartInTime(job, context.now.wall)) return false
         val due = due(job)
         return due != Long.MAX_VALUE && context.now.wall + job.spec.expectedS * SURE_FACTOR * MS_PER_S > due
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -86,7 +86,7 @@
     }
 
     private fun fitting(job: OpenJob, machines: List<Machine>, heldOnly: Boolean): ArrayList<Machine> {
-        val urgent = objectives.startsCount(job)
+        val urgent = objectives.awaitsPromptStart(job)
         val fits = ArrayList<Machine>()
         for (m in machines) {
             if (!job.taskResources.fitsIn(m.left) || !allowed(job, m)) continue
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -83,7 +83,7 @@
             while (end < waiting.size && order.alike(first, waiting[end])) end++
             // Among jobs of one standing, a machine goes first to one whose image it holds: fetching costs machine
             // time.
-            if (end - i > 1 && !objectives.startsCount(first)) {
+            if (end - i > 1 && !objectives.awaitsPromptStart(first)) {
                 for (k in i until end) round.serve(waiting[k], heldOnly = true)
             }
             for (k in i until end) round.serve(waiting[k], heldOnly = false)
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -54,7 +54,7 @@
     }
 
     private fun claimOf(u: UnplacedTasks): Claim? {
-        val urgent = objectives.startable(u.job, context.now.wall) && u.job.spec.priority <= Priority.HIGH
+        val urgent = objectives.canStartInTime(u.job, context.now.wall) && u.job.spec.priority <= Priority.HIGH
         val fromCredit = order.freshGuarantee(u.job)
         return if (u.job.gang || !urgent && !fromCredit) null else Claim(u, urgent, fromCredit)
     }
@@ -170,7 +170,7 @@
 
     /** Whether [a] runs on what its team has beyond its guarantee, and [by] is another's and no less urgent. */
     private fun borrows(a: Attempt, by: OpenJob): Boolean =
-        a.job.team != by.team && a.job.spec.priority >= by.spec.priority && quotas.beyond(a.job.team)
+        a.job.team != by.team && a.job.spec.priority >= by.spec.priority && quotas.exceedsGuarantee(a.job.team)
 
     private companion object {
         /** Less is lost by stopping a task that began this short a time ago than by letting others wait. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -60,7 +60,7 @@
     fun sparedFor(job: OpenJob, type: Int): Boolean {
         val t = context.steady
         if (t - seenAt.get(type) > SCARCE_MS || job.onlyType == type) return false
-        if (objectives.startsCount(job) || job.spec.priority < Priority.STANDARD) return false
+        if (objectives.awaitsPromptStart(job) || job.spec.priority < Priority.STANDARD) return false
         if (job.credit.waitsLong(context.now.wall)) return false
         return context.now.wall - job.acceptedWall < WAITED_MS || t - waitedAt.get(type) < WAITED_MS
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
@@ -22,8 +22,8 @@
     fun noteSizes() {
         var newest = newestSeen
         for (job in jobs.open) {
-            if (job.entry.id <= newestSeen || !objectives.startsCount(job)) continue
-            newest = maxOf(newest, job.entry.id)
+            if (job.entry.index <= newestSeen || !objectives.awaitsPromptStart(job)) continue
+            newest = maxOf(newest, job.entry.index)
             if (job.service) continue
             sizes.addLast(job.taskResources.cpus * job.spec.tasks)
             if (sizes.size > SIZES_KEPT) sizes.removeFirst()
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -148,7 +148,7 @@
         val team = names.teams.find(spec.team)
         if (team < 0) return false
         val atOnce = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
-        if (!quotas.possible(
+        if (!quotas.couldEverFit(
                 team,
                 Resources(spec.taskResources.cpus * atOnce, spec.taskResources.gpus * atOnce, 0.0),
             )
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -41,8 +41,8 @@
         assertEquals(4, quotas.headroom(0, taskResources, Resources(0.0, 0.0, 0.0)))
         quotas.add(0, taskResources)
         assertEquals(2, quotas.headroom(0, taskResources, Resources(4.0, 0.0, 0.0)))
-        assertTrue(quotas.guarantees(0, 8.0, 0.0))
-        assertFalse(quotas.guarantees(0, 8.1, 0.0))
+        assertTrue(quotas.withinGuarantee(0, 8.0, 0.0))
+        assertFalse(quotas.withinGuarantee(0, 8.1, 0.0))
         assertEquals(0, quotas.headroom(-1, taskResources, Resources(0.0, 0.0, 0.0)), "a team the settings do not know has no room")
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
@@ -54,14 +54,14 @@
     // One aim of each kind was kept once, the last: then every class with a limit of minutes passed for urgent.
     @Test
     fun `only a class whose users wait for starts is one, whatever else is said of it`() {
-        assertTrue(objectives.startsCount(job("urgent", null)))
-        assertFalse(objectives.startsCount(job("batch", null)))
-        assertTrue(objectives.startable(job("urgent", null), 69_000))
-        assertFalse(objectives.startable(job("urgent", null), 71_000))
-        assertFalse(objectives.startable(job("batch", null), 1_000))
-        assertFalse(objectives.mustStart(job("batch", null), 70_000))
-        assertTrue(objectives.mustStart(job("batch", null), 80_000))
-        assertFalse(objectives.mustStart(job("batch", null), 151_000))
+        assertTrue(objectives.awaitsPromptStart(job("urgent", null)))
+        assertFalse(objectives.awaitsPromptStart(job("batch", null)))
+        assertTrue(objectives.canStartInTime(job("urgent", null), 69_000))
+        assertFalse(objectives.canStartInTime(job("urgent", null), 71_000))
+        assertFalse(objectives.canStartInTime(job("batch", null), 1_000))
+        assertFalse(objectives.startDeadlineNear(job("batch", null), 70_000))
+        assertTrue(objectives.startDeadlineNear(job("batch", null), 80_000))
+        assertFalse(objectives.startDeadlineNear(job("batch", null), 151_000))
     }
 
     @Test
@@ -88,7 +88,7 @@
         val service = job("batch", 20.0, Shape.SERVICE)
         assertEquals(Long.MAX_VALUE, objectives.dueWall(service, 0, 0))
         assertEquals(Long.MAX_VALUE, objectives.dueWall(service, 400_000, 0))
-        assertTrue(objectives.startsCount(service))
-        assertTrue(objectives.startable(service, 400_000))
+        assertTrue(objectives.awaitsPromptStart(service))
+        assertTrue(objectives.canStartInTime(service, 400_000))
     }
 }
