--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/FairShareCreditTest.kt
@@ -0,0 +1,29 @@
+package org.chalkhollow.core.cluster
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class FairShareCreditTest {
+    private val credit = FairShareCredit(acceptedWall = 1_000)
+
+    @Test
+    fun `what is placed uses credit up, down to none`() {
+        credit.grant(cpus = 4.0, sinceWall = 2_000)
+        credit.placed(placedCpus = 3.0, wall = 3_000)
+        assertEquals(1.0, credit.cpus)
+        credit.placed(placedCpus = 3.0, wall = 4_000)
+        assertEquals(0.0, credit.cpus)
+        assertEquals(4_000, credit.lastPlacedWall)
+    }
+
+    @Test
+    fun `a job waits long when some of it has been waiting for a minute, whatever was placed meanwhile`() {
+        credit.placed(placedCpus = 1.0, wall = 50_000)
+        assertFalse(credit.waitsLong(61_000))
+        assertTrue(credit.waitsLong(61_001))
+        credit.allPlaced(61_001)
+        assertFalse(credit.waitsLong(61_002))
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPagesTest.kt
@@ -0,0 +1,65 @@
+package org.chalkhollow.core.cluster
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.util.BitSet
+
+/** What is dirty and which page comes next; that nothing is lost when versions change is tested with the records. */
+class ProgressPagesTest {
+    private val pages = ProgressPages(tasksPerPage = 10)
+
+    private fun bits(vararg indices: Int) = BitSet().apply { indices.forEach(::set) }
+
+    @Test
+    fun `completions are gathered from the first that is not written`() {
+        pages.taskDone(3, t = 100)
+        pages.taskDone(25, t = 200)
+        assertEquals(100, pages.dirtySince)
+        assertEquals(0, pages.nextToWrite())
+        pages.pageSent(0, t = 300)
+        assertEquals(300, pages.dirtySince)
+        assertEquals(2, pages.nextToWrite())
+    }
+
+    @Test
+    fun `a refused page is dirty again, and is tried from the given moment on`() {
+        pages.taskDone(3, t = 100)
+        pages.pageSent(0, t = 100)
+        assertFalse(pages.mayWrite(100))
+        pages.pageRefused(0, retryAt = 500)
+        assertFalse(pages.mayWrite(499))
+        assertTrue(pages.mayWrite(500))
+    }
+
+    @Test
+    fun `nothing else is written while the completion of the job is under way`() {
+        pages.completionMissing()
+        assertTrue(pages.mayWrite(0))
+        pages.completionSent()
+        assertFalse(pages.mayWrite(0))
+        pages.completionRefused(retryAt = 7)
+        assertTrue(pages.mayWrite(7))
+    }
+
+    @Test
+    fun `an oversized page is overwritten only after what it has beyond its own tasks, the highest first`() {
+        pages.loaded(from = 0, done = bits(1, 12, 35), tasks = 40)
+        val order = ArrayList<Int>()
+        while (pages.mayWrite(0)) {
+            val page = pages.nextToWrite()
+            order.add(page)
+            pages.pageSent(page, t = 0)
+            pages.pageWritten(page)
+        }
+        assertEquals(listOf(3, 1, 0), order)
+        assertEquals(setOf(0, 10, 30), pages.stored.toSet())
+    }
+
+    @Test
+    fun `a page that fits is not written again`() {
+        pages.loaded(from = 10, done = bits(0, 9), tasks = 40)
+        assertFalse(pages.mayWrite(0))
+    }
+}
