--- a/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
@@ -34,6 +34,7 @@
 
     /** The one machine type that can hold its tasks although others exist, or -1. Written by `ScarceMachineTypes`. */
     var onlyType = -1
+        private set
 
     /** Completed attempts whose completion is not durable yet. Written by `AttemptReconciler`. */
     val unrecorded = ArrayList<Attempt>()
@@ -57,6 +58,10 @@
     fun fitsType(index: Int, type: MachineType): Boolean =
         (types == null || index in types) && taskResources.fitsIn(type.room)
 
+    fun updateOnlyType(type: Int) {
+        onlyType = type
+    }
+
     fun beginCancellation() {
         cancelling = true
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -26,7 +26,7 @@
     fun note() {
         for (job in jobs.open) {
             val type = onlyType(job)
-            job.onlyType = type
+            job.updateOnlyType(type)
             if (type < 0) continue
             seenAt.put(type, context.steady)
             if (!job.tasks.noneReady) waitedAt.put(type, context.steady)
