--- a/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
@@ -7,7 +7,7 @@
 import java.util.BitSet
 
 /** What is dirty and which page comes next; that nothing is lost when versions change is tested with the records. */
-class ProgressPagesTest {
+class ProgressPageOrderTest {
     private val pages = ProgressPages(tasksPerPage = 10)
 
     private fun bits(vararg indices: Int) = BitSet().apply { indices.forEach(::set) }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
@@ -2,9 +2,6 @@
 
 import org.chalkhollow.core.cluster.JobEntry
 import org.chalkhollow.core.cluster.OpenJob
-import org.chalkhollow.model.JobSpec
-import org.chalkhollow.model.Priority
-import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.Objective
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -27,31 +24,11 @@
         ) { 30_000 }
 
     private fun job(workload: String, dueS: Double?, shape: Shape = Shape.ARRAY): OpenJob {
-        val spec =
-            JobSpec(
-                "j-1",
-                workload,
-                "t",
-                shape,
-                Priority.STANDARD,
-                10,
-                Resources(1.0, 0.0, 1.0),
-                "i",
-                1.0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                5.0,
-                0.0,
-                0.0,
-                dueS,
-            )
-        return OpenJob(JobEntry(0, 10), spec, 0, -1, null, -1, 0, 8192)
+        val spec = jobSpec(10, workload, shape, dueS = dueS)
+        return OpenJob(JobEntry(0, 10), spec, 0, -1, null, -1, acceptedWall = 0, tasksPerPage = 8192)
     }
 
-    // One aim of each kind was kept once, the last: then every class with a limit of minutes passed for urgent.
+    // One objective of each kind was kept once, the last: then every class with a limit of minutes passed for urgent.
     @Test
     fun `only a class whose users wait for starts is one, whatever else is said of it`() {
         assertTrue(objectives.awaitsPromptStart(job("urgent", null)))
@@ -65,7 +42,7 @@
     }
 
     @Test
-    fun `when one aim is missed the next one counts`() {
+    fun `when one objective is missed the next one counts`() {
         val batch = job("batch", null)
         assertEquals(
             listOf(200_000L, 300_000L, 300_000L),
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
@@ -0,0 +1,134 @@
+package org.chalkhollow.core.jobs
+
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.Write
+import org.chalkhollow.model.JobSpec
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.Priority
+import org.chalkhollow.model.Resources
+import org.chalkhollow.model.Shape
+import org.chalkhollow.settings.StateLimits
+import org.chalkhollow.wire.Fields
+import org.chalkhollow.wire.Pack
+import org.junit.jupiter.api.Assertions.assertTrue
+import java.util.Base64
+import java.util.BitSet
+import java.util.TreeMap
+
+/** A job for tests; what a test is about is given, the rest is the least that a job can be. */
+internal fun jobSpec(
+    tasks: Int,
+    workload: String = "w",
+    shape: Shape = Shape.ARRAY,
+    types: List<String>? = null,
+    dueS: Double? = null,
+) = JobSpec(
+    id = StoredJobs.JOB_ID,
+    workload = workload,
+    team = "red",
+    shape = shape,
+    priority = Priority.HIGH,
+    tasks = tasks,
+    taskResources = Resources(1.0, 0.0, 1.0),
+    image = "img",
+    imageGb = 1.0,
+    types = types,
+    zone = null,
+    together = false,
+    spread = false,
+    spotAllowed = true,
+    expectedS = 5.0,
+    checkpointS = 0.0,
+    saveS = 0.0,
+    dueS = dueS,
+)
+
+/** Records of one job, written by one leader after the other, each under limits of its own. */
+internal class StoredJobs {
+    private val records = TreeMap<String, Any?>()
+
+    val keys: List<String> get() = records.keys.toList()
+
+    fun clear() = records.clear()
+
+    fun record(key: String): Fields = Fields.of(records.getValue(key), "record")
+
+    /** What any version reads of the job's progress: the union of all pages, whatever their keys. */
+    fun progress(): BitSet {
+        val all = BitSet()
+        for (page in rows(ProgressPageRecord.KEY_PREFIX)) {
+            val firstTask = page.key.substringAfterLast('/').toInt()
+            val done = BitSet.valueOf(Base64.getDecoder().decode(Fields.of(page.value, page.key).text("b")))
+            for (index in done.stream()) all.set(firstTask + index)
+        }
+        return all
+    }
+
+    private fun rows(prefix: String): List<KeyValue> =
+        records.filterKeys { it.startsWith(prefix) }.map { (key, value) -> KeyValue(key, value, 1) }
+
+    /** A leader's jobs, loaded from these records and written into them. */
+    inner class Leader(private val valueBytes: Int, loaded: Boolean = true) {
+        private val limits = StateLimits(80.0, 20.0, valueBytes, 12)
+        private val context = CoreContext(1).apply { now = Now(0, 0) }
+        val jobs = JobTable(context, Interners(), limits)
+        val cancellation = JobCancellation(jobs, limits) {}
+        private val completions = CompletionWriter(context, jobs, { _, _ -> }, {})
+
+        init {
+            rows(JobRecord.KEY_PREFIX).forEach(jobs::loadJob)
+            rows(ProgressPageRecord.KEY_PREFIX).forEach(jobs::loadPage)
+            if (loaded) jobs.finishLoading()
+        }
+
+        val job: OpenJob get() = checkNotNull(jobs.find(JOB_ID)?.open)
+
+        fun accept(spec: JobSpec): Leader {
+            jobs.accept(spec, onRefused = {}) {}
+            writeAll()
+            return this
+        }
+
+        fun done(tasks: Iterable<Int>) = tasks.forEach { job.completeTask(it, context.steady) }
+
+        /** The next write, two seconds later. */
+        fun next(): Write? {
+            val moment = context.steady + 2000
+            context.now = Now(moment, moment)
+            val room = StateWriter.Room(11, 40 * 1024)
+            return jobs.urgentWrites.next(room) ?: completions.next(room) ?: jobs.garbage.next(room)
+        }
+
+        fun writeAll(afterEach: () -> Unit = {}) {
+            var idle = 0
+            while (idle < 3) { // what was refused waits for a while
+                val write = next()
+                idle = if (write == null) idle + 1 else 0
+                write?.let(::commit)
+                afterEach()
+            }
+        }
+
+        private fun commit(write: Write) {
+            for (change in write.changes) {
+                val packed = change.value?.let(Pack::encode)
+                if (packed == null) {
+                    records.remove(change.key)
+                } else {
+                    assertTrue(packed.size <= valueBytes, "${change.key} takes ${packed.size} of $valueBytes bytes")
+                    records[change.key] = Pack.decode(packed)
+                }
+            }
+            write.onDurable()
+        }
+    }
+
+    companion object {
+        const val JOB_ID = "j-000001"
+        const val JOB_KEY = "job/j-000001"
+    }
+}
