--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -54,14 +54,15 @@
     private val leadership =
         Leadership(context, settings.label, peerLabels, incarnation, options, start.steady, begunAt, this)
     private val snapshot = CandidateSnapshot(context, READ_BEFORE_LEADING) { leadership.onPrepared() }
-    private val log = StateWriter(context, settings.stateLimits, options, leadership)
-    private val jobs = JobTable(context, names, settings.stateLimits)
+    private val events = EventDispatcher()
+    private val jobs = JobTable(context, names, settings.stateLimits, events)
     private val quotas = Quotas(settings.teams)
-    private val reconciler = AttemptReconciler(context, jobs, quotas) { leadership.fencingToken }
+    private val reconciler = AttemptReconciler(context, jobs, quotas, events) { leadership.fencingToken }
     private val staticMachines = StaticMachines(context, settings.stateLimits)
-    private val fleet = Fleet(context, names, settings, options, settings.label, staticMachines)
+    private val fleet = Fleet(context, names, settings, options, settings.label, staticMachines, events)
     private val images = ImageLocations(context, names, settings.stateLimits, fleet)
     private val dispatch = DispatchLog(settings.stateLimits, reconciler, fleet)
+    private val log = StateWriter(context, settings.stateLimits, options, leadership, writeSources())
     private val objectives = ServiceLevelObjectives(settings.objectives, fleet::leastBootMs)
     private val placement = Placement(context, jobs, quotas, reconciler, fleet, options, objectives)
     private val commandPlanner = CommandPlanner(reconciler)
@@ -76,26 +77,25 @@
     private var changesPlaced = -1L
 
     init {
-        reconciler.onSettledMarker = dispatch::settled
-        reconciler.onMarked = direct::send
-        reconciler.onBegun = fleet::reached
-        fleet.onGone = reconciler::machineGone
-        fleet.newEpochListener = reconciler::onNewEpoch
-        fleet.reserve = placement::reserve
-        jobs.onDone = requestHandler::finished
-        jobs.onCancelled = { job ->
-            reconciler.recorded(job, job.done)
-            if (!job.live.isEmpty()) direct.stopAll(job)
-        }
-        log.source(jobs::nextUrgent)
-        log.source(::place)
-        log.source { room -> jobs.nextCompletion(room, reconciler::recorded) }
-        log.source(staticMachines::next)
-        log.source(images::next)
-        log.source(dispatch::nextTrash)
-        log.source(jobs::nextTrash)
+        events.bind(EventDispatcher.Targets(reconciler, dispatch, direct, fleet, requestHandler, ::place))
     }
 
+    /**
+     * Who has something to write, the most urgent first, since the budget may not suffice for all: users wait for what
+     * is accepted and cancelled, and tasks for their placement. Completions follow; until they are durable, workers
+     * merely keep them in their heartbeats. Garbage collection comes last, nobody waits for it.
+     */
+    private fun writeSources(): List<StateWriter.Source> =
+        listOf(
+            StateWriter.Source(jobs::nextUrgent),
+            StateWriter.Source(events::nextPlacement),
+            StateWriter.Source { room -> jobs.nextCompletion(room, reconciler::recorded) },
+            StateWriter.Source(staticMachines::next),
+            StateWriter.Source(images::next),
+            StateWriter.Source(dispatch::nextTrash),
+            StateWriter.Source(jobs::nextTrash),
+        )
+
     private val versions = ControllerVersions(settings.label, peerLabels)
     private val statusReport =
         StatusReport(
@@ -232,7 +232,7 @@
                 direct.advanceFencingTokenIfNeeded()
                 direct.askDoubtful()
             }
-            fleet.tick(leading && leadership.entitled(), placement.unplaced, mayRent())
+            fleet.tick(leading && leadership.entitled(), placement.unplaced, mayRent(), placement.reserve())
         }
         val following = leadership.role == Leadership.Role.FOLLOWER
         val next = context.steady + if (following) FOLLOWER_TICK_MS else TICK_MS
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -0,0 +1,66 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.core.attempts.AttemptEvents
+import org.chalkhollow.core.attempts.AttemptReconciler
+import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.WorkerCommandSender
+import org.chalkhollow.core.cluster.DispatchMarker
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.MachineEvents
+import org.chalkhollow.core.jobs.JobEvents
+import org.chalkhollow.core.requests.RequestHandler
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.Write
+
+/**
+ * Passes the events of jobs, attempts and machines on to who acts on them. Those modules need each other: the
+ * reconciler hears of machines that are gone, and the fleet of attempts that have begun. So each is given this
+ * dispatcher at construction, and the dispatcher is given its targets by [bind] once all of them exist. [Controller]
+ * owns it.
+ */
+internal class EventDispatcher :
+    MachineEvents,
+    AttemptEvents,
+    JobEvents {
+    /** Who is told; [placement] gives the write of a placement round. */
+    class Targets(
+        val reconciler: AttemptReconciler,
+        val dispatch: DispatchLog,
+        val commands: WorkerCommandSender,
+        val fleet: Fleet,
+        val requests: RequestHandler,
+        val placement: StateWriter.Source,
+    )
+
+    private var bound: Targets? = null
+    private val targets: Targets get() = checkNotNull(bound) { "an event came before the dispatcher was bound" }
+
+    /** Sets who is told; to be called once, before the first input. */
+    fun bind(targets: Targets) {
+        check(bound == null) { "the dispatcher is bound already" }
+        bound = targets
+    }
+
+    override fun onMachineGone(machine: Machine) = targets.reconciler.machineGone(machine)
+
+    override fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
+        targets.reconciler.onNewEpoch(machine, knewOurFencingToken)
+
+    override fun onMarkerSettled(marker: DispatchMarker) = targets.dispatch.settled(marker)
+
+    override fun onMarkersDurable(machine: Machine) = targets.commands.send(machine)
+
+    override fun onAttemptBegun(machine: Machine) = targets.fleet.reached(machine)
+
+    override fun onJobDone(job: OpenJob) = targets.requests.finished(job)
+
+    override fun onJobCancelled(job: OpenJob) {
+        targets.reconciler.recorded(job, job.done)
+        if (!job.live.isEmpty()) targets.commands.stopAll(job)
+    }
+
+    /** The write of the next placement round, if one is due. */
+    fun nextPlacement(room: StateWriter.Room): Write? = targets.placement.next(room)
+}
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -22,17 +22,9 @@
     private val context: CoreContext,
     private val jobs: JobTable,
     private val quotas: Quotas,
+    private val events: AttemptEvents = AttemptEvents.None,
     private val fencingToken: () -> Long,
 ) {
-    /** Set by the controller: an attempt's marker is needed no more. */
-    var onSettledMarker: (DispatchMarker) -> Unit = {}
-
-    /** Set by the controller: a machine has attempts whose markers are durable. */
-    var onMarked: (Machine) -> Unit = {}
-
-    /** Set by the controller: a machine has begun what this leader told it to. */
-    var onBegun: (Machine) -> Unit = {}
-
     fun clear() {
         creditCpus = 0.0
     }
@@ -70,7 +62,7 @@
             a.phase = Attempt.Phase.MARKED
             if (a.machine.state != Machine.State.UP) settle(a) else machines.add(a.machine)
         }
-        for (m in machines) onMarked(m)
+        for (m in machines) events.onMarkersDurable(m)
     }
 
     /** The marker that should list [attempts] cannot be written: none was sent, and their tasks are ready again. */
@@ -82,7 +74,7 @@
         if (a.phase != Attempt.Phase.EXITED) release(a)
         a.settled = true
         a.machine.attempts.remove(a)
-        a.marker?.let { if (!a.forgettable) onSettledMarker(it) }
+        a.marker?.let { if (!a.forgettable) events.onMarkerSettled(it) }
     }
 
     private fun release(a: Attempt) {
@@ -177,7 +169,7 @@
 
     private fun enter(a: Attempt, phase: Attempt.Phase) {
         if (a.phase == Attempt.Phase.EXITED || a.phase == phase) return
-        if (a.phase == Attempt.Phase.SENT && !a.inherited) onBegun(a.machine)
+        if (a.phase == Attempt.Phase.SENT && !a.inherited) events.onAttemptBegun(a.machine)
         val ran = a.onMachine && a.phase != Attempt.Phase.FETCHING
         a.phase = phase
         if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.held.add(a.job.image)
@@ -260,7 +252,7 @@
     private fun forgettable(a: Attempt) {
         if (a.forgettable) return
         a.forgettable = true
-        a.marker?.let(onSettledMarker)
+        a.marker?.let(events::onMarkerSettled)
     }
 
     /** The completions of [done] in [job] are durable: the workers may forget them. */
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -28,6 +28,7 @@
     options: OperatorSettings,
     label: String,
     staticMachines: StaticMachines,
+    private val events: MachineEvents = MachineEvents.None,
 ) {
     private val leaseMs = settings.leaseMs
 
@@ -36,7 +37,7 @@
 
     /** No lease lapses before then: each answer puts its machine's lapse off, and one that comes later is longer. */
     private var nextLeaseExpiryAt = 0L
-    private val table = MachineTable(context, names, leaseMs)
+    private val table = MachineTable(context, names, leaseMs, events)
     private val cloud = CloudRequests(context, settings.cloudRps)
     private val reachability = MachineReachability(context, settings.heartbeatIntervalS, settings.leaseS)
     private val listing = CloudInventory(context, names, table, cloud, staticMachines, settings.listLagS)
@@ -51,23 +52,6 @@
     /** Whether there may be more to rent at once. */
     val moreNow: Boolean get() = rental.moreNow
 
-    /** Set by the controller: everything on the machine is certainly gone. */
-    var onGone: (Machine) -> Unit
-        get() = table.onGone
-        set(value) {
-            table.onGone = value
-        }
-
-    /** Set by the controller: the machine is in a new session; whether it had told our token in the one before. */
-    var newEpochListener: (Machine, Boolean) -> Unit = { _, _ -> }
-
-    /** Set by the controller: CPUs that are to stay free for urgent work. */
-    var reserve: () -> Double
-        get() = returns.reserve
-        set(value) {
-            returns.reserve = value
-        }
-
     fun start(newFencingToken: Long) {
         table.start(newFencingToken)
         nextLeaseExpiryAt = 0L
@@ -146,7 +130,7 @@
     }
 
     private fun beginEpoch(m: Machine, epoch: Long) {
-        if (m.epoch > 0) newEpochListener(m, m.fencingToken >= table.fencingToken)
+        if (m.epoch > 0) events.onNewEpoch(m, m.fencingToken >= table.fencingToken)
         m.epoch = epoch
         m.quarantined = false
         m.seq = -1
@@ -191,24 +175,25 @@
                 continue
             }
             if (m.state == Machine.State.LOST || m.state == Machine.State.DELETING) {
-                onGone(m) // asked to be deleted with tasks on it, and whether it is gone is not known yet
+                events.onMachineGone(m) // asked to be deleted with tasks on it, and whether it is gone is not known yet
                 continue
             }
             context.info("the lease of ${m.name} has lapsed")
             m.state = Machine.State.LOST
             m.lostAt = t
             m.expiredEpoch = maxOf(m.epoch, m.expiredEpoch)
-            onGone(m)
+            events.onMachineGone(m)
         }
     }
 
-    fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayRent: Boolean) {
+    /** [headroomCpus] are to stay free for urgent work. */
+    fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayRent: Boolean, headroomCpus: Double = 0.0) {
         cloud.refill()
         rental.moreNow = false
         listing.readCatalog(leading)
         if (!leading || !catalogKnown) return
         listing.readList()
-        returns.retire(unplaced.isNotEmpty())
+        returns.retire(unplaced.isNotEmpty(), headroomCpus)
         if (cloud.changing) return
         if (rental.isPending) return rental.retry()
         if (returns.returnMachines(unplaced)) return
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -10,7 +10,12 @@
  * Owns which machines this leader knows, and the cloud's machine types. A machine that is certainly gone is taken out
  * once and never comes back, however late a report or a list names it. [Fleet] and its parts share it.
  */
-class MachineTable(private val context: CoreContext, private val names: Interners, private val leaseMs: Long) {
+class MachineTable(
+    private val context: CoreContext,
+    private val names: Interners,
+    private val leaseMs: Long,
+    private val events: MachineEvents,
+) {
     private val byName = LinkedHashMap<String, Machine>()
     private val gone = HashSet<String>()
 
@@ -26,9 +31,6 @@
     var takenOverAt = 0L
         private set
 
-    /** Told of a machine on which everything is certainly gone. */
-    var onGone: (Machine) -> Unit = {}
-
     fun start(newFencingToken: Long) {
         byName.clear()
         gone.clear()
@@ -49,7 +51,7 @@
     fun isGone(name: String): Boolean = name in gone
 
     fun remove(m: Machine) {
-        onGone(m)
+        events.onMachineGone(m)
         byName.remove(m.name)
         gone.add(m.name)
     }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -28,9 +28,6 @@
     private var waitedAt = Machine.NEVER
     private var retiredAt = Machine.NEVER
 
-    /** CPUs that are to stay free for urgent work. */
-    var reserve: () -> Double = { 0.0 }
-
     /** Deletes what is of no use any more; true if a request was sent. */
     fun returnMachines(unplaced: List<UnplacedTasks>): Boolean {
         val t = context.steady
@@ -96,7 +93,7 @@
      * When little is asked for, tasks spread thinly over machines that cost more than their like can be had for. A few
      * at a time those stop taking tasks, run dry and go; as soon as anything waits they are back in use.
      */
-    fun retire(waits: Boolean) {
+    fun retire(waits: Boolean, headroomCpus: Double) {
         val t = context.steady
         if (waits) {
             waitedAt = t
@@ -114,7 +111,7 @@
         var free = table.placeable().sumOf { it.room(table.types).cpus }
         for ((m, room) in dear.take(maxOf(1, dear.size / RETIRED_OF))) {
             free -= room
-            if (free < reserve() * RESERVES_KEPT) return
+            if (free < headroomCpus * RESERVES_KEPT) return
             m.cordoned = true
             retiredAt = t
         }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -20,7 +20,12 @@
 import java.util.BitSet
 
 /** Owns the jobs: what is accepted, done and cancelled, and how that is written down. */
-class JobTable(private val context: CoreContext, private val names: Interners, private val limits: StateLimits) {
+class JobTable(
+    private val context: CoreContext,
+    private val names: Interners,
+    private val limits: StateLimits,
+    private val events: JobEvents = JobEvents.None,
+) {
     private val entries = ArrayList<JobEntry>()
     private val openJobs = LinkedHashSet<OpenJob>()
     private val urgent = ArrayDeque<Write>()
@@ -103,7 +108,7 @@
         fun write(record: Map<String, Any?>, onRefused: () -> Unit) =
             Write(listOf(Change(JOB + job.spec.id, record)), onRefused) {
                 close(job, JobState.CANCELLED)
-                onCancelled(job)
+                events.onJobCancelled(job)
                 then()
             }
         if (records.size > 1) {
@@ -180,16 +185,10 @@
             job.dirtyPages.clear()
             close(job, JobState.DONE)
             recorded(job, done)
-            onDone(job)
+            events.onJobDone(job)
         }
     }
 
-    /** Called when a job is durably cancelled. */
-    var onCancelled: (OpenJob) -> Unit = {}
-
-    /** Called when a job is durably done. */
-    var onDone: (OpenJob) -> Unit = {}
-
     private fun page(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit, room: StateWriter.Room): Write? {
         val page = nextPage(job)
         if (page < 0) return null
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -33,8 +33,10 @@
     private val limits: StateLimits,
     private val options: OperatorSettings,
     private val leadership: Leadership,
+    /** Who has something to write, the most urgent first. */
+    private val sources: List<Source>,
 ) {
-    /** Gives writes when asked, most urgent sources first; at most [Room] worth. */
+    /** Gives writes when asked; at most [Room] worth. */
     fun interface Source {
         fun next(room: Room): Write?
     }
@@ -42,7 +44,6 @@
     /** What is left in the transaction being put together. */
     class Room(var ops: Int, var bytes: Int)
 
-    private val sources = ArrayList<Source>()
     private val revisions = Object2LongOpenHashMap<String>()
     private var record = LeadershipRecord("", 0, 0, 0)
     private var recordRevision = 0L
@@ -71,10 +72,6 @@
         var unavailable = 0
     }
 
-    fun source(source: Source) {
-        sources.add(source)
-    }
-
     fun start(lead: LeadershipRecord, revision: Long) {
         stop()
         record = lead
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -162,10 +162,9 @@
 
     @Test
     fun `a reply to a write of a term that is over is counted`() {
-        val log = StateWriter(context, limits, options, leadership(0))
         var durable = false
         val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
-        log.source { write }
+        val log = StateWriter(context, limits, options, leadership(0), listOf(StateWriter.Source { write }))
         context.now = Now(1000, 1000)
         log.start(LeadershipRecord("m", 77, 1, 0), 1)
         context.now = Now(2000, 2000)
--- a/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
@@ -25,7 +25,7 @@
         val context = CoreContext(3).also { it.now = Now(0, 0) }
         private val options = OperatorSettings()
         val leadership = Leadership(context, "m", emptyList(), 77, options, 0, 0, this)
-        val log = StateWriter(context, limits, options, leadership)
+        val log = StateWriter(context, limits, options, leadership, listOf(StateWriter.Source(::next)))
         val queue = ArrayDeque<Write>()
         val durable = ArrayList<String>()
         val refused = ArrayList<String>()
@@ -37,19 +37,15 @@
         var rule: (StateOp.Commit) -> StateReply = { StateReply.Committed(++revision) }
 
         init {
-            log.source { room ->
-                val write = queue.firstOrNull()
-                if (write == null || room.ops < 1 ||
-                    write.changes.sumOf { EncodedSize.of(it) } > room.bytes
-                ) {
-                    null
-                } else {
-                    queue.removeFirst()
-                }
-            }
             play(0, 0)
         }
 
+        private fun next(room: StateWriter.Room): Write? {
+            val write = queue.firstOrNull() ?: return null
+            val fits = room.ops >= 1 && write.changes.sumOf { EncodedSize.of(it) } <= room.bytes
+            return if (fits) queue.removeFirst() else null
+        }
+
         override fun prepare(revision: Long) = Unit
 
         override fun prepared(revision: Long) = true
