--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -0,0 +1,124 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.core.attempts.AttemptReconciler
+import org.chalkhollow.core.attempts.CommandPlanner
+import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.HeartbeatHandler
+import org.chalkhollow.core.attempts.WorkerCommandSender
+import org.chalkhollow.core.cluster.Interners
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.ImageLocations
+import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.jobs.ServiceLevelObjectives
+import org.chalkhollow.core.leadership.CandidateSnapshot
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.core.operations.ControllerVersions
+import org.chalkhollow.core.operations.StatusReport
+import org.chalkhollow.core.placement.Placement
+import org.chalkhollow.core.requests.RequestHandler
+import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.settings.PlatformSettings
+
+/**
+ * Builds the modules of one controller and gives each what it uses, in the order of their layers. Where two need each
+ * other, the later one is reached through [EventDispatcher]. Public are the modules that [Controller] passes inputs to.
+ */
+internal class ControllerModules(
+    settings: PlatformSettings,
+    options: OperatorSettings,
+    incarnation: Long,
+    start: Now,
+    begunAt: Long,
+) {
+    val context = CoreContext(incarnation).also { it.now = start }
+    private val events = EventDispatcher()
+    private val label = settings.label
+    private val peerLabels = settings.peers.map { it.label }
+    private val limits = settings.stateLimits
+    private val names = Interners().apply { settings.teams.forEach { teams.intern(it.name) } }
+
+    val leadership = Leadership(context, label, peerLabels, incarnation, options, start.steady, begunAt, events)
+    private val snapshot = CandidateSnapshot(context, StoredRecords.PREFIXES) { leadership.onPrepared() }
+
+    val jobs = JobTable(context, names, limits, events)
+    private val quotas = Quotas(settings.teams)
+    private val staticMachines = StaticMachines(context, limits)
+    val fleet = Fleet(context, names, settings, options, label, staticMachines, events)
+    private val images = ImageLocations(context, names, limits, fleet)
+
+    private val reconciler = AttemptReconciler(context, jobs, quotas, events) { leadership.fencingToken }
+    private val dispatch = DispatchLog(limits, reconciler, fleet)
+    val writer = StateWriter(context, limits, options, leadership, writeSources())
+    private val planner = CommandPlanner(reconciler)
+    private val commands =
+        WorkerCommandSender(context, settings, leadership, writer, dispatch, fleet, reconciler, planner)
+    val heartbeats = HeartbeatHandler(context, settings, leadership, fleet, images, reconciler, planner)
+
+    private val objectives = ServiceLevelObjectives(settings.objectives, fleet::leastBootMs)
+    private val placement = Placement(context, jobs, quotas, reconciler, fleet, options, objectives)
+    val requests = RequestHandler(context, leadership, writer, jobs, quotas, fleet, names)
+
+    private val records =
+        StoredRecords(context, jobs, quotas, reconciler, staticMachines, fleet, images, dispatch)
+    private val ownRecord = LeadershipRecord(label, incarnation, fencingToken = 0, writes = 0)
+    val term = LeaderTerm(context, ownRecord, leadership, snapshot, records, writer, commands, requests)
+    private val placementStep = PlacementStep(context, term, writer, placement, commands, dispatch)
+    private val fleetStep =
+        FleetStep(
+            context,
+            leadership,
+            term,
+            fleet,
+            staticMachines,
+            placement,
+            commands,
+            settings.heartbeatIntervalS,
+        )
+    val periodic = PeriodicTasks(context, leadership, requests, snapshot, fleetStep)
+    val lateEffects = LateEffects(leadership)
+
+    val versions = ControllerVersions(label, peerLabels)
+    val statusReport =
+        StatusReport(
+            context,
+            label,
+            peerLabels,
+            settings.teams,
+            leadership,
+            jobs,
+            quotas,
+            fleet,
+            placement,
+            names,
+            writer,
+            versions,
+        )
+
+    init {
+        events.bind(
+            EventDispatcher.Targets(snapshot, term, reconciler, dispatch, commands, fleet, requests, placementStep),
+        )
+    }
+
+    /**
+     * Who has something to write, the most urgent first, since the budget may not suffice for all: users wait for what
+     * is accepted and cancelled, and tasks for their placement. Completions follow; until they are durable, workers
+     * merely keep them in their heartbeats. Garbage collection comes last, nobody waits for it.
+     */
+    private fun writeSources(): List<StateWriter.Source> =
+        listOf(
+            StateWriter.Source(jobs::nextUrgent),
+            StateWriter.Source(events::nextPlacement),
+            StateWriter.Source { room -> jobs.nextCompletion(room, reconciler::recorded) },
+            StateWriter.Source(staticMachines::next),
+            StateWriter.Source(images::next),
+            StateWriter.Source(dispatch::nextTrash),
+            StateWriter.Source(jobs::nextTrash),
+        )
+}
--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -10,22 +10,27 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.MachineEvents
 import org.chalkhollow.core.jobs.JobEvents
+import org.chalkhollow.core.leadership.CandidateSnapshot
+import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.requests.RequestHandler
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
 
 /**
- * Passes the events of jobs, attempts and machines on to who acts on them. Those modules need each other: the
- * reconciler hears of machines that are gone, and the fleet of attempts that have begun. So each is given this
- * dispatcher at construction, and the dispatcher is given its targets by [bind] once all of them exist. [Controller]
- * owns it.
+ * Passes the events of leadership, jobs, attempts and machines on to who acts on them. Those modules need each other:
+ * the reconciler hears of machines that are gone, and the fleet of attempts that have begun. So each is given this
+ * dispatcher at construction, and the dispatcher is given its targets by [bind] once all of them exist. Built by
+ * [ControllerModules].
  */
 internal class EventDispatcher :
+    Leadership.Events,
     MachineEvents,
     AttemptEvents,
     JobEvents {
     /** Who is told; [placement] gives the write of a placement round. */
     class Targets(
+        val snapshot: CandidateSnapshot,
+        val term: LeaderTerm,
         val reconciler: AttemptReconciler,
         val dispatch: DispatchLog,
         val commands: WorkerCommandSender,
@@ -43,6 +48,17 @@
         bound = targets
     }
 
+    override fun prepare(revision: Long) = targets.snapshot.begin(revision)
+
+    override fun prepared(revision: Long): Boolean = targets.snapshot.complete(revision)
+
+    override fun unprepare() = targets.snapshot.drop()
+
+    override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) =
+        targets.term.start(fencingToken, revision, writes, basis)
+
+    override fun onDeposed() = targets.term.end()
+
     override fun onMachineGone(machine: Machine) = targets.reconciler.machineGone(machine)
 
     override fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
@@ -0,0 +1,70 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.core.attempts.AttemptReconciler
+import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.fleet.ImageLocations
+import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.wire.Malformed
+
+/**
+ * Rebuilds a new leader's modules from the records that earlier leaders wrote to the state service. Owns no state;
+ * [LeaderTerm] calls it when a term starts.
+ */
+internal class StoredRecords(
+    private val context: CoreContext,
+    private val jobs: JobTable,
+    private val quotas: Quotas,
+    private val reconciler: AttemptReconciler,
+    private val staticMachines: StaticMachines,
+    private val fleet: Fleet,
+    private val images: ImageLocations,
+    private val dispatch: DispatchLog,
+) {
+    /** Empties every module for the term of [fencingToken]. */
+    fun reset(fencingToken: Long) {
+        jobs.clear()
+        quotas.clear()
+        reconciler.clear()
+        staticMachines.start(fencingToken)
+        fleet.start(fencingToken)
+        images.start()
+        dispatch.start(fencingToken)
+    }
+
+    /** Gives [row] to the module that owns its key; false when it cannot be read, which is logged. */
+    fun load(row: KeyValue): Boolean =
+        try {
+            loadByKey(row)
+            true
+        } catch (e: Malformed) {
+            context.emit(Effect.LogEvent(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
+            false
+        }
+
+    private fun loadByKey(row: KeyValue) =
+        when {
+            row.key.startsWith(JobTable.JOB) -> jobs.loadJob(row)
+            row.key.startsWith(JobTable.PROGRESS) -> jobs.loadPage(row)
+            row.key == StaticMachines.KEY -> staticMachines.load(row)
+            row.key.startsWith(ImageLocations.KEY) -> images.load(row)
+            else -> dispatch.load(row, jobs)
+        }
+
+    /** Every record is loaded. */
+    fun complete() {
+        jobs.afterLoad()
+        val inDoubt = fleet.machines.sumOf { it.attempts.size }
+        context.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), $inDoubt attempts in doubt")
+    }
+
+    companion object {
+        /** Key prefixes of what a candidate reads before it may lead; jobs come first, the others refer to them. */
+        val PREFIXES = listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, StaticMachines.PREFIX)
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -86,8 +86,7 @@
         return (why + listOfNotNull(doubt)).joinToString("; ")
     }
 
-    /** Replicas that are wanted and that are up. */
-    fun replicas(): Pair<Int, Int> {
+    fun replicas(): ReplicaCounts {
         var wanted = 0
         var up = 0
         for (job in jobs.open) {
@@ -96,7 +95,7 @@
                 up += job.running
             }
         }
-        return wanted to up
+        return ReplicaCounts(wanted, up)
     }
 
     /** Machines that are alike to an operator. */
--- a/src/main/kotlin/org/chalkhollow/runtime/ClientHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ClientHandler.kt
@@ -80,7 +80,7 @@
         )
 
     private fun metrics(): HttpReply {
-        val text = context.meters.text(context.controller.view)
+        val text = context.meters.text(context.controller.gauges)
         return HttpReply(HttpStatus.OK, text.encodeToByteArray(), type = "text/plain; version=0.0.4")
     }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
@@ -4,7 +4,7 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 import org.HdrHistogram.Histogram
-import org.chalkhollow.core.Controller
+import org.chalkhollow.core.operations.ControllerGauges
 
 /**
  * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when somebody first asks, since
@@ -70,23 +70,23 @@
         histograms.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
 
     /** All meters, one a line. */
-    fun text(view: Controller.View): String =
+    fun text(gauges: ControllerGauges): String =
         buildString {
-            appendLine("chalkhollow_leading ${if (view.leading) 1 else 0}")
-            appendLine("chalkhollow_generation ${view.fencingToken}")
-            appendLine("chalkhollow_jobs_open ${view.openJobs}")
-            appendLine("chalkhollow_jobs_known ${view.jobs}")
-            appendLine("chalkhollow_machines ${view.machines}")
-            appendLine("chalkhollow_replicas_wanted ${view.replicas.first}")
-            appendLine("chalkhollow_replicas_up ${view.replicas.second}")
-            for ((label, version) in view.versions) {
+            appendLine("chalkhollow_leading ${if (gauges.leading) 1 else 0}")
+            appendLine("chalkhollow_generation ${gauges.fencingToken}")
+            appendLine("chalkhollow_jobs_open ${gauges.openJobs}")
+            appendLine("chalkhollow_jobs_known ${gauges.jobs}")
+            appendLine("chalkhollow_machines ${gauges.machines}")
+            appendLine("chalkhollow_replicas_wanted ${gauges.replicas.wanted}")
+            appendLine("chalkhollow_replicas_up ${gauges.replicas.up}")
+            for ((label, version) in gauges.versions) {
                 if (version !=
                     null
                 ) {
                     appendLine("chalkhollow_version{controller=\"$label\"} $version")
                 }
             }
-            for ((input, count) in view.dropped) appendLine("chalkhollow_${input.metric}_total $count")
+            for ((input, count) in gauges.dropped) appendLine("chalkhollow_${input.metric}_total $count")
             appendLine("chalkhollow_shed_total{kind=\"report\"} ${shed[Priority.WORKER.ordinal]}")
             appendLine("chalkhollow_shed_total{kind=\"user\"} ${shed[Priority.USER.ordinal]}")
             for ((kind, h) in histograms) {
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -107,7 +107,7 @@
         delay(WARM_UP_AFTER_MS)
         while (steps < WARM_UP_STEPS) {
             delay(WARM_UP_EVERY_MS)
-            if (controller.view.leading || !controller.takesRequests(now())) continue
+            if (controller.gauges.leading || !controller.takesRequests(now())) continue
             warmUp.step()
             steps++
         }
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
@@ -0,0 +1,99 @@
+package org.chalkhollow.core
+
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.peer.PeerMessage
+import org.chalkhollow.settings.OperatorSettings
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertSame
+import org.junit.jupiter.api.Test
+
+/** What becomes of effects that are carried out after the leader that decided them is no longer entitled to act. */
+class LateEffectsTest {
+    private val context = CoreContext(1).also { it.now = Now(0, 0) }
+    private val options = OperatorSettings()
+    private val leadership = Leadership(context, "m", emptyList(), 77, options, 0, 0, AlwaysPrepared)
+    private val lateEffects = LateEffects(leadership)
+
+    private object AlwaysPrepared : Leadership.Events {
+        override fun prepare(revision: Long) = Unit
+
+        override fun prepared(revision: Long) = true
+
+        override fun unprepare() = Unit
+
+        override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) = Unit
+
+        override fun onDeposed() = Unit
+    }
+
+    private val command = Effect.WorkerCommand(1, "a", 1, 1, emptyList())
+    private val accepted = Effect.Response(5, 201, ByteArray(1))
+    private val timer = Effect.Timer(9)
+
+    /** Alone and without a record, the controller leads as soon as its own record is written. */
+    private fun lead() {
+        leadership.tick()
+        reply(StateReply.Missing)
+        reply(StateReply.Committed(1))
+        check(leadership.entitled()) { "does not lead" }
+    }
+
+    private fun reply(reply: StateReply) {
+        val call = context.drain().filterIsInstance<Effect.State>().last()
+        context.reply(Input.State(call.ticket, reply))
+    }
+
+    private fun leadAndExpire() {
+        lead()
+        lateEffects.stepDone()
+        context.now = Now(options.outageLimitMs * 2, options.outageLimitMs * 2)
+        check(!leadership.entitled()) { "still leads" }
+    }
+
+    @Test
+    fun `everything is done while the leader is entitled`() {
+        lead()
+        lateEffects.stepDone()
+        for (effect in listOf(command, accepted, timer)) assertSame(effect, lateEffects.check(effect))
+    }
+
+    @Test
+    fun `what a follower decided is done`() {
+        lateEffects.stepDone()
+        assertSame(accepted, lateEffects.check(accepted))
+    }
+
+    @Test
+    fun `no command is sent and no decision told after the lease has expired`() {
+        leadAndExpire()
+        assertNull(lateEffects.check(command))
+        val response = lateEffects.check(accepted) as Effect.Response
+        assertEquals(listOf(5, 503, 1), listOf(response.call, response.status, response.retryAfterS))
+        assertNull(response.body)
+    }
+
+    @Test
+    fun `a forwarded decision becomes unavailable after the lease has expired`() {
+        leadAndExpire()
+        val forwarded = Effect.Send(2, PeerMessage.ForwardedResponse(7, 404, ByteArray(3), 0))
+        val sent = lateEffects.check(forwarded) as Effect.Send
+        val message = sent.message as PeerMessage.ForwardedResponse
+        assertEquals(2, sent.peer)
+        assertEquals(7L, message.seq)
+        assertEquals(listOf(503, 0, 1), listOf(message.status, message.body.size, message.retryAfterS))
+    }
+
+    @Test
+    fun `server errors and what is no decision are done after the lease has expired`() {
+        leadAndExpire()
+        val unavailable = Effect.Response(5, 503, null, 1)
+        val release = Effect.Send(0, PeerMessage.LeadershipRelease(1))
+        for (effect in listOf(unavailable, release, timer)) assertSame(effect, lateEffects.check(effect))
+    }
+}
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -1,12 +1,12 @@
 package org.chalkhollow.core.common
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.leadership.CandidateSnapshot
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.core.operations.ControllerGauges
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
@@ -222,5 +222,5 @@
     }
 
     private fun lines(meters: Meters, dropped: Map<DroppedInput, Long>): List<String> =
-        meters.text(Controller.View(false, 0, 0, 0, 0, dropped = dropped)).lines()
+        meters.text(ControllerGauges(false, 0, 0, 0, 0, dropped = dropped)).lines()
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -36,7 +36,7 @@
     val leads: Boolean get() = controller?.leads(now()) == true
 
     /** What this process has dropped since it began. */
-    val dropped: Map<DroppedInput, Long> get() = checkNotNull(controller) { "$label does not run" }.view.dropped
+    val dropped: Map<DroppedInput, Long> get() = checkNotNull(controller) { "$label does not run" }.gauges.dropped
 
     fun status(): StatusView? = controller?.status(now())
 
