--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -29,7 +29,7 @@
     }
 
     private fun lookAfterFleet(leading: Boolean) {
-        nextAt = context.steady + INTERVAL_MS + context.overload.lateMs * DELAY_PER_LATE_MS
+        nextAt = context.steady + INTERVAL_MS + context.overload.tickDelayMs * DELAY_PER_LATE_MS
         if (leading && leadership.entitled()) {
             commands.advanceFencingTokenIfNeeded()
             commands.askDoubtful()
--- a/src/main/kotlin/org/chalkhollow/core/PeriodicTasks.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PeriodicTasks.kt
@@ -15,7 +15,7 @@
     private val fleetStep: FleetStep,
 ) {
     fun tick() {
-        context.overload.ticked(context.steady)
+        context.overload.onTick(context.steady)
         leadership.tick()
         requests.tick()
         snapshot.tick()
@@ -26,7 +26,7 @@
     private fun requestNextTick() {
         val following = leadership.role == Leadership.Role.FOLLOWER
         val next = context.steady + if (following) FOLLOWER_TICK_MS else TICK_MS
-        context.overload.nextTickAt(next)
+        context.overload.expectTick(next)
         context.emit(Effect.Timer(next))
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
@@ -27,7 +27,7 @@
     override fun next(room: StateWriter.Room): Write? {
         if (!term.loaded || room.ops < 1 || !isDue()) return null
         changesPlaced = context.changes
-        nextRoundAt = context.steady + ROUND_MS + context.overload.lateMs * ROUND_DELAY_PER_LATE_MS
+        nextRoundAt = context.steady + ROUND_MS + context.overload.tickDelayMs * ROUND_DELAY_PER_LATE_MS
         val allocations = placement.round()
         placement.preempted.forEach(commands::send)
         if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -34,7 +34,7 @@
         leadership.heartbeatTraffic.note(context.steady)
         if (!leadership.entitled()) return redirect(call)
         val m = fleet.observe(heartbeat)
-        if (m == null || m.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
+        if (m == null || m.quarantined) return context.respond(call, HttpStatus.UNAVAILABLE)
         if (heartbeat.seq > m.answeredSeq) {
             // The worker's lease runs from when it sent this report, which is not after now. One that is no newer than
             // another that we answered was sent before it and renews nothing: late copies must not keep a dead machine
@@ -50,8 +50,8 @@
             reconciler.reconcile(m, heartbeat, fromHeartbeat = true)
         }
         val commands = commandPlanner.answering(m, startsAllowed = newer)
-        if (commands.isEmpty()) return context.answer(call, HttpStatus.OK, nothing())
-        context.answer(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
+        if (commands.isEmpty()) return context.respond(call, HttpStatus.OK, nothing())
+        context.respond(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
     }
 
     /** A report that was not read: it came while this controller did not lead. */
@@ -70,7 +70,7 @@
 
     private fun redirect(call: Int) {
         val leader = leadership.reachableLeader()
-        if (leader < 0) return context.answer(call, HttpStatus.UNAVAILABLE)
-        context.answer(call, HttpStatus.MISDIRECTED, redirects[leader])
+        if (leader < 0) return context.respond(call, HttpStatus.UNAVAILABLE)
+        context.respond(call, HttpStatus.MISDIRECTED, redirects[leader])
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -49,7 +49,7 @@
      */
     fun send(m: Machine) {
         if (!leadership.entitled() || !reachableNow(m)) return
-        val starts = if (context.overload.high) emptyList() else m.attempts.filter(::mayStart)
+        val starts = if (context.overload.overloaded) emptyList() else m.attempts.filter(::mayStart)
         val stops = m.attempts.filter { (it.stopping || it.job.cancelled) && it.onMachine && it.stopSentAt == 0L }
         if (starts.isEmpty() && stops.isEmpty()) return
         for (a in stops) a.stopSentAt = context.steady // once; answers to reports repeat it
@@ -95,7 +95,9 @@
     private fun call(m: Machine, commands: List<Command>, then: (CommandReply) -> Unit) {
         val inTerm = term
         val epoch = m.epoch
-        context.direct({ Effect.WorkerCommand(it, m.address, leadership.fencingToken, epoch, commands) }) { reply ->
+        context.sendCommands(
+            { Effect.WorkerCommand(it, m.address, leadership.fencingToken, epoch, commands) },
+        ) { reply ->
             if (term == inTerm) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/common/HttpStatus.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/HttpStatus.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core.common
 
-/** Statuses of the answers to users and workers. */
+/** HTTP statuses of the responses to users and workers. */
 internal object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -9,11 +9,11 @@
     const val METHOD_NOT_ALLOWED = 405
     const val CONTENT_TOO_LARGE = 413
 
-    /** The one who asked should ask the controller that is named. */
+    /** The caller should send its request to the controller that the body names. */
     const val MISDIRECTED = 421
     const val UNPROCESSABLE = 422
 
-    /** All from here on say that nothing was decided. */
+    /** All statuses from here on say that nothing was decided. */
     const val SERVER_ERRORS = 500
     const val UNAVAILABLE = 503
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/OverloadDetector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/OverloadDetector.kt
@@ -1,40 +1,39 @@
 package org.chalkhollow.core.common
 
-import org.chalkhollow.core.Controller
-
 /**
- * Owns how short a controller is of processor time, as told by how late its ticks come. What can wait then waits
- * longer, so that renewals of the lead, workers' leases and users get what there is. Kept by [Controller].
+ * Tells how short a controller is of processor time, from how late its ticks come. What can wait then waits longer, so
+ * that renewals of the leadership record, heartbeats and users get the time there is. Kept in [CoreContext].
  */
 class OverloadDetector {
-    /** By how much ticks have lately been late, in milliseconds: up at once, down over some ticks, bounded. */
-    var lateMs = 0L
+    /** How late ticks have lately been, in milliseconds: rises at once, falls over some ticks, at most [MAX_MS]. */
+    var tickDelayMs = 0L
         private set
-    private var tickDueAt = NEVER
+    private var nextTickDueAt = NEVER
 
-    /** Whether work that is done again by other means is to be left to those. */
-    val high: Boolean get() = lateMs >= HIGH_MS
+    /** Whether to leave undone what is done again by other means, such as commands that heartbeats repeat. */
+    val overloaded: Boolean get() = tickDelayMs >= OVERLOADED_MS
 
-    /** A tick has come at [t]. */
-    fun ticked(t: Long) {
-        if (tickDueAt == NEVER) return
-        val late = (t - tickDueAt).coerceIn(0, MAX_MS)
-        lateMs = maxOf(late, (lateMs * (KEPT - 1) + late) / KEPT)
+    /** A tick has come at [now], by the steady clock. */
+    fun onTick(now: Long) {
+        if (nextTickDueAt == NEVER) return
+        val delay = (now - nextTickDueAt).coerceIn(0, MAX_MS)
+        val decayed = (tickDelayMs * (DECAY_TICKS - 1) + delay) / DECAY_TICKS
+        tickDelayMs = maxOf(delay, decayed)
     }
 
-    /** The next tick is asked for at [t]. */
-    fun nextTickAt(t: Long) {
-        tickDueAt = t
+    /** The next tick is due at [dueAt], by the steady clock. */
+    fun expectTick(dueAt: Long) {
+        nextTickDueAt = dueAt
     }
 
     private companion object {
-        /** A process that stood still for long is not short of processor time for as long. */
+        /** A process that was suspended for a minute is not short of processor time for a minute. */
         const val MAX_MS = 1000L
 
-        /** Timers fire in steps of a few milliseconds, and a round or a collection takes some more. */
-        const val HIGH_MS = 100L
+        /** Timers fire in steps of a few milliseconds, and a placement round or garbage collection takes some more. */
+        const val OVERLOADED_MS = 100L
 
-        /** One part in this many is forgotten with each tick. */
-        const val KEPT = 4
+        /** With each tick in time, one part in this many of the delay decays. */
+        const val DECAY_TICKS = 4
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
@@ -0,0 +1,37 @@
+package org.chalkhollow.core.common
+
+import org.chalkhollow.model.JobSpec
+import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.UserCodec
+
+/** What a user asks of one job. */
+sealed interface UserRequest {
+    val jobId: String
+
+    /** Submits a job; [raw] is the body as it came, which is forwarded to the leader. */
+    class Submit(val spec: JobSpec, val raw: ByteArray) : UserRequest {
+        override val jobId get() = spec.id
+    }
+
+    /**
+     * A submission that is malformed, [why], but whose [jobId] can be read: it is never accepted, and is refused only
+     * once it is certain that it does not repeat a job that was.
+     */
+    class Invalid(override val jobId: String, val raw: ByteArray, val why: String?) : UserRequest
+
+    /** Asks for the state and progress of a job. */
+    class Query(override val jobId: String) : UserRequest
+
+    /** Cancels a job. */
+    class Cancel(override val jobId: String) : UserRequest
+
+    companion object {
+        /** What [body] asks as a submission, or null when it is malformed and names no job. */
+        fun ofSubmission(body: ByteArray): UserRequest? =
+            try {
+                Submit(UserCodec.job(body), body)
+            } catch (e: Malformed) {
+                UserCodec.idIn(body)?.let { Invalid(it, body, e.message) }
+            }
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -47,7 +47,7 @@
         catalogBusy = true
         cloud.ask(CloudOp.Catalog) { reply ->
             catalogBusy = false
-            if (reply is CloudReply.CatalogIs) take(reply.types)
+            if (reply is CloudReply.Catalog) take(reply.types)
         }
     }
 
@@ -71,7 +71,7 @@
         listBusy = true
         cloud.askNow(CloudOp.Machines(after)) { reply ->
             listBusy = false
-            if (reply !is CloudReply.MachinesAre) {
+            if (reply !is CloudReply.Machines) {
                 listAt = context.steady - LIST_MS / 2
                 return@askNow
             }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudRequests.kt
@@ -39,12 +39,12 @@
     }
 
     /** Asks for what does not depend on the generation. */
-    fun ask(op: CloudOp, then: (CloudReply) -> Unit) = context.cloud(op, then)
+    fun ask(op: CloudOp, then: (CloudReply) -> Unit) = context.callCloud(op, then)
 
     /** Asks for what only this generation can use. */
     fun askNow(op: CloudOp, then: (CloudReply) -> Unit) {
         val inGeneration = fencingToken
-        context.cloud(op) { reply ->
+        context.callCloud(op) { reply ->
             if (inGeneration == fencingToken) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
@@ -64,12 +64,12 @@
     }
 
     private fun read(r: Reading, prefix: Int, after: String?) {
-        context.state(StateOp.List(prefixes[prefix], after)) { reply ->
-            if (reading !== r) return@state context.dropped.count(DroppedInput.REPLY_LATE)
+        context.callStateService(StateOp.List(prefixes[prefix], after)) { reply ->
+            if (reading !== r) return@callStateService context.dropped.count(DroppedInput.REPLY_LATE)
             if (reply !is StateReply.Page) {
                 r.retry = { read(r, prefix, after) }
                 r.retryAt = context.steady + RETRY_MS
-                return@state
+                return@callStateService
             }
             r.rows.addAll(reply.rows.rows)
             val last =
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -230,7 +230,7 @@
         val sentAt = context.steady
         val condition = Condition(LeadershipRecord.KEY, basis)
         val commit = StateOp.Commit(listOf(condition), listOf(Change(LeadershipRecord.KEY, record.value())))
-        context.state(commit) { reply ->
+        context.callStateService(commit) { reply ->
             role = Role.FOLLOWER
             candidacy.end()
             if (reply is StateReply.Committed) {
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
@@ -33,7 +33,7 @@
     fun readIfDue(t: Long, onReply: (Long, StateReply) -> Unit) {
         if (reading || t < readDueAt) return
         reading = true
-        context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
+        context.callStateService(StateOp.Read(LeadershipRecord.KEY)) { reply ->
             reading = false
             readDueAt = context.steady + options.leaderRenewMs
             onReply(t, reply)
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -253,7 +253,7 @@
     private fun later(call: Int) = reply(call, HttpStatus.UNAVAILABLE, null, 1)
 
     private fun reply(call: Int, status: Int, body: Map<String, Any?>? = null, retryAfterS: Int = 0) {
-        if (call >= 0) return context.answer(call, status, body, retryAfterS)
+        if (call >= 0) return context.respond(call, status, body, retryAfterS)
         val origin = origins.remove(call) ?: return
         val bytes = body?.let(org.chalkhollow.wire.Pack::encode) ?: NOTHING
         context.emit(Effect.Send(origin.peer, PeerMessage.ForwardedResponse(origin.seq, status, bytes, retryAfterS)))
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -188,7 +188,7 @@
         lastSentAt = context.steady
         val sentAt = context.steady
         val inTerm = term
-        context.state(b.op) { reply ->
+        context.callStateService(b.op) { reply ->
             if (term == inTerm) onReply(b, reply, sentAt) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
@@ -278,8 +278,8 @@
      */
     private fun lookAtRecord(b: Batch, unchanged: (() -> Unit)? = null) {
         val inTerm = term
-        context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
-            if (term != inTerm) return@state context.dropped.count(DroppedInput.REPLY_LATE)
+        context.callStateService(StateOp.Read(LeadershipRecord.KEY)) { reply ->
+            if (term != inTerm) return@callStateService context.dropped.count(DroppedInput.REPLY_LATE)
             when (reply) {
                 is StateReply.Found -> {
                     val stands = LeadershipRecord.of(reply.row)
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -126,8 +126,8 @@
             r.status == 429 || r.status == 503 -> CloudReply.Unavailable
             r.status == 400 -> CloudReply.Rejected(text(r.body))
             r.status != 200 -> CloudReply.NoResponse
-            op is CloudOp.Catalog -> CloudReply.CatalogIs(ServiceCodec.catalog(r.body))
-            op is CloudOp.Machines -> CloudReply.MachinesAre(ServiceCodec.machines(r.body))
+            op is CloudOp.Catalog -> CloudReply.Catalog(ServiceCodec.catalog(r.body))
+            op is CloudOp.Machines -> CloudReply.Machines(ServiceCodec.machines(r.body))
             op is CloudOp.Rent -> CloudReply.Rented(ServiceCodec.rented(r.body))
             else -> CloudReply.Deleted
         }
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
@@ -94,7 +94,7 @@
     private fun cloudReply(op: CloudOp): CloudReply =
         when (op) {
             CloudOp.Catalog ->
-                CloudReply.CatalogIs(
+                CloudReply.Catalog(
                     listOf(
                         MachineType(
                             WarmUpMessages.TYPE,
@@ -108,7 +108,7 @@
                         ),
                     ),
                 )
-            is CloudOp.Machines -> CloudReply.MachinesAre(ListedPage(emptyList(), false))
+            is CloudOp.Machines -> CloudReply.Machines(ListedPage(emptyList(), false))
             is CloudOp.Rent -> CloudReply.NoCapacity
             is CloudOp.Delete -> CloudReply.Deleted
         }
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -151,7 +151,7 @@
     @Test
     fun `a reply to a call that has had one is counted`() {
         var replies = 0
-        context.state(StateOp.Read("x")) { replies++ }
+        context.callStateService(StateOp.Read("x")) { replies++ }
         val call = context.drain().filterIsInstance<Effect.State>().single()
         repeat(3) { context.reply(Input.State(call.ticket, StateReply.Missing)) }
         context.reply(Input.Cloud(77, CloudReply.Deleted))
@@ -195,12 +195,12 @@
         context.now = Now(1000, 1000)
         fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
         val catalog = context.drain().filterIsInstance<Effect.Cloud>().single()
-        context.reply(Input.Cloud(catalog.ticket, CloudReply.CatalogIs(emptyList())))
+        context.reply(Input.Cloud(catalog.ticket, CloudReply.Catalog(emptyList())))
         context.now = Now(2000, 2000)
         fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
         val list = context.drain().filterIsInstance<Effect.Cloud>().single { it.op is CloudOp.Machines }
         fleet.start(2)
-        context.reply(Input.Cloud(list.ticket, CloudReply.MachinesAre(ListedPage(emptyList(), false))))
+        context.reply(Input.Cloud(list.ticket, CloudReply.Machines(ListedPage(emptyList(), false))))
         assertEquals(false, fleet.heardFromListed())
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
--- a/src/test/kotlin/org/chalkhollow/core/common/OverloadDetectorTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/OverloadDetectorTest.kt
@@ -11,31 +11,31 @@
     private var t = 0L
 
     private fun tick(lateMs: Long) {
-        overload.nextTickAt(t + 100)
+        overload.expectTick(t + 100)
         t += 100 + lateMs
-        overload.ticked(t)
+        overload.onTick(t)
     }
 
     @Test
     fun `it is high as soon as a tick is late, and passes within two seconds of ticks in time`() {
         tick(3)
-        assertFalse(overload.high)
+        assertFalse(overload.overloaded)
         tick(400)
-        assertTrue(overload.high)
+        assertTrue(overload.overloaded)
         val lateAt = t
-        while (overload.high) tick(0)
+        while (overload.overloaded) tick(0)
         assertTrue(t - lateAt in 100..2000, "it took ${t - lateAt} ms to pass")
     }
 
     @Test
     fun `a process that stood still for a minute is not strained for a minute`() {
         tick(60_000)
-        assertEquals(1000, overload.lateMs)
+        assertEquals(1000, overload.tickDelayMs)
     }
 
     @Test
     fun `the first tick tells nothing`() {
-        overload.ticked(5000)
-        assertEquals(0, overload.lateMs)
+        overload.onTick(5000)
+        assertEquals(0, overload.tickDelayMs)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -50,7 +50,7 @@
             fleet.tick(leading = false, unplaced = emptyList(), mayRent = false)
             val request = context.drain().filterIsInstance<Effect.Cloud>().single { it.op == CloudOp.Catalog }
             val small = MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west"))
-            context.reply(Input.Cloud(request.ticket, CloudReply.CatalogIs(listOf(small))))
+            context.reply(Input.Cloud(request.ticket, CloudReply.Catalog(listOf(small))))
         }
     private val moves = ReplicaMigration(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
 
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
@@ -252,7 +252,10 @@
         var revision = 1L
         while (true) {
             val e = pending.removeFirstOrNull() ?: break
-            if (e is Effect.Cloud && e.op == CloudOp.Catalog) pending.addAll(c.step(Now(10, 10), Input.Cloud(e.ticket, CloudReply.CatalogIs(Simulation(1).types))))
+            if (e is Effect.Cloud && e.op == CloudOp.Catalog) {
+                val catalog = CloudReply.Catalog(Simulation(1).types)
+                pending.addAll(c.step(Now(10, 10), Input.Cloud(e.ticket, catalog)))
+            }
             if (e !is Effect.State || e.op is StateOp.List && !lists) continue
             val reply = when (e.op) {
                 is StateOp.Read -> StateReply.Missing
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
@@ -47,8 +47,8 @@
 
     private fun execute(op: CloudOp): CloudReply =
         when (op) {
-            CloudOp.Catalog -> CloudReply.CatalogIs(catalog)
-            is CloudOp.Machines -> CloudReply.MachinesAre(list())
+            CloudOp.Catalog -> CloudReply.Catalog(catalog)
+            is CloudOp.Machines -> CloudReply.Machines(list())
             is CloudOp.Rent -> rent(op)
             is CloudOp.Delete -> {
                 op.names.forEach { machines.remove(it)?.worker?.gone() }
