--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -76,23 +76,23 @@
     private var changesPlaced = -1L
 
     init {
-        reconciler.onSettledMarker = dispatch::settled
-        reconciler.onMarked = direct::send
-        reconciler.onBegun = fleet::reached
-        fleet.onGone = reconciler::machineGone
+        reconciler.onMarkerReleased = dispatch::onMarkerReleased
+        reconciler.onStartsReady = direct::send
+        reconciler.onStartObserved = fleet::reached
+        fleet.onGone = reconciler::onMachineGone
         fleet.newEpochListener = reconciler::onNewEpoch
         fleet.reserve = placement::reserve
         jobs.onDone = requestHandler::finished
         jobs.onCancelled = { job ->
-            reconciler.recorded(job, job.done)
+            reconciler.onOutcomesRecorded(job, job.done)
             if (!job.live.isEmpty()) direct.stopAll(job)
         }
         log.source(jobs::nextUrgent)
         log.source(::place)
-        log.source { room -> jobs.nextCompletion(room, reconciler::recorded) }
+        log.source { room -> jobs.nextCompletion(room, reconciler::onOutcomesRecorded) }
         log.source(staticMachines::next)
         log.source(images::next)
-        log.source(dispatch::nextTrash)
+        log.source(dispatch::nextGarbage)
         log.source(jobs::nextTrash)
     }
 
@@ -230,7 +230,7 @@
             fleetAt = context.steady + FLEET_MS + context.overload.lateMs * FLEET_PER_LATE
             if (leading && leadership.entitled()) {
                 direct.advanceFencingTokenIfNeeded()
-                direct.askDoubtful()
+                direct.probeDoubtful()
             }
             fleet.tick(leading && leadership.entitled(), placement.unplaced, mayRent())
         }
@@ -324,7 +324,7 @@
         val allocations = placement.round()
         placement.preempted.forEach(direct::send)
         if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
-        return dispatch.mark(allocations, room)
+        return dispatch.writeMarkers(allocations, room)
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -25,13 +25,13 @@
     private val fencingToken: () -> Long,
 ) {
     /** Set by the controller: an attempt's marker is needed no more. */
-    var onSettledMarker: (DispatchMarker) -> Unit = {}
+    var onMarkerReleased: (DispatchMarker) -> Unit = {}
 
     /** Set by the controller: a machine has attempts whose markers are durable. */
-    var onMarked: (Machine) -> Unit = {}
+    var onStartsReady: (Machine) -> Unit = {}
 
     /** Set by the controller: a machine has begun what this leader told it to. */
-    var onBegun: (Machine) -> Unit = {}
+    var onStartObserved: (Machine) -> Unit = {}
 
     fun clear() {
         creditCpus = 0.0
@@ -63,26 +63,26 @@
         return attempt
     }
 
-    fun marked(attempts: List<Attempt>) {
+    fun onMarkersPersisted(attempts: List<Attempt>) {
         val machines = LinkedHashSet<Machine>()
         for (a in attempts) {
-            if (a.settled) continue
-            a.phase = Attempt.Phase.MARKED
-            if (a.machine.state != Machine.State.UP) settle(a) else machines.add(a.machine)
+            if (a.resolved) continue
+            a.phase = Attempt.Phase.MARKER_PERSISTED
+            if (a.machine.state != Machine.State.UP) resolve(a) else machines.add(a.machine)
         }
-        for (m in machines) onMarked(m)
+        for (m in machines) onStartsReady(m)
     }
 
     /** The marker that should list [attempts] cannot be written: none was sent, and their tasks are ready again. */
-    fun unmarked(attempts: List<Attempt>) = attempts.forEach(::settle)
+    fun onMarkersAbandoned(attempts: List<Attempt>) = attempts.forEach(::resolve)
 
     /** Frees what the attempt held: it is on no machine, and the task is ready again unless it is done. */
-    private fun settle(a: Attempt) {
-        if (a.settled) return
+    private fun resolve(a: Attempt) {
+        if (a.resolved) return
         if (a.phase != Attempt.Phase.EXITED) release(a)
-        a.settled = true
+        a.resolved = true
         a.machine.attempts.remove(a)
-        a.marker?.let { if (!a.forgettable) onSettledMarker(it) }
+        a.marker?.let { if (!a.outcomeRecorded) onMarkerReleased(it) }
     }
 
     private fun release(a: Attempt) {
@@ -95,25 +95,26 @@
     }
 
     /** Everything on [machine] is certainly gone: deleted, lapsed, or from a session before a new one. */
-    fun machineGone(machine: Machine) = gone(machine, inherited = true)
+    fun onMachineGone(machine: Machine) = resolveEnded(machine, inherited = true)
 
     /**
      * [machine] is in a new session, which ends what was in the one before. That says nothing of what an earlier leader
      * started: while the session that we knew is only told by reports of before our token, old copies among them, its
      * starts may be in the new one. An earlier version took them for gone, and they ran twice.
      */
-    fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) = gone(machine, inherited = knewOurFencingToken)
+    fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
+        resolveEnded(machine, inherited = knewOurFencingToken)
 
-    private fun gone(machine: Machine, inherited: Boolean) {
+    private fun resolveEnded(machine: Machine, inherited: Boolean) {
         for (a in ArrayList(machine.attempts)) {
-            if (a.phase == Attempt.Phase.MARKING) continue // its marker decides: see marked()
+            if (a.phase == Attempt.Phase.MARKER_PENDING) continue // its marker decides: see onMarkersPersisted()
             if (a.inherited && !inherited) continue
-            if (a.phase == Attempt.Phase.EXITED && !a.forgettable) {
+            if (a.phase == Attempt.Phase.EXITED && !a.outcomeRecorded) {
                 // Completed, and being recorded; the record does not need the machine.
                 continue
             }
-            a.directPending = false
-            settle(a)
+            a.directStartUnresolved = false
+            resolve(a)
         }
     }
 
@@ -138,12 +139,12 @@
         for (a in ArrayList(m.attempts)) {
             val t = reported[a]
             if (t != null) {
-                present(a, t)
+                observed(a, t)
             } else if (fromHeartbeat) {
-                absent(a, current)
+                missing(a, current)
             }
         }
-        m.orphans = unknown.filter { !adopt(m, it) }
+        m.orphans = unknown.filter { !adoptOrphan(m, it) }
         m.reconciled = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
     }
 
@@ -151,21 +152,21 @@
     private fun repeats(m: Machine, heartbeat: WorkerHeartbeat): Boolean =
         heartbeat.tasks === m.reconciled && heartbeat.tasks.size == m.attempts.size && m.attempts.all { it.onMachine }
 
-    private fun absent(a: Attempt, current: Boolean) {
+    private fun missing(a: Attempt, current: Boolean) {
         when (a.phase) {
-            Attempt.Phase.MARKING, Attempt.Phase.MARKED -> Unit
-            Attempt.Phase.SENT ->
+            Attempt.Phase.MARKER_PENDING, Attempt.Phase.MARKER_PERSISTED -> Unit
+            Attempt.Phase.START_SENT ->
                 when {
-                    a.directPending -> Unit // the start may still be under way
-                    a.inherited -> if (current) settle(a) // an older leader's start can no longer be obeyed
-                    else -> a.phase = Attempt.Phase.MARKED // the response was dropped, and stays dropped
+                    a.directStartUnresolved -> Unit // the start may still be under way
+                    a.inherited -> if (current) resolve(a) // an older leader's start can no longer be obeyed
+                    else -> a.phase = Attempt.Phase.MARKER_PERSISTED // the response was dropped, and stays dropped
                 }
-            Attempt.Phase.EXITED -> if (a.forgettable) settle(a) else Unit
-            else -> if (!a.directPending && (current || !a.inherited)) settle(a)
+            Attempt.Phase.EXITED -> if (a.outcomeRecorded) resolve(a) else Unit
+            else -> if (!a.directStartUnresolved && (current || !a.inherited)) resolve(a)
         }
     }
 
-    private fun present(a: Attempt, t: TaskStatus) {
+    private fun observed(a: Attempt, t: TaskStatus) {
         when (t.phase) {
             TaskStatus.Phase.FETCHING -> enter(a, Attempt.Phase.FETCHING)
             TaskStatus.Phase.RUNNING -> enter(a, Attempt.Phase.RUNNING)
@@ -177,17 +178,17 @@
 
     private fun enter(a: Attempt, phase: Attempt.Phase) {
         if (a.phase == Attempt.Phase.EXITED || a.phase == phase) return
-        if (a.phase == Attempt.Phase.SENT && !a.inherited) onBegun(a.machine)
+        if (a.phase == Attempt.Phase.START_SENT && !a.inherited) onStartObserved(a.machine)
         val ran = a.onMachine && a.phase != Attempt.Phase.FETCHING
         a.phase = phase
         if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.held.add(a.job.image)
         val runs = phase != Attempt.Phase.FETCHING
-        if (runs && !ran) begun(a)
+        if (runs && !ran) started(a)
         if (!runs && ran) a.job.running--
         a.since = context.steady
     }
 
-    private fun begun(a: Attempt) {
+    private fun started(a: Attempt) {
         val job = a.job
         job.running++
         val startMs = context.steady - a.placedAt
@@ -212,10 +213,10 @@
         a.phase = Attempt.Phase.EXITED
         a.completed = completed
         if (completed && job.entry.state == JobState.OPEN) return completed(a)
-        forgettable(a)
+        recordOutcome(a)
         when (cause) {
             ExitCause.ERROR -> failed(a)
-            ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) ended(a)
+            ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) replicaEnded(a)
             ExitCause.FULL -> a.machine.fullUntil = context.steady + FULL_MS
             ExitCause.BUSY, ExitCause.NO_SUCH -> job.notBefore = maxOf(job.notBefore, context.steady + RETRY_MS)
             else -> Unit
@@ -234,7 +235,7 @@
     }
 
     /** A replica has ended by itself: it runs again, elsewhere, and later and later if that happens again and again. */
-    private fun ended(a: Attempt) {
+    private fun replicaEnded(a: Attempt) {
         val job = a.job
         job.failedOn(a.machine.id, context.steady)
         job.failures = if (context.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
@@ -257,40 +258,40 @@
         context.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
     }
 
-    private fun forgettable(a: Attempt) {
-        if (a.forgettable) return
-        a.forgettable = true
-        a.marker?.let(onSettledMarker)
+    private fun recordOutcome(a: Attempt) {
+        if (a.outcomeRecorded) return
+        a.outcomeRecorded = true
+        a.marker?.let(onMarkerReleased)
     }
 
     /** The completions of [done] in [job] are durable: the workers may forget them. */
-    fun recorded(job: OpenJob, done: java.util.BitSet) {
+    fun onOutcomesRecorded(job: OpenJob, done: java.util.BitSet) {
         val iterator = job.unrecorded.iterator()
         while (iterator.hasNext()) {
             val a = iterator.next()
             if (!done.get(a.index)) continue
             iterator.remove()
-            forgettable(a)
-            if (a.machine.state != Machine.State.UP) settle(a)
+            recordOutcome(a)
+            if (a.machine.state != Machine.State.UP) resolve(a)
         }
     }
 
     /** A task on a machine that no marker of ours explains; false if it is only to be removed. */
-    private fun adopt(m: Machine, t: TaskStatus): Boolean {
+    private fun adoptOrphan(m: Machine, t: TaskStatus): Boolean {
         val job = jobs.find(t.jobId)?.open ?: return false
         if (t.index >= job.spec.tasks) return false
         if (t.phase == TaskStatus.Phase.EXITED && t.cause != ExitCause.DONE) return false
         if (t.phase != TaskStatus.Phase.EXITED && (job.done.get(t.index) || job.live.get(t.index) > 0)) return false
         val a = reserve(job, t.index, t.attempt, m, null)
         a.inherited = true
-        a.phase = Attempt.Phase.SENT
-        present(a, t)
+        a.phase = Attempt.Phase.START_SENT
+        observed(a, t)
         return true
     }
 
     /** A marked attempt is not started any more: its task is ready again, or over. */
     fun withdraw(a: Attempt) {
-        if (!a.directPending) settle(a)
+        if (!a.directStartUnresolved) resolve(a)
     }
 
     private data class Identity(val job: Int, val index: Int, val number: Long)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -29,9 +29,9 @@
     private fun commandFor(a: Attempt, startsAllowed: Boolean): Command? {
         val unwanted = a.job.cancelled || a.job.done.get(a.index)
         return when (a.phase) {
-            Attempt.Phase.MARKING -> null
-            Attempt.Phase.MARKED -> firstStart(a, unwanted, startsAllowed)
-            Attempt.Phase.SENT -> if (startsAllowed && !unwanted) repeatedStart(a) else null
+            Attempt.Phase.MARKER_PENDING -> null
+            Attempt.Phase.MARKER_PERSISTED -> firstStart(a, unwanted, startsAllowed)
+            Attempt.Phase.START_SENT -> if (startsAllowed && !unwanted) repeatedStart(a) else null
             Attempt.Phase.EXITED -> forget(a)
             else ->
                 if (unwanted) {
@@ -50,12 +50,12 @@
             return null
         }
         if (!startsAllowed || a.job.cancelling) return null
-        a.phase = Attempt.Phase.SENT
+        a.phase = Attempt.Phase.START_SENT
         return start(a)
     }
 
     /** A direct start without an answer is repeated by the answers to reports; an earlier leader's is not ours. */
-    private fun repeatedStart(a: Attempt): Command? = if (a.directPending && !a.inherited) start(a) else null
+    private fun repeatedStart(a: Attempt): Command? = if (a.directStartUnresolved && !a.inherited) start(a) else null
 
     fun start(a: Attempt) = Command.Start(a.job.spec.id, a.index, a.number)
 
@@ -71,8 +71,8 @@
      * An earlier version took the first answer for the last.
      */
     private fun forget(a: Attempt): Command? {
-        if (!a.forgettable || a.directPending) return null
-        val beginsNoMore = !a.sentDirectly || a.completed && !a.job.cancelled
+        if (!a.outcomeRecorded || a.directStartUnresolved) return null
+        val beginsNoMore = !a.startedDirectly || a.completed && !a.job.cancelled
         return if (beginsNoMore) Command.Forget(a.job.spec.id, a.index, a.number) else null
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -27,7 +27,7 @@
     private val reconciler: AttemptReconciler,
     private val fleet: Fleet,
 ) {
-    private val trash = ArrayDeque<String>()
+    private val garbage = ArrayDeque<String>()
     private var fencingToken = 0L
     private var round = 0L
 
@@ -41,13 +41,13 @@
         fencingToken = newFencingToken
         round = 0
         mostBytes = limits.valueBytes
-        trash.clear()
+        garbage.clear()
     }
 
     /**
      * The markers of a round: at most [StateWriter.Room.ops] values; what does not fit stays ready for the next round.
      */
-    fun mark(allocations: List<Allocation>, room: StateWriter.Room): Write? {
+    fun writeMarkers(allocations: List<Allocation>, room: StateWriter.Room): Write? {
         val changes = ArrayList<Change>()
         val attempts = ArrayList<Attempt>()
         val markers = ArrayList<DispatchMarker>()
@@ -107,11 +107,11 @@
         if (changes.isEmpty()) return null
         return Write(changes, onRefused = {
             if (changes.size == 1) mostBytes = maxOf(MIN_BYTES, mostBytes / 2) // else there were too many
-            reconciler.unmarked(attempts)
+            reconciler.onMarkersAbandoned(attempts)
         }) {
             if (mostBytes < limits.valueBytes) mostBytes = minOf(limits.valueBytes, mostBytes + mostBytes / GROWTH_OF)
             for (m in markers) m.durable = true
-            reconciler.marked(attempts)
+            reconciler.onMarkersPersisted(attempts)
         }
     }
 
@@ -127,14 +127,14 @@
     }
 
     /** One of [marker]'s attempts is settled and needs it no more. */
-    fun settled(marker: DispatchMarker) {
-        if (--marker.outstanding == 0) trash.add(marker.key)
+    fun onMarkerReleased(marker: DispatchMarker) {
+        if (--marker.outstanding == 0) garbage.add(marker.key)
     }
 
-    fun nextTrash(room: StateWriter.Room): Write? {
+    fun nextGarbage(room: StateWriter.Room): Write? {
         if (room.ops < 1) return null
-        val key = trash.removeFirstOrNull() ?: return null
-        return Write(listOf(Change(key, null)), onRefused = { trash.add(key) }) {}
+        val key = garbage.removeFirstOrNull() ?: return null
+        return Write(listOf(Change(key, null)), onRefused = { garbage.add(key) }) {}
     }
 
     /** Takes in an earlier leader's marker: its attempts are in doubt until their machines tell, or are gone. */
@@ -151,10 +151,10 @@
                 if (index >= job.spec.tasks || job.done.get(index)) continue
                 val attempt = reconciler.reserve(job, index, marker.number, machine, marker)
                 attempt.inherited = true
-                attempt.phase = Attempt.Phase.SENT
+                attempt.phase = Attempt.Phase.START_SENT
             }
         }
-        settled(marker)
+        onMarkerReleased(marker)
     }
 
     companion object {
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -54,9 +54,9 @@
         if (starts.isEmpty() && stops.isEmpty()) return
         for (a in stops) a.stopSentAt = context.steady // once; answers to reports repeat it
         for (a in starts) {
-            a.phase = Attempt.Phase.SENT
-            a.directPending = true
-            a.sentDirectly = true
+            a.phase = Attempt.Phase.START_SENT
+            a.directStartUnresolved = true
+            a.startedDirectly = true
         }
         m.directBusy = true
         m.askedAt = context.steady
@@ -65,7 +65,8 @@
         call(m, commands) { reply -> onReply(m, epoch, starts, reply) }
     }
 
-    private fun mayStart(a: Attempt): Boolean = a.phase == Attempt.Phase.MARKED && !a.job.cancelling && !a.job.cancelled
+    private fun mayStart(a: Attempt): Boolean =
+        a.phase == Attempt.Phase.MARKER_PERSISTED && !a.job.cancelling && !a.job.cancelled
 
     private fun reachableNow(m: Machine): Boolean {
         if (m.directBusy || m.address.isEmpty() || m.epoch == 0L) return false
@@ -79,7 +80,7 @@
     }
 
     /** A direct command without orders: its answer shows that the machine hears us. */
-    fun askDoubtful() {
+    fun probeDoubtful() {
         var left = MAX_ASKED
         for (m in fleet.machines) {
             if (left == 0) return
@@ -103,11 +104,17 @@
     private fun onReply(m: Machine, epoch: Long, starts: List<Attempt>, reply: CommandReply) {
         m.directBusy = false
         if (reply is CommandReply.NoResponse) return // it may still be executed: see [advanceFencingTokenIfNeeded]
-        for (a in starts) a.directPending = false
+        for (a in starts) a.directStartUnresolved = false
         if (reply is CommandReply.Executed) {
             onExecuted(m, epoch, reply.heartbeat)
         } else {
-            for (a in starts) if (a.phase == Attempt.Phase.SENT && !a.settled) a.phase = Attempt.Phase.MARKED
+            for (a in starts) {
+                if (a.phase == Attempt.Phase.START_SENT &&
+                    !a.resolved
+                ) {
+                    a.phase = Attempt.Phase.MARKER_PERSISTED
+                }
+            }
         }
     }
 
@@ -122,7 +129,7 @@
             m.seq = heartbeat.seq
             reconciler.reconcile(m, heartbeat, fromHeartbeat = false)
         }
-        if (m.attempts.any { it.phase == Attempt.Phase.MARKED }) send(m)
+        if (m.attempts.any { it.phase == Attempt.Phase.MARKER_PERSISTED }) send(m)
     }
 
     /**
@@ -140,15 +147,15 @@
 
     private fun keepsTooMany(m: Machine): Boolean = m.attempts.size > MAX_KEPT && m.attempts.count(::isOver) > MAX_KEPT
 
-    private fun isOver(a: Attempt): Boolean = a.phase == Attempt.Phase.EXITED && a.forgettable
+    private fun isOver(a: Attempt): Boolean = a.phase == Attempt.Phase.EXITED && a.outcomeRecorded
 
     private fun stuck(m: Machine, t: Long): Boolean =
         m.state == Machine.State.UP && m.attempts.any { inDoubtForLong(it, t) && (mayYetBegin(it) || isOver(it)) }
 
-    private fun inDoubtForLong(a: Attempt, t: Long): Boolean = a.directPending && t - a.since > STUCK_MS
+    private fun inDoubtForLong(a: Attempt, t: Long): Boolean = a.directStartUnresolved && t - a.since > STUCK_MS
 
     /** Whether [a] is cancelled, and its start without an answer may still be carried out. */
-    private fun mayYetBegin(a: Attempt): Boolean = a.phase == Attempt.Phase.SENT && a.job.cancelled
+    private fun mayYetBegin(a: Attempt): Boolean = a.phase == Attempt.Phase.START_SENT && a.job.cancelled
 
     /**
      * No generation can be raised while nothing can be written, and giving up the lead then would cost every machine
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
@@ -12,27 +12,27 @@
     /** Given to a job that had been passed over: not to be taken from it again. */
     val fromCredit: Boolean,
 ) {
-    enum class Phase { MARKING, MARKED, SENT, FETCHING, RUNNING, SAVING, EXITED }
+    enum class Phase { MARKER_PENDING, MARKER_PERSISTED, START_SENT, FETCHING, RUNNING, SAVING, EXITED }
 
-    var phase = Phase.MARKING
+    var phase = Phase.MARKER_PENDING
 
     /** Dispatched by an earlier leader, or found on a machine: absence is proof only in a report at our token. */
     var inherited = false
 
     /** A direct start without a known outcome: neither to be forgotten nor taken for absent. */
-    var directPending = false
+    var directStartUnresolved = false
 
     /** Its start went straight to the worker, so that a copy of it may come at any time while our token holds there. */
-    var sentDirectly = false
+    var startedDirectly = false
 
     /** It ended by completing: begun once more it would only end once more. */
     var completed = false
 
     /** Its end is recorded, or needs no record. */
-    var forgettable = false
+    var outcomeRecorded = false
     var stopping = false
     var stopSentAt = 0L
-    var settled = false
+    var resolved = false
     var since = 0L
     var placedAt = 0L
 
@@ -40,7 +40,7 @@
     var cached = false
 
     /** How many more seconds it takes at the least, as far as its job's other tasks or its owner's estimate tell. */
-    fun leastLeftS(t: Long): Double {
+    fun minRemainingS(t: Long): Double {
         if (job.service) return Double.MAX_VALUE
         val ran = if (phase == Phase.RUNNING) (t - since) / MS_PER_S else 0.0
         return (if (job.runs > 0) job.ranS / job.runs else job.spec.expectedS) * MIN_OF_EXPECTED - ran
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -174,7 +174,7 @@
         for (a in m.attempts) {
             if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMigration]
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
-            val overInTime = a.inherited || a.leastLeftS(context.steady) <= leftS
+            val overInTime = a.inherited || a.minRemainingS(context.steady) <= leftS
             if (saves || !overInTime) a.stopping = true
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -29,7 +29,7 @@
     /** A replica whose [old] attempt was told to stop, and the machine that holds room for it. */
     private class Move(val old: Attempt, val target: Machine) {
         val job: OpenJob get() = old.job
-        val oldGone: Boolean get() = old.settled || old.phase == Attempt.Phase.EXITED
+        val oldGone: Boolean get() = old.resolved || old.phase == Attempt.Phase.EXITED
     }
 
     private val moves = ArrayList<Move>()
@@ -122,7 +122,7 @@
     /** Whether a replica of the same service other than [attempt] is down, or was told to stop. */
     private fun othersDown(attempt: Attempt): Boolean {
         val job = attempt.job
-        val stopping = moves.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.settled }
+        val stopping = moves.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.resolved }
         val itself = if (attempt.phase == Attempt.Phase.RUNNING) 0 else 1
         return job.spec.tasks - job.running + stopping - itself > 0
     }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -66,7 +66,12 @@
                 it.seq = 1
             }
         val numbers = listOf(131L, 100L, 69L)
-        numbers.forEachIndexed { index, n -> reconciler.reserve(job, index, n, m, null).phase = Attempt.Phase.SENT }
+        numbers.forEachIndexed {
+            index,
+            n,
+            ->
+            reconciler.reserve(job, index, n, m, null).phase = Attempt.Phase.START_SENT
+        }
 
         fun task(index: Int, phase: TaskStatus.Phase, cause: ExitCause?) =
             TaskStatus("j-1", index, numbers[index], phase, cause)
@@ -94,7 +99,7 @@
         val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, fromCredit = true)
         for (attempt in listOf(batch, replica)) attempt.phase = Attempt.Phase.RUNNING
         assertEquals(1.0, reconciler.creditCpus)
-        reconciler.machineGone(m)
+        reconciler.onMachineGone(m)
         assertEquals(0.0, reconciler.creditCpus)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -102,7 +102,7 @@
         }
 
     /** The attempt is certainly gone, as when its worker reports that it has obeyed. */
-    private fun gone(m: Machine) = reconciler.machineGone(m)
+    private fun gone(m: Machine) = reconciler.onMachineGone(m)
 
     private fun notice(m: Machine, inMs: Long) {
         m.noticeAt = context.steady + inMs
