--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -41,6 +41,7 @@
     var creditCpus = 0.0
         private set
 
+    /** An attempt that a placement round has decided on; it is started once [marker] is durable. */
     fun reserve(
         job: OpenJob,
         index: Int,
@@ -50,16 +51,22 @@
         fromCredit: Boolean = false,
     ): Attempt {
         // A replica never ends: what it is given would be missing from the share of passed over work for good.
-        val attempt = Attempt(job, index, number, machine, marker, fromCredit && !job.service)
+        val countsAsCredit = fromCredit && !job.service
+        return count(Attempt(job, index, number, machine, marker, countsAsCredit, inherited = false, context.steady))
+    }
+
+    /** An attempt that an earlier leader may have started. */
+    fun reserveInherited(job: OpenJob, index: Int, number: Long, machine: Machine, marker: DispatchMarker?): Attempt =
+        count(Attempt(job, index, number, machine, marker, fromCredit = false, inherited = true, context.steady))
+
+    private fun count(attempt: Attempt): Attempt {
+        val job = attempt.job
         if (attempt.fromCredit) creditCpus += job.taskResources.cpus
-        attempt.since = context.steady
-        attempt.placedAt = context.steady
-        attempt.cached = job.image in machine.held
-        machine.attempts.add(attempt)
-        machine.occupy(job.taskResources)
-        job.taken(index)
+        attempt.machine.attempts.add(attempt)
+        attempt.machine.occupy(job.taskResources)
+        job.taken(attempt.index)
         quotas.add(job.team, job.taskResources)
-        if (marker != null) marker.outstanding++
+        attempt.marker?.hold()
         return attempt
     }
 
@@ -67,7 +74,7 @@
         val machines = LinkedHashSet<Machine>()
         for (a in attempts) {
             if (a.resolved) continue
-            a.phase = Attempt.Phase.MARKER_PERSISTED
+            a.markerPersisted()
             if (a.machine.state != Machine.State.UP) resolve(a) else machines.add(a.machine)
         }
         for (m in machines) onStartsReady(m)
@@ -80,13 +87,13 @@
     private fun resolve(a: Attempt) {
         if (a.resolved) return
         if (a.phase != Attempt.Phase.EXITED) release(a)
-        a.resolved = true
+        a.resolve()
         a.machine.attempts.remove(a)
         a.marker?.let { if (!a.outcomeRecorded) onMarkerReleased(it) }
     }
 
     private fun release(a: Attempt) {
-        if (a.onMachine && a.phase != Attempt.Phase.FETCHING) a.job.running--
+        if (a.running) a.job.running--
         quotas.remove(a.job.team, a.job.taskResources)
         a.machine.vacate(a.job.taskResources)
         if (a.fromCredit) creditCpus -= a.job.taskResources.cpus
@@ -113,7 +120,7 @@
                 // Completed, and being recorded; the record does not need the machine.
                 continue
             }
-            a.directStartUnresolved = false
+            a.directStartConcluded()
             resolve(a)
         }
     }
@@ -159,7 +166,7 @@
                 when {
                     a.directStartUnresolved -> Unit // the start may still be under way
                     a.inherited -> if (current) resolve(a) // an older leader's start can no longer be obeyed
-                    else -> a.phase = Attempt.Phase.MARKER_PERSISTED // the response was dropped, and stays dropped
+                    else -> a.startDropped() // the response was dropped, and stays dropped
                 }
             Attempt.Phase.EXITED -> if (a.outcomeRecorded) resolve(a) else Unit
             else -> if (!a.directStartUnresolved && (current || !a.inherited)) resolve(a)
@@ -179,13 +186,12 @@
     private fun enter(a: Attempt, phase: Attempt.Phase) {
         if (a.phase == Attempt.Phase.EXITED || a.phase == phase) return
         if (a.phase == Attempt.Phase.START_SENT && !a.inherited) onStartObserved(a.machine)
-        val ran = a.onMachine && a.phase != Attempt.Phase.FETCHING
-        a.phase = phase
+        val ran = a.running
+        a.entered(phase, context.steady)
         if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.held.add(a.job.image)
         val runs = phase != Attempt.Phase.FETCHING
         if (runs && !ran) started(a)
         if (!runs && ran) a.job.running--
-        a.since = context.steady
     }
 
     private fun started(a: Attempt) {
@@ -196,7 +202,7 @@
         context.emit(Effect.Timing("start", startMs))
         if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
         val task = "${job.spec.id}/${a.index} (${job.spec.workload})"
-        val held = if (a.cached) ", image held" else ""
+        val held = if (a.imageWasHeld) ", image held" else ""
         context.debug(
             "$task runs $waitMs ms after it was accepted, $startMs ms after it was placed on ${a.machine.name}$held",
         )
@@ -208,10 +214,9 @@
         val completed = cause == ExitCause.DONE && !job.service
         if (completed && a.phase == Attempt.Phase.RUNNING && !a.inherited) {
             job.runs++
-            job.ranS += (context.steady - a.since) / MS_PER_S
+            job.ranS += (context.steady - a.progressAt) / MS_PER_S
         }
-        a.phase = Attempt.Phase.EXITED
-        a.completed = completed
+        a.exited(completed)
         if (completed && job.entry.state == JobState.OPEN) return completed(a)
         recordOutcome(a)
         when (cause) {
@@ -260,7 +265,7 @@
 
     private fun recordOutcome(a: Attempt) {
         if (a.outcomeRecorded) return
-        a.outcomeRecorded = true
+        a.outcomeIsRecorded()
         a.marker?.let(onMarkerReleased)
     }
 
@@ -282,9 +287,7 @@
         if (t.index >= job.spec.tasks) return false
         if (t.phase == TaskStatus.Phase.EXITED && t.cause != ExitCause.DONE) return false
         if (t.phase != TaskStatus.Phase.EXITED && (job.done.get(t.index) || job.live.get(t.index) > 0)) return false
-        val a = reserve(job, t.index, t.attempt, m, null)
-        a.inherited = true
-        a.phase = Attempt.Phase.START_SENT
+        val a = reserveInherited(job, t.index, t.attempt, m, null)
         observed(a, t)
         return true
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -36,7 +36,7 @@
             else ->
                 if (unwanted) {
                     stop(a, 0.0)
-                } else if (a.stopping) {
+                } else if (a.stopRequested) {
                     stop(a)
                 } else {
                     null
@@ -50,7 +50,7 @@
             return null
         }
         if (!startsAllowed || a.job.cancelling) return null
-        a.phase = Attempt.Phase.START_SENT
+        a.startSent()
         return start(a)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -50,7 +50,6 @@
     fun writeMarkers(allocations: List<Allocation>, room: StateWriter.Room): Write? {
         val changes = ArrayList<Change>()
         val attempts = ArrayList<Attempt>()
-        val markers = ArrayList<DispatchMarker>()
         var rows = ArrayList<Any?>()
         var size = BASE_BYTES
         var total = 0
@@ -90,10 +89,7 @@
             if (total + rowSize + BASE_BYTES > room.bytes) break
             if (marker == null && (changes.size >= room.ops || exhausted)) break
             val m =
-                marker ?: nextMarker().also {
-                    marker = it
-                    markers.add(it)
-                }
+                marker ?: nextMarker().also { marker = it }
             rows.add(row)
             size += rowSize
             total += rowSize
@@ -110,7 +106,6 @@
             reconciler.onMarkersAbandoned(attempts)
         }) {
             if (mostBytes < limits.valueBytes) mostBytes = minOf(limits.valueBytes, mostBytes + mostBytes / GROWTH_OF)
-            for (m in markers) m.durable = true
             reconciler.onMarkersPersisted(attempts)
         }
     }
@@ -128,7 +123,7 @@
 
     /** One of [marker]'s attempts is settled and needs it no more. */
     fun onMarkerReleased(marker: DispatchMarker) {
-        if (--marker.outstanding == 0) garbage.add(marker.key)
+        if (marker.release()) garbage.add(marker.key)
     }
 
     fun nextGarbage(room: StateWriter.Room): Write? {
@@ -141,17 +136,14 @@
     fun load(row: KeyValue, jobs: JobTable) {
         val f = Fields.of(row.value, row.key)
         val marker = DispatchMarker(row.key, f.long("n"))
-        marker.durable = true
-        marker.outstanding = 1 // held until the whole marker is read
+        marker.hold() // held until the whole marker is read
         for (item in f.list("a")) {
             val parts = item as? List<*> ?: throw Malformed("${row.key} is not a marker")
             val job = jobs.marked(parts[0].toString()) ?: continue
             val machine = fleet.known(parts[1].toString())
             for (index in indices(parts[2].toString())) {
                 if (index >= job.spec.tasks || job.done.get(index)) continue
-                val attempt = reconciler.reserve(job, index, marker.number, machine, marker)
-                attempt.inherited = true
-                attempt.phase = Attempt.Phase.START_SENT
+                reconciler.reserveInherited(job, index, marker.number, machine, marker)
             }
         }
         onMarkerReleased(marker)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -50,14 +50,10 @@
     fun send(m: Machine) {
         if (!leadership.entitled() || !reachableNow(m)) return
         val starts = if (context.overload.high) emptyList() else m.attempts.filter(::mayStart)
-        val stops = m.attempts.filter { (it.stopping || it.job.cancelled) && it.onMachine && it.stopSentAt == 0L }
+        val stops = m.attempts.filter { (it.stopRequested || it.job.cancelled) && it.onMachine && !it.directStopSent }
         if (starts.isEmpty() && stops.isEmpty()) return
-        for (a in stops) a.stopSentAt = context.steady // once; answers to reports repeat it
-        for (a in starts) {
-            a.phase = Attempt.Phase.START_SENT
-            a.directStartUnresolved = true
-            a.startedDirectly = true
-        }
+        for (a in stops) a.stopSentDirectly() // once; answers to reports repeat it
+        for (a in starts) a.startSentDirectly()
         m.directBusy = true
         m.askedAt = context.steady
         val epoch = m.epoch
@@ -104,7 +100,7 @@
     private fun onReply(m: Machine, epoch: Long, starts: List<Attempt>, reply: CommandReply) {
         m.directBusy = false
         if (reply is CommandReply.NoResponse) return // it may still be executed: see [advanceFencingTokenIfNeeded]
-        for (a in starts) a.directStartUnresolved = false
+        for (a in starts) a.directStartConcluded()
         if (reply is CommandReply.Executed) {
             onExecuted(m, epoch, reply.heartbeat)
         } else {
@@ -112,7 +108,7 @@
                 if (a.phase == Attempt.Phase.START_SENT &&
                     !a.resolved
                 ) {
-                    a.phase = Attempt.Phase.MARKER_PERSISTED
+                    a.startDropped()
                 }
             }
         }
@@ -145,14 +141,13 @@
         leadership.depose("raising the generation to settle direct starts without an answer")
     }
 
-    private fun keepsTooMany(m: Machine): Boolean = m.attempts.size > MAX_KEPT && m.attempts.count(::isOver) > MAX_KEPT
-
-    private fun isOver(a: Attempt): Boolean = a.phase == Attempt.Phase.EXITED && a.outcomeRecorded
+    private fun keepsTooMany(m: Machine): Boolean =
+        m.attempts.size > MAX_KEPT && m.attempts.count { it.finished } > MAX_KEPT
 
     private fun stuck(m: Machine, t: Long): Boolean =
-        m.state == Machine.State.UP && m.attempts.any { inDoubtForLong(it, t) && (mayYetBegin(it) || isOver(it)) }
+        m.state == Machine.State.UP && m.attempts.any { inDoubtForLong(it, t) && (mayYetBegin(it) || it.finished) }
 
-    private fun inDoubtForLong(a: Attempt, t: Long): Boolean = a.directStartUnresolved && t - a.since > STUCK_MS
+    private fun inDoubtForLong(a: Attempt, t: Long): Boolean = a.directStartUnresolved && t - a.progressAt > STUCK_MS
 
     /** Whether [a] is cancelled, and its start without an answer may still be carried out. */
     private fun mayYetBegin(a: Attempt): Boolean = a.phase == Attempt.Phase.START_SENT && a.job.cancelled
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -124,7 +124,7 @@
     val busy: Boolean get() = users > 0
 
     /** Whether nothing of its past is left to be seen to; what is over and merely not forgotten yet does not count. */
-    val vacant: Boolean get() = attempts.all { it.phase == Attempt.Phase.EXITED && it.outcomeRecorded }
+    val vacant: Boolean get() = attempts.all { it.finished }
 
     companion object {
         const val NEVER = Long.MIN_VALUE / 4
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -172,10 +172,10 @@
     private fun windDown(m: Machine) {
         val leftS = (m.noticeAt - context.steady) / MS_PER_S
         for (a in m.attempts) {
-            if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMigration]
+            if (!a.onMachine || a.stopRequested || a.job.service) continue // replicas are moved by [ReplicaMigration]
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
             val overInTime = a.inherited || a.minRemainingS(context.steady) <= leftS
-            if (saves || !overInTime) a.stopping = true
+            if (saves || !overInTime) a.requestStop()
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -42,12 +42,16 @@
         for (u in left) {
             val claim = claimOf(u) ?: continue
             if (u.job.service) {
-                val some = placeable.filter { m -> m.attempts.any { it.stopping || yieldsTo(it, u.job) } }
+                val some = placeable.filter { m -> m.attempts.any { it.stopRequested || yieldsTo(it, u.job) } }
                 makeRoom(claim, some)
                 continue
             }
             val some =
-                places ?: placeable.filter { m -> m.attempts.any { it.stopping || stoppable(it) } }.also { places = it }
+                places
+                    ?: placeable
+                        .filter { m ->
+                            m.attempts.any { it.stopRequested || stoppable(it) }
+                        }.also { places = it }
             if (some.isEmpty()) return
             makeRoom(claim, some)
         }
@@ -66,7 +70,7 @@
         for (m in fleet.machines) {
             for (a in m.attempts) {
                 if (a.job.team != job.team) continue
-                if (a.stopping && a.onMachine) {
+                if (a.stopRequested && a.onMachine) {
                     need -= a.job.taskResources.cpus
                 } else if (yieldsTo(a, job)) {
                     victims.add(a)
@@ -76,7 +80,7 @@
         victims.sortWith(cheapestFirst)
         for (a in victims) {
             if (need <= Resources.EPSILON) return
-            a.stopping = true
+            a.requestStop()
             need -= a.job.taskResources.cpus
             preempted.add(a.machine)
         }
@@ -129,7 +133,7 @@
             if (now == fitting) continue
             made += now - fitting
             fitting = now
-            for (p in pending) p.stopping = true
+            for (p in pending) p.requestStop()
             pending.clear()
             preempted.add(m)
         }
@@ -139,13 +143,13 @@
     /** The room that this round leaves on [m], and what its tasks that are being stopped will leave. */
     private fun roomAfterStops(m: Machine): Resources {
         var room = m.left
-        for (a in m.attempts) if (a.stopping && a.onMachine) room += a.job.taskResources
+        for (a in m.attempts) if (a.stopRequested && a.onMachine) room += a.job.taskResources
         return room
     }
 
     /** Whether little is lost by stopping [a], whatever for. */
     private fun stoppable(a: Attempt): Boolean {
-        if (!a.onMachine || a.stopping || a.fromCredit) return false
+        if (!a.onMachine || a.stopRequested || a.fromCredit) return false
         if (a.job.spec.shape != Shape.ARRAY) return false
         val losesLittle = a.job.spec.checkpointS > 0 || context.steady - a.placedAt < YOUNG_MS
         return losesLittle && !order.withinGuarantee(a.job)
@@ -156,7 +160,7 @@
      * it all along.
      */
     private fun yieldsTo(a: Attempt, by: OpenJob): Boolean {
-        if (!a.onMachine || a.stopping) return false
+        if (!a.onMachine || a.stopRequested) return false
         return !a.job.service && !a.job.gang && a.job.spec.priority > by.spec.priority
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -77,7 +77,7 @@
                     break
                 }
                 if (target != null) moves.add(Move(attempt, target).also(::hold))
-                attempt.stopping = true
+                attempt.requestStop()
                 stoppedOn.add(attempt.machine)
             }
         }
@@ -87,7 +87,7 @@
     private fun leaves(m: Machine): Boolean =
         m.state == Machine.State.UP && (m.noticeAt != Machine.NEVER || m.draining || m.cordoned)
 
-    private fun toBeMoved(a: Attempt): Boolean = a.job.service && wanted(a.job) && a.onMachine && !a.stopping
+    private fun toBeMoved(a: Attempt): Boolean = a.job.service && wanted(a.job) && a.onMachine && !a.stopRequested
 
     private fun wanted(job: OpenJob): Boolean = !job.cancelling && job.entry.state == JobState.OPEN
 
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -70,7 +70,7 @@
             index,
             n,
             ->
-            reconciler.reserve(job, index, n, m, null).phase = Attempt.Phase.START_SENT
+            reconciler.reserve(job, index, n, m, null).startSent()
         }
 
         fun task(index: Int, phase: TaskStatus.Phase, cause: ExitCause?) =
@@ -97,7 +97,7 @@
         val m = Machine(0, "n-1").also { it.state = Machine.State.UP }
         val batch = reconciler.reserve(job("j-1"), 0, 100, m, null, fromCredit = true)
         val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, fromCredit = true)
-        for (attempt in listOf(batch, replica)) attempt.phase = Attempt.Phase.RUNNING
+        for (attempt in listOf(batch, replica)) attempt.entered(Attempt.Phase.RUNNING, context.steady)
         assertEquals(1.0, reconciler.creditCpus)
         reconciler.onMachineGone(m)
         assertEquals(0.0, reconciler.creditCpus)
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -97,7 +97,7 @@
 
     private fun running(job: OpenJob, index: Int, m: Machine): Attempt =
         reconciler.reserve(job, index, 100L + index, m, null).also {
-            it.phase = Attempt.Phase.RUNNING
+            it.entered(Attempt.Phase.RUNNING, context.steady)
             job.running++
         }
 
@@ -119,12 +119,12 @@
         notice(old, 15_000)
         assertTrue(moves.pending())
         val plan = moves.plan(listOf(full))
-        assertFalse(replica.stopping)
+        assertFalse(replica.stopRequested)
         assertEquals(emptyList<Machine>(), plan.stoppedOn)
         assertEquals(listOf(job to 1), plan.lacking.map { it.job to it.count })
         context.now = Now(13_600, 13_600)
         assertEquals(listOf(old), moves.plan(listOf(full)).stoppedOn, "the notice is nearly over")
-        assertTrue(replica.stopping)
+        assertTrue(replica.stopRequested)
     }
 
     @Test
@@ -135,14 +135,14 @@
         val replicas = List(3) { running(job, it, old) }
         old.draining = true
         assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
-        assertEquals(listOf(true, false, false), replicas.map { it.stopping })
+        assertEquals(listOf(true, false, false), replicas.map { it.stopRequested })
         assertEquals(6.0, other.left.cpus)
         offer(other, 8.0)
         assertEquals(emptyList<Allocation>(), moves.start(listOf(other)), "the old attempt is not gone")
         assertEquals(6.0, other.left.cpus, "the room is held in the next round, too")
         assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "one is under way")
 
-        replicas[0].phase = Attempt.Phase.EXITED
+        replicas[0].exited(hasCompleted = false)
         job.running--
         quotas.remove(job.team, job.taskResources)
         job.released(0)
@@ -153,7 +153,7 @@
         assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "the first does not run again yet")
         running(job, 0, other)
         assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
-        assertEquals(listOf(true, true, false), replicas.map { it.stopping })
+        assertEquals(listOf(true, true, false), replicas.map { it.stopRequested })
     }
 
     @Test
@@ -164,7 +164,7 @@
         val replicas = List(3) { running(job, it, old) }
         notice(old, 10_000)
         moves.plan(listOf(other))
-        assertTrue(replicas.all { it.stopping })
+        assertTrue(replicas.all { it.stopRequested })
         assertEquals(2.0, other.left.cpus)
         gone(old)
         // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
