--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -3,6 +3,7 @@
 import org.chalkhollow.core.attempts.AttemptReconciler
 import org.chalkhollow.core.attempts.CommandPlanner
 import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.DispatchMarkerRecord
 import org.chalkhollow.core.attempts.HeartbeatHandler
 import org.chalkhollow.core.attempts.WorkerCommandSender
 import org.chalkhollow.core.cluster.Interners
@@ -330,7 +331,7 @@
     private companion object {
         /** What a candidate reads before it may lead, in this order. */
         val READ_BEFORE_LEADING =
-            listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, StaticMachines.PREFIX)
+            listOf(JobTable.JOB, JobTable.PROGRESS, DispatchMarkerRecord.PREFIX, StaticMachines.PREFIX)
         const val TICK_MS = 100L
         const val FOLLOWER_TICK_MS = 150L
         const val FLEET_MS = 500L
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerRecord.kt
@@ -0,0 +1,76 @@
+package org.chalkhollow.core.attempts
+
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.wire.Fields
+import org.chalkhollow.wire.Malformed
+
+/**
+ * The stored form of a dispatch marker: the number that its attempts have in common, and which tasks may have been
+ * started where. Written by [DispatchMarkerBuilder] and read by [DispatchLog]. Markers of all versions must be
+ * readable, so the form is fixed.
+ */
+object DispatchMarkerRecord {
+    const val PREFIX = "mark/"
+    private const val NUMBER = "n"
+    private const val ROWS = "a"
+
+    /** Keys of markers are listed in the order of their fencing tokens. */
+    private const val FENCING_TOKEN_DIGITS = 12
+
+    /** Tasks of one job on one machine, as [IndexRanges]. */
+    class Row(val jobId: String, val machineName: String, val ranges: String) {
+        /** What the row takes in a stored value, never too low. */
+        val bytes: Int get() = EncodedSize.of(encode()) + SEPARATOR_BYTES
+
+        fun encode(): List<Any?> = listOf(jobId, machineName, ranges)
+
+        companion object {
+            private const val SEPARATOR_BYTES = 2
+
+            fun of(allocation: Allocation) =
+                Row(allocation.job.spec.id, allocation.machine.name, IndexRanges.encode(allocation.tasks))
+        }
+    }
+
+    fun key(fencingToken: Long, round: Long): String =
+        PREFIX + fencingToken.toString().padStart(FENCING_TOKEN_DIGITS, '0') + "/" + round
+
+    fun encode(number: Long, rows: List<Row>): Map<String, Any?> =
+        mapOf(NUMBER to number, ROWS to rows.map { it.encode() })
+
+    fun number(stored: KeyValue): Long = fields(stored).long(NUMBER)
+
+    /** The rows of [stored] in their order, each read when it is asked for. */
+    fun rows(stored: KeyValue): Sequence<Row> =
+        fields(stored).list(ROWS).asSequence().map { item ->
+            val parts = item as? List<*> ?: throw Malformed("${stored.key} is not a dispatch marker")
+            Row(parts[0].toString(), parts[1].toString(), parts[2].toString())
+        }
+
+    private fun fields(stored: KeyValue) = Fields.of(stored.value, stored.key)
+}
+
+/** Ascending task indices as text: `0-3,7` for 0, 1, 2, 3 and 7. */
+object IndexRanges {
+    fun encode(sorted: IntArray): String {
+        val text = StringBuilder()
+        var first = 0
+        while (first < sorted.size) {
+            var last = first
+            while (last + 1 < sorted.size && sorted[last + 1] == sorted[last] + 1) last++
+            if (text.isNotEmpty()) text.append(',')
+            text.append(sorted[first])
+            if (last > first) text.append('-').append(sorted[last])
+            first = last + 1
+        }
+        return text.toString()
+    }
+
+    fun decode(ranges: String): List<Int> =
+        ranges.split(',').flatMap { part ->
+            val first = part.substringBefore('-').toInt()
+            val last = part.substringAfter('-').toInt()
+            (first..last).toList()
+        }
+}
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -1,6 +1,7 @@
 package org.chalkhollow.compat
 
-import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.DispatchMarkerRecord
+import org.chalkhollow.core.attempts.IndexRanges
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.fleet.StaticMachines
@@ -155,11 +156,14 @@
             )
             assertArrayEquals(line.bytes, Pack.encode(lead.value()))
         }
-        for (line in version.records(DispatchLog.MARK)) {
-            for (item in fields(line).list("a")) {
-                val ranges = (item as List<*>)[2].toString()
-                assertEquals(ranges, DispatchLog.ranges(DispatchLog.indices(ranges).toIntArray()))
+        for (line in version.records(DispatchMarkerRecord.PREFIX)) {
+            val stored = row(line)
+            val rows = DispatchMarkerRecord.rows(stored).toList()
+            for (each in rows) {
+                assertEquals(each.ranges, IndexRanges.encode(IndexRanges.decode(each.ranges).toIntArray()))
             }
+            val written = DispatchMarkerRecord.encode(DispatchMarkerRecord.number(stored), rows)
+            assertArrayEquals(line.bytes, Pack.encode(written))
         }
         for (line in version.records(StaticMachines.KEY)) {
             val staticMachines = StaticMachines(CoreContext(1), limits).also { it.load(row(line)) }
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.leadership.CandidateSnapshot
 import org.chalkhollow.core.operations.ControllerVersions
 import org.chalkhollow.core.common.CoreContext
-import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.IndexRanges
 import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.common.Input
 import org.chalkhollow.core.leadership.Leadership
@@ -29,9 +29,9 @@
     @Test
     fun `index ranges are written and read back`() {
         for (set in listOf(intArrayOf(0), intArrayOf(0, 1, 2, 7), intArrayOf(3, 5, 6, 99_999), IntArray(1000) { it * 2 })) {
-            assertEquals(set.toList(), DispatchLog.indices(DispatchLog.ranges(set)))
+            assertEquals(set.toList(), IndexRanges.decode(IndexRanges.encode(set)))
         }
-        assertEquals("0-3,7", DispatchLog.ranges(intArrayOf(0, 1, 2, 3, 7)))
+        assertEquals("0-3,7", IndexRanges.encode(intArrayOf(0, 1, 2, 3, 7)))
     }
 
     @Test
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilderTest.kt
@@ -0,0 +1,108 @@
+package org.chalkhollow.core.attempts
+
+import org.chalkhollow.core.cluster.DispatchMarker
+import org.chalkhollow.core.cluster.JobEntry
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.model.JobSpec
+import org.chalkhollow.model.KeyValue
+import org.chalkhollow.model.Priority
+import org.chalkhollow.model.Resources
+import org.chalkhollow.model.Shape
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class DispatchMarkerBuilderTest {
+    private val machine = Machine(0, "n-1")
+
+    private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
+        val spec =
+            JobSpec(
+                id = id,
+                workload = "w",
+                team = "t",
+                shape = shape,
+                priority = Priority.STANDARD,
+                tasks = 100,
+                taskResources = Resources(1.0, 0.0, 1.0),
+                image = null,
+                imageGb = 0.0,
+                types = null,
+                zone = null,
+                together = false,
+                spread = false,
+                spotAllowed = true,
+                expectedS = 1.0,
+                checkpointS = 0.0,
+                saveS = 0.0,
+                dueS = null,
+            )
+        return OpenJob(JobEntry(0, spec.tasks), spec, 0, -1, null, -1, 0)
+    }
+
+    private fun allocation(job: OpenJob, vararg tasks: Int) = Allocation(job, machine, tasks, fromCredit = false)
+
+    /** The tasks of each marker, as `job:ranges`. */
+    private fun pack(
+        allocations: List<Allocation>,
+        maxMarkerBytes: Int = 10_000,
+        maxMarkers: Int = 10,
+        maxBytes: Int = 100_000,
+        numbers: Int = 100,
+    ): List<List<String>> {
+        var last = 0
+        val nextMarker = { if (last == numbers) null else DispatchMarker("mark/${++last}", last.toLong()) }
+        val packed = DispatchMarkerBuilder(maxMarkerBytes, maxMarkers, maxBytes, nextMarker).pack(allocations)
+        for (entry in packed) assertTrue(EncodedSize.of(entry.change().value) <= maxMarkerBytes)
+        return packed.map { entry -> entry.allocations.map { "${it.job.spec.id}:${IndexRanges.encode(it.tasks)}" } }
+    }
+
+    private val array = job("array")
+    private val gang = job("gang", Shape.GANG)
+    private val rowBytes = DispatchMarkerRecord.Row.of(allocation(array, 0)).bytes
+
+    @Test
+    fun `allocations share a marker until it is full, and markers are as many as the transaction takes`() {
+        val allocations = List(5) { allocation(array, it) }
+        val all = listOf("array:0", "array:1", "array:2", "array:3", "array:4")
+        assertEquals(listOf(all), pack(allocations))
+        val twoRows = 160 + 2 * rowBytes
+        assertEquals(all.chunked(2), pack(allocations, maxMarkerBytes = twoRows))
+        assertEquals(all.take(4).chunked(2), pack(allocations, maxMarkerBytes = twoRows, maxMarkers = 2))
+        assertEquals(listOf(all.take(3)), pack(allocations, maxBytes = 160 + 3 * rowBytes))
+        assertEquals(all.take(2).chunked(2), pack(allocations, maxMarkerBytes = twoRows, numbers = 1))
+    }
+
+    @Test
+    fun `a row too large for any marker is left out and those after it are not`() {
+        val scattered = allocation(array, *IntArray(50) { it * 2 })
+        val packed = pack(listOf(scattered, allocation(array, 1)), maxMarkerBytes = 160 + 2 * rowBytes)
+        assertEquals(listOf(listOf("array:1")), packed)
+    }
+
+    @Test
+    fun `a gang starts a marker of its own and is never cut`() {
+        val members = List(3) { allocation(gang, it) }
+        val allocations = listOf(allocation(array, 0)) + members + allocation(array, 1)
+        val whole = listOf(listOf("array:0"), listOf("gang:0", "gang:1", "gang:2", "array:1"))
+        assertEquals(whole, pack(allocations))
+        assertEquals(whole.take(1), pack(allocations, maxMarkers = 1), "no marker is left for the gang")
+        val withoutGang = listOf(listOf("array:0", "array:1"))
+        assertEquals(withoutGang, pack(allocations, maxMarkerBytes = 160 + 2 * rowBytes), "the gang fits into none")
+    }
+
+    @Test
+    fun `a marker is read back as it was written`() {
+        val marker = DispatchMarker(DispatchMarkerRecord.key(7, 3), 9)
+        val builder = DispatchMarkerBuilder(10_000, 1, 10_000) { marker }
+        val change = builder.pack(listOf(allocation(array, 0, 1, 2, 7), allocation(job("other"), 5))).single().change()
+        assertEquals("mark/000000000007/3", change.key)
+        val rows = listOf(listOf("array", "n-1", "0-2,7"), listOf("other", "n-1", "5"))
+        assertEquals(mapOf("n" to 9L, "a" to rows), change.value)
+        val stored = KeyValue(change.key, checkNotNull(change.value), 1)
+        assertEquals(9, DispatchMarkerRecord.number(stored))
+        assertEquals(rows, DispatchMarkerRecord.rows(stored).map { it.encode() }.toList())
+    }
+}
