--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
@@ -0,0 +1,65 @@
+package org.chalkhollow.core.attempts
+
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.Effect
+
+/**
+ * Takes attempts from one phase to the next, from the reservation to the moment that they run, and tells others of it.
+ * An attempt becomes startable only once its marker is durable. Called by [AttemptReconciler]; exits are the concern of
+ * [AttemptOutcomes].
+ */
+internal class AttemptLifecycle(
+    private val context: CoreContext,
+    private val reservations: AttemptReservations,
+    private val onStartsReady: (Machine) -> Unit,
+    private val onStartObserved: (Machine) -> Unit,
+) {
+    /** The markers of [attempts] are durable: they may be started. */
+    fun onMarkersPersisted(attempts: List<Attempt>) {
+        val machines = LinkedHashSet<Machine>()
+        for (attempt in attempts) {
+            if (attempt.resolved) continue
+            attempt.markerPersisted()
+            if (attempt.machine.state == Machine.State.UP) {
+                machines.add(attempt.machine)
+            } else {
+                reservations.resolve(attempt)
+            }
+        }
+        machines.forEach(onStartsReady)
+    }
+
+    /** A marker cannot be written: none of its [attempts] was sent, and their tasks are ready again. */
+    fun onMarkersAbandoned(attempts: List<Attempt>) = attempts.forEach(reservations::resolve)
+
+    /** An attempt whose marker is durable is not started any more: its task is ready again, or over. */
+    fun withdraw(attempt: Attempt) {
+        if (!attempt.directStartUnresolved) reservations.resolve(attempt)
+    }
+
+    /** The attempt's machine says that it is in [phase], which is one of those on a machine. */
+    fun onPhaseObserved(attempt: Attempt, phase: Attempt.Phase) {
+        if (attempt.phase == Attempt.Phase.EXITED || attempt.phase == phase) return
+        val machine = attempt.machine
+        if (attempt.phase == Attempt.Phase.START_SENT && !attempt.inherited) onStartObserved(machine)
+        val wasRunning = attempt.running
+        attempt.entered(phase, context.steady)
+        if (phase == Attempt.Phase.RUNNING && attempt.job.image >= 0) machine.held.add(attempt.job.image)
+        if (attempt.running && !wasRunning) onRunning(attempt)
+        if (!attempt.running && wasRunning) attempt.job.running--
+    }
+
+    private fun onRunning(attempt: Attempt) {
+        val job = attempt.job
+        job.running++
+        val startMs = context.steady - attempt.placedAt
+        val waitMs = context.now.wall - job.acceptedWall
+        context.emit(Effect.Timing("start", startMs))
+        if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
+        val task = "${job.spec.id}/${attempt.index} (${job.spec.workload})"
+        val where = attempt.machine.name + if (attempt.imageWasHeld) ", image held" else ""
+        context.debug("$task runs $waitMs ms after it was accepted, $startMs ms after it was placed on $where")
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -1,27 +1,29 @@
 package org.chalkhollow.core.attempts
 
+import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.DispatchMarker
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
-import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.ExitCause
-import org.chalkhollow.model.JobState
 import org.chalkhollow.model.TaskStatus
 import org.chalkhollow.model.WorkerHeartbeat
+import java.util.BitSet
 
 /**
- * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. An attempt is settled, and its task
- * free to be placed again, only on proof that it runs nowhere and never will.
+ * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. Squares it with what machines report:
+ * an attempt is resolved, and its task free to be placed again, only on proof that it runs nowhere and never will.
+ *
+ * This is the one entry to the parts that keep attempts; [Controller] tells it of records and machines, [DispatchLog]
+ * of reservations and markers, [HeartbeatHandler] and [WorkerCommandSender] of heartbeats.
  */
 class AttemptReconciler(
-    private val context: CoreContext,
+    context: CoreContext,
     private val jobs: JobTable,
-    private val quotas: Quotas,
+    quotas: Quotas,
     private val fencingToken: () -> Long,
 ) {
     /** Set by the controller: an attempt's marker is needed no more. */
@@ -33,15 +35,17 @@
     /** Set by the controller: a machine has begun what this leader told it to. */
     var onStartObserved: (Machine) -> Unit = {}
 
-    fun clear() {
-        creditCpus = 0.0
-    }
+    private val reservations = AttemptReservations(context, quotas) { onMarkerReleased(it) }
+    private val lifecycle =
+        AttemptLifecycle(context, reservations, { onStartsReady(it) }, onStartObserved = { onStartObserved(it) })
+    private val outcomes = AttemptOutcomes(context, jobs, reservations)
+
+    fun clear() = reservations.clear()
 
-    /** CPUs of what was given to jobs that had been passed over. */
-    var creditCpus = 0.0
-        private set
+    /** CPUs held by attempts that were given to jobs that had been passed over. */
+    val creditCpus: Double get() = reservations.creditCpus
 
-    /** An attempt that a placement round has decided on; it is started once [marker] is durable. */
+    /** See [AttemptReservations.reserve]. */
     fun reserve(
         job: OpenJob,
         index: Int,
@@ -49,264 +53,138 @@
         machine: Machine,
         marker: DispatchMarker?,
         fromCredit: Boolean = false,
-    ): Attempt {
-        // A replica never ends: what it is given would be missing from the share of passed over work for good.
-        val countsAsCredit = fromCredit && !job.service
-        return count(Attempt(job, index, number, machine, marker, countsAsCredit, inherited = false, context.steady))
-    }
+    ): Attempt = reservations.reserve(job, index, number, machine, marker, fromCredit)
 
-    /** An attempt that an earlier leader may have started. */
+    /** See [AttemptReservations.reserveInherited]. */
     fun reserveInherited(job: OpenJob, index: Int, number: Long, machine: Machine, marker: DispatchMarker?): Attempt =
-        count(Attempt(job, index, number, machine, marker, fromCredit = false, inherited = true, context.steady))
+        reservations.reserveInherited(job, index, number, machine, marker)
 
-    private fun count(attempt: Attempt): Attempt {
-        val job = attempt.job
-        if (attempt.fromCredit) creditCpus += job.taskResources.cpus
-        attempt.machine.attempts.add(attempt)
-        attempt.machine.occupy(job.taskResources)
-        job.taken(attempt.index)
-        quotas.add(job.team, job.taskResources)
-        attempt.marker?.hold()
-        return attempt
-    }
+    /** See [AttemptLifecycle.onMarkersPersisted]. */
+    fun onMarkersPersisted(attempts: List<Attempt>) = lifecycle.onMarkersPersisted(attempts)
 
-    fun onMarkersPersisted(attempts: List<Attempt>) {
-        val machines = LinkedHashSet<Machine>()
-        for (a in attempts) {
-            if (a.resolved) continue
-            a.markerPersisted()
-            if (a.machine.state != Machine.State.UP) resolve(a) else machines.add(a.machine)
-        }
-        for (m in machines) onStartsReady(m)
-    }
-
-    /** The marker that should list [attempts] cannot be written: none was sent, and their tasks are ready again. */
-    fun onMarkersAbandoned(attempts: List<Attempt>) = attempts.forEach(::resolve)
+    /** See [AttemptLifecycle.onMarkersAbandoned]. */
+    fun onMarkersAbandoned(attempts: List<Attempt>) = lifecycle.onMarkersAbandoned(attempts)
 
-    /** Frees what the attempt held: it is on no machine, and the task is ready again unless it is done. */
-    private fun resolve(a: Attempt) {
-        if (a.resolved) return
-        if (a.phase != Attempt.Phase.EXITED) release(a)
-        a.resolve()
-        a.machine.attempts.remove(a)
-        a.marker?.let { if (!a.outcomeRecorded) onMarkerReleased(it) }
-    }
+    /** See [AttemptLifecycle.withdraw]. */
+    fun withdraw(attempt: Attempt) = lifecycle.withdraw(attempt)
 
-    private fun release(a: Attempt) {
-        if (a.running) a.job.running--
-        quotas.remove(a.job.team, a.job.taskResources)
-        a.machine.vacate(a.job.taskResources)
-        if (a.fromCredit) creditCpus -= a.job.taskResources.cpus
-        context.changed()
-        a.job.released(a.index)
-    }
+    /** See [AttemptOutcomes.onRecorded]. */
+    fun onOutcomesRecorded(job: OpenJob, done: BitSet) = outcomes.onRecorded(job, done)
 
-    /** Everything on [machine] is certainly gone: deleted, lapsed, or from a session before a new one. */
+    /** Everything on [machine] is certainly gone: it was deleted, its lease expired, or a new epoch has begun. */
     fun onMachineGone(machine: Machine) = resolveEnded(machine, inherited = true)
 
     /**
-     * [machine] is in a new session, which ends what was in the one before. That says nothing of what an earlier leader
-     * started: while the session that we knew is only told by reports of before our token, old copies among them, its
-     * starts may be in the new one. An earlier version took them for gone, and they ran twice.
+     * [machine] is in a new epoch, which ends what was in the one before. That says nothing of what an earlier leader
+     * started: while the epoch that we knew is only told by heartbeats of before our fencing token, old copies among
+     * them, its starts may be in the new one. An earlier version took them for gone, and they ran twice.
      */
     fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
         resolveEnded(machine, inherited = knewOurFencingToken)
 
+    /** Resolves what an end of [machine]'s epoch ends; of [inherited] attempts only when that is proof of theirs. */
     private fun resolveEnded(machine: Machine, inherited: Boolean) {
-        for (a in ArrayList(machine.attempts)) {
-            if (a.phase == Attempt.Phase.MARKER_PENDING) continue // its marker decides: see onMarkersPersisted()
-            if (a.inherited && !inherited) continue
-            if (a.phase == Attempt.Phase.EXITED && !a.outcomeRecorded) {
-                // Completed, and being recorded; the record does not need the machine.
-                continue
-            }
-            a.directStartConcluded()
-            resolve(a)
+        for (attempt in ArrayList(machine.attempts)) {
+            if (attempt.phase == Attempt.Phase.MARKER_PENDING) continue // its marker decides: see onMarkersPersisted
+            if (attempt.inherited && !inherited) continue
+            // A completion that is being recorded does not need the machine.
+            if (attempt.phase == Attempt.Phase.EXITED && !attempt.outcomeRecorded) continue
+            attempt.directStartConcluded()
+            reservations.resolve(attempt)
         }
     }
 
     /**
-     * Takes in a report that is newer than all before it from this machine. Only a [fromHeartbeat] proves by silence
-     * that a start is not under way: the worker has one report in flight at a time, so it has taken or dropped every
-     * response before it.
+     * Takes in a task list that is newer than all before it from this machine. Only one [fromHeartbeat] proves by
+     * silence that a start is not under way: the worker has one heartbeat in flight at a time, so it has taken or
+     * dropped every response before it. The reply to a direct command proves no such thing.
      */
-    fun reconcile(m: Machine, heartbeat: WorkerHeartbeat, fromHeartbeat: Boolean) {
-        if (repeats(m, heartbeat)) return
-        val current = heartbeat.fencingToken >= fencingToken()
-        // Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came
-        // out the same, the one's completion was taken for the other's.
-        val known = HashMap<Identity, Attempt>(m.attempts.size * 2)
-        for (a in m.attempts) known[Identity(a.job.entry.id, a.index, a.number)] = a
+    fun reconcile(machine: Machine, heartbeat: WorkerHeartbeat, fromHeartbeat: Boolean) {
+        if (isUnchanged(machine, heartbeat)) return
+        val atOurFencingToken = heartbeat.fencingToken >= fencingToken()
+        val known = attemptsByIdentity(machine)
         val reported = HashMap<Attempt, TaskStatus>(heartbeat.tasks.size * 2)
         val unknown = ArrayList<TaskStatus>()
-        for (t in heartbeat.tasks) {
-            val a = jobs.find(t.jobId)?.let { known[Identity(it.id, t.index, t.attempt)] }
-            if (a == null) unknown.add(t) else reported[a] = t
+        for (task in heartbeat.tasks) {
+            val attempt = jobs.find(task.jobId)?.let { known[Identity(it.id, task.index, task.attempt)] }
+            if (attempt == null) unknown.add(task) else reported[attempt] = task
         }
-        for (a in ArrayList(m.attempts)) {
-            val t = reported[a]
-            if (t != null) {
-                observed(a, t)
+        for (attempt in ArrayList(machine.attempts)) {
+            val task = reported[attempt]
+            if (task != null) {
+                onObserved(attempt, task)
             } else if (fromHeartbeat) {
-                missing(a, current)
+                onMissing(attempt, atOurFencingToken)
             }
         }
-        m.orphans = unknown.filter { !adoptOrphan(m, it) }
-        m.reconciled = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
+        machine.orphans = unknown.filter { !adoptOrphan(machine, it) }
+        machine.reconciled = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
     }
 
-    /** Whether the report says what the last one did and nothing waits for its silence: most do, so this is cheap. */
-    private fun repeats(m: Machine, heartbeat: WorkerHeartbeat): Boolean =
-        heartbeat.tasks === m.reconciled && heartbeat.tasks.size == m.attempts.size && m.attempts.all { it.onMachine }
-
-    private fun missing(a: Attempt, current: Boolean) {
-        when (a.phase) {
-            Attempt.Phase.MARKER_PENDING, Attempt.Phase.MARKER_PERSISTED -> Unit
-            Attempt.Phase.START_SENT ->
-                when {
-                    a.directStartUnresolved -> Unit // the start may still be under way
-                    a.inherited -> if (current) resolve(a) // an older leader's start can no longer be obeyed
-                    else -> a.startDropped() // the response was dropped, and stays dropped
-                }
-            Attempt.Phase.EXITED -> if (a.outcomeRecorded) resolve(a) else Unit
-            else -> if (!a.directStartUnresolved && (current || !a.inherited)) resolve(a)
-        }
-    }
+    /** Whether this says what the last heartbeat did and nothing waits for its silence: most do, so this is cheap. */
+    private fun isUnchanged(machine: Machine, heartbeat: WorkerHeartbeat): Boolean =
+        heartbeat.tasks === machine.reconciled &&
+            heartbeat.tasks.size == machine.attempts.size &&
+            machine.attempts.all { it.onMachine }
 
-    private fun observed(a: Attempt, t: TaskStatus) {
-        when (t.phase) {
-            TaskStatus.Phase.FETCHING -> enter(a, Attempt.Phase.FETCHING)
-            TaskStatus.Phase.RUNNING -> enter(a, Attempt.Phase.RUNNING)
-            TaskStatus.Phase.SAVING -> enter(a, Attempt.Phase.SAVING)
-            TaskStatus.Phase.EXITED -> if (a.phase != Attempt.Phase.EXITED) exited(a, t.cause ?: ExitCause.ERROR)
-        }
-        if (a.job.image >= 0) a.machine.images.add(a.job.image)
-    }
-
-    private fun enter(a: Attempt, phase: Attempt.Phase) {
-        if (a.phase == Attempt.Phase.EXITED || a.phase == phase) return
-        if (a.phase == Attempt.Phase.START_SENT && !a.inherited) onStartObserved(a.machine)
-        val ran = a.running
-        a.entered(phase, context.steady)
-        if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.held.add(a.job.image)
-        val runs = phase != Attempt.Phase.FETCHING
-        if (runs && !ran) started(a)
-        if (!runs && ran) a.job.running--
-    }
-
-    private fun started(a: Attempt) {
-        val job = a.job
-        job.running++
-        val startMs = context.steady - a.placedAt
-        val waitMs = context.now.wall - job.acceptedWall
-        context.emit(Effect.Timing("start", startMs))
-        if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
-        val task = "${job.spec.id}/${a.index} (${job.spec.workload})"
-        val held = if (a.imageWasHeld) ", image held" else ""
-        context.debug(
-            "$task runs $waitMs ms after it was accepted, $startMs ms after it was placed on ${a.machine.name}$held",
-        )
-    }
-
-    private fun exited(a: Attempt, cause: ExitCause) {
-        release(a)
-        val job = a.job
-        val completed = cause == ExitCause.DONE && !job.service
-        if (completed && a.phase == Attempt.Phase.RUNNING && !a.inherited) {
-            job.runs++
-            job.ranS += (context.steady - a.progressAt) / MS_PER_S
-        }
-        a.exited(completed)
-        if (completed && job.entry.state == JobState.OPEN) return completed(a)
-        recordOutcome(a)
-        when (cause) {
-            ExitCause.ERROR -> failed(a)
-            ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) replicaEnded(a)
-            ExitCause.FULL -> a.machine.fullUntil = context.steady + FULL_MS
-            ExitCause.BUSY, ExitCause.NO_SUCH -> job.notBefore = maxOf(job.notBefore, context.steady + RETRY_MS)
-            else -> Unit
+    /**
+     * Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came out
+     * the same, the one's completion was taken for the other's.
+     */
+    private fun attemptsByIdentity(machine: Machine): Map<Identity, Attempt> {
+        val known = HashMap<Identity, Attempt>(machine.attempts.size * 2)
+        for (attempt in machine.attempts) {
+            known[Identity(attempt.job.entry.id, attempt.index, attempt.number)] = attempt
         }
+        return known
     }
 
-    /** Its completion is recorded before its machine may forget it. */
-    private fun completed(a: Attempt) {
-        val job = a.job
-        a.machine.failedJobs.clear()
-        if (!job.done.get(a.index)) {
-            job.failures = 0
-            jobs.taskDone(job, a.index)
+    /** A heartbeat of the attempt's machine does not list it. */
+    private fun onMissing(attempt: Attempt, atOurFencingToken: Boolean) {
+        when (attempt.phase) {
+            Attempt.Phase.MARKER_PENDING, Attempt.Phase.MARKER_PERSISTED -> Unit
+            Attempt.Phase.START_SENT -> onStartMissing(attempt, atOurFencingToken)
+            Attempt.Phase.EXITED -> if (attempt.outcomeRecorded) reservations.resolve(attempt)
+            Attempt.Phase.FETCHING, Attempt.Phase.RUNNING, Attempt.Phase.SAVING -> {
+                val provesAbsence = atOurFencingToken || !attempt.inherited
+                if (!attempt.directStartUnresolved && provesAbsence) reservations.resolve(attempt)
+            }
         }
-        job.unrecorded.add(a)
     }
 
-    /** A replica has ended by itself: it runs again, elsewhere, and later and later if that happens again and again. */
-    private fun replicaEnded(a: Attempt) {
-        val job = a.job
-        job.failedOn(a.machine.id, context.steady)
-        job.failures = if (context.steady - a.placedAt > LASTED_MS) 0 else job.failures + 1
-        if (job.failures > job.spec.tasks) {
-            val wait = FAILED_MS shl minOf(job.failures / job.spec.tasks, MAX_DOUBLINGS)
-            job.notBefore = context.steady + wait
+    private fun onStartMissing(attempt: Attempt, atOurFencingToken: Boolean) {
+        when {
+            attempt.directStartUnresolved -> Unit // the start may still be under way
+            // At our fencing token an older leader's start can no longer be obeyed.
+            attempt.inherited -> if (atOurFencingToken) reservations.resolve(attempt)
+            else -> attempt.startDropped() // the response was dropped, and stays dropped
         }
     }
 
-    private fun failed(a: Attempt) {
-        val job = a.job
-        a.machine.failedJobs.add(job.entry.id)
-        job.failedOn(a.machine.id, context.steady)
-        job.failures++
-        // One machine's faults should not hold a job up; a job that fails wherever it goes waits longer and longer.
-        if (job.failsAround(context.steady)) {
-            val wait = FAILED_MS shl minOf(job.failures / FAILURES_EACH, MAX_DOUBLINGS)
-            job.notBefore = maxOf(job.notBefore, context.steady + wait)
+    /** The attempt's machine lists it. */
+    private fun onObserved(attempt: Attempt, task: TaskStatus) {
+        when (task.phase) {
+            TaskStatus.Phase.FETCHING -> lifecycle.onPhaseObserved(attempt, Attempt.Phase.FETCHING)
+            TaskStatus.Phase.RUNNING -> lifecycle.onPhaseObserved(attempt, Attempt.Phase.RUNNING)
+            TaskStatus.Phase.SAVING -> lifecycle.onPhaseObserved(attempt, Attempt.Phase.SAVING)
+            TaskStatus.Phase.EXITED ->
+                if (attempt.phase != Attempt.Phase.EXITED) outcomes.onExit(attempt, task.cause ?: ExitCause.ERROR)
         }
-        context.debug("${job.spec.id}/${a.index} failed on ${a.machine.name}")
+        if (attempt.job.image >= 0) attempt.machine.images.add(attempt.job.image)
     }
 
-    private fun recordOutcome(a: Attempt) {
-        if (a.outcomeRecorded) return
-        a.outcomeIsRecorded()
-        a.marker?.let(onMarkerReleased)
-    }
-
-    /** The completions of [done] in [job] are durable: the workers may forget them. */
-    fun onOutcomesRecorded(job: OpenJob, done: java.util.BitSet) {
-        val iterator = job.unrecorded.iterator()
-        while (iterator.hasNext()) {
-            val a = iterator.next()
-            if (!done.get(a.index)) continue
-            iterator.remove()
-            recordOutcome(a)
-            if (a.machine.state != Machine.State.UP) resolve(a)
+    /** Takes over a task on [machine] that no marker of ours explains; false if it is only to be removed. */
+    private fun adoptOrphan(machine: Machine, task: TaskStatus): Boolean {
+        val job = jobs.find(task.jobId)?.open ?: return false
+        if (task.index >= job.spec.tasks) return false
+        if (task.phase == TaskStatus.Phase.EXITED) {
+            if (task.cause != ExitCause.DONE) return false
+        } else if (job.done.get(task.index) || job.live.get(task.index) > 0) {
+            return false
         }
-    }
-
-    /** A task on a machine that no marker of ours explains; false if it is only to be removed. */
-    private fun adoptOrphan(m: Machine, t: TaskStatus): Boolean {
-        val job = jobs.find(t.jobId)?.open ?: return false
-        if (t.index >= job.spec.tasks) return false
-        if (t.phase == TaskStatus.Phase.EXITED && t.cause != ExitCause.DONE) return false
-        if (t.phase != TaskStatus.Phase.EXITED && (job.done.get(t.index) || job.live.get(t.index) > 0)) return false
-        val a = reserveInherited(job, t.index, t.attempt, m, null)
-        observed(a, t)
+        onObserved(reserveInherited(job, task.index, task.attempt, machine, marker = null), task)
         return true
     }
 
-    /** A marked attempt is not started any more: its task is ready again, or over. */
-    fun withdraw(a: Attempt) {
-        if (!a.directStartUnresolved) resolve(a)
-    }
-
     private data class Identity(val job: Int, val index: Int, val number: Long)
-
-    private companion object {
-        const val FULL_MS = 3000L
-        const val RETRY_MS = 2000L
-        const val FAILED_MS = 1000L
-        const val LASTED_MS = 15_000L
-
-        /** So many failures, wherever they were, double the wait, and the wait is doubled so many times at most. */
-        const val FAILURES_EACH = 3
-        const val MAX_DOUBLINGS = 5
-    }
 }
