--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -115,10 +115,10 @@
         listOf(
             StateWriter.Source(jobs::nextUrgent),
             StateWriter.Source(events::nextPlacement),
-            StateWriter.Source { room -> jobs.nextCompletion(room, reconciler::recorded) },
+            StateWriter.Source { room -> jobs.nextCompletion(room, reconciler::onOutcomesRecorded) },
             StateWriter.Source(staticMachines::next),
             StateWriter.Source(images::next),
-            StateWriter.Source(dispatch::nextTrash),
+            StateWriter.Source(dispatch::nextGarbage),
             StateWriter.Source(jobs::nextTrash),
         )
 }
--- a/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
@@ -31,7 +31,7 @@
         val allocations = placement.round()
         placement.preempted.forEach(commands::send)
         if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
-        return dispatch.mark(allocations, room)
+        return dispatch.writeMarkers(allocations, room)
     }
 
     /** Rounds cost processor time, of which there is little: without a change they run far less often. */
--- a/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
@@ -2,6 +2,7 @@
 
 import org.chalkhollow.core.attempts.AttemptReconciler
 import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.DispatchMarkerRecord
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.fleet.Fleet
@@ -65,6 +66,6 @@
 
     companion object {
         /** Key prefixes of what a candidate reads before it may lead; jobs come first, the others refer to them. */
-        val PREFIXES = listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, StaticMachines.PREFIX)
+        val PREFIXES = listOf(JobTable.JOB, JobTable.PROGRESS, DispatchMarkerRecord.PREFIX, StaticMachines.PREFIX)
     }
 }
