--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -16,10 +16,9 @@
 class CompletionWriter(
     private val context: CoreContext,
     private val jobs: JobTable,
-    /** Hears which tasks' completions are durable, see `AttemptReconciler.recorded`. */
+    private val events: JobEvents,
+    /** Hears which tasks' completions are durable, so that workers may forget them. */
     private val onRecorded: (OpenJob, BitSet) -> Unit,
-    /** Hears which job is durably done. */
-    private val onJobDone: (OpenJob) -> Unit,
 ) {
     fun next(room: StateWriter.Room): Write? {
         if (room.ops < 1) return null
@@ -42,7 +41,7 @@
                 job.pages.completionWritten()
                 jobs.end(job, JobState.DONE)
                 onRecorded(job, done)
-                onJobDone(job)
+                events.onJobDone(job)
             }
         if (!write.fits(room)) return null
         job.pages.completionSent()
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobCancellation.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobCancellation.kt
@@ -11,12 +11,7 @@
  * record must not be lost: when the state service refuses it, smaller forms of it are tried, the smallest again and
  * again. Called by `RequestHandler`.
  */
-class JobCancellation(
-    private val jobs: JobTable,
-    private val limits: StateLimits,
-    /** Hears which job is durably cancelled. */
-    private val onCancelled: (OpenJob) -> Unit,
-) {
+class JobCancellation(private val jobs: JobTable, private val limits: StateLimits, private val events: JobEvents) {
     /** Queues the cancellation of an open job; [onDurable] runs once it is durable. */
     fun cancel(job: OpenJob, onDurable: () -> Unit) {
         job.beginCancellation()
@@ -37,7 +32,7 @@
     private fun write(job: OpenJob, record: Map<String, Any?>, onRefused: () -> Unit, onDurable: () -> Unit): Write =
         Write(listOf(Change(JobRecord.key(job.spec.id), record)), onRefused) {
             jobs.end(job, JobState.CANCELLED)
-            onCancelled(job)
+            events.onJobCancelled(job)
             onDurable()
         }
 }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
@@ -76,8 +76,8 @@
         private val limits = StateLimits(80.0, 20.0, valueBytes, 12)
         private val context = CoreContext(1).apply { now = Now(0, 0) }
         val jobs = JobTable(context, Interners(), limits)
-        val cancellation = JobCancellation(jobs, limits) {}
-        private val completions = CompletionWriter(context, jobs, { _, _ -> }, {})
+        val cancellation = JobCancellation(jobs, limits, JobEvents.None)
+        private val completions = CompletionWriter(context, jobs, JobEvents.None) { _, _ -> }
 
         init {
             rows(JobRecord.KEY_PREFIX).forEach(jobs::loadJob)
