--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -11,6 +11,8 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.ImageLocations
 import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.CompletionWriter
+import org.chalkhollow.core.jobs.JobCancellation
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.jobs.ServiceLevelObjectives
@@ -46,13 +48,15 @@
     val leadership = Leadership(context, label, peerLabels, incarnation, options, start.steady, begunAt, events)
     private val snapshot = CandidateSnapshot(context, StoredRecords.PREFIXES) { leadership.onPrepared() }
 
-    val jobs = JobTable(context, names, limits, events)
+    val jobs = JobTable(context, names, limits)
+    private val cancellation = JobCancellation(jobs, limits, events)
     private val quotas = Quotas(settings.teams)
     private val staticMachines = StaticMachines(context, limits)
     val fleet = Fleet(context, names, settings, options, label, staticMachines, events)
     private val images = ImageLocations(context, names, limits, fleet)
 
     private val reconciler = AttemptReconciler(context, jobs, quotas, events) { leadership.fencingToken }
+    private val completions = CompletionWriter(context, jobs, reconciler::onOutcomesRecorded, events)
     private val dispatch = DispatchLog(limits, reconciler, fleet)
     val writer = StateWriter(context, limits, options, leadership, writeSources())
     private val planner = CommandPlanner(reconciler)
@@ -62,7 +66,7 @@
 
     private val objectives = ServiceLevelObjectives(settings.objectives, fleet::leastBootMs)
     private val placement = Placement(context, jobs, quotas, reconciler, fleet, options, objectives)
-    val requests = RequestHandler(context, leadership, writer, jobs, quotas, fleet, names)
+    val requests = RequestHandler(context, leadership, writer, jobs, cancellation, quotas, fleet, names)
 
     private val records =
         StoredRecords(context, jobs, quotas, reconciler, staticMachines, fleet, images, dispatch)
@@ -113,12 +117,12 @@
      */
     private fun writeSources(): List<StateWriter.Source> =
         listOf(
-            StateWriter.Source(jobs::nextUrgent),
+            StateWriter.Source(jobs.urgentWrites::next),
             StateWriter.Source(events::nextPlacement),
-            StateWriter.Source { room -> jobs.nextCompletion(room, reconciler::onOutcomesRecorded) },
+            StateWriter.Source(completions::next),
             StateWriter.Source(staticMachines::next),
             StateWriter.Source(images::next),
             StateWriter.Source(dispatch::nextGarbage),
-            StateWriter.Source(jobs::nextTrash),
+            StateWriter.Source(jobs.garbage::next),
         )
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -29,7 +29,7 @@
 ) {
     private val reservations = AttemptReservations(context, quotas, events)
     private val lifecycle = AttemptLifecycle(context, reservations, events)
-    private val outcomes = AttemptOutcomes(context, jobs, reservations)
+    private val outcomes = AttemptOutcomes(context, reservations)
 
     fun clear() = reservations.clear()
 
@@ -97,7 +97,7 @@
         val reported = HashMap<Attempt, TaskStatus>(heartbeat.tasks.size * 2)
         val unknown = ArrayList<TaskStatus>()
         for (task in heartbeat.tasks) {
-            val attempt = jobs.find(task.jobId)?.let { known[Identity(it.id, task.index, task.attempt)] }
+            val attempt = jobs.find(task.jobId)?.let { known[Identity(it.index, task.index, task.attempt)] }
             if (attempt == null) unknown.add(task) else reported[attempt] = task
         }
         for (attempt in ArrayList(machine.attempts)) {
@@ -125,7 +125,7 @@
     private fun attemptsByIdentity(machine: Machine): Map<Identity, Attempt> {
         val known = HashMap<Identity, Attempt>(machine.attempts.size * 2)
         for (attempt in machine.attempts) {
-            known[Identity(attempt.job.entry.id, attempt.index, attempt.number)] = attempt
+            known[Identity(attempt.job.entry.index, attempt.index, attempt.number)] = attempt
         }
         return known
     }
@@ -170,7 +170,7 @@
         if (task.index >= job.spec.tasks) return false
         if (task.phase == TaskStatus.Phase.EXITED) {
             if (task.cause != ExitCause.DONE) return false
-        } else if (job.done.get(task.index) || job.live.get(task.index) > 0) {
+        } else if (job.progress.isDone(task.index) || job.tasks.isLive(task.index)) {
             return false
         }
         onObserved(reserveInherited(job, task.index, task.attempt, machine, marker = null), task)
