--- a/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
@@ -68,6 +68,12 @@
 
     companion object {
         /** Key prefixes of what a candidate reads before it may lead; jobs come first, the others refer to them. */
-        val PREFIXES = listOf(JobRecord.KEY_PREFIX, ProgressPageRecord.KEY_PREFIX, DispatchMarkerRecord.PREFIX, StaticMachines.PREFIX)
+        val PREFIXES =
+            listOf(
+                JobRecord.KEY_PREFIX,
+                ProgressPageRecord.KEY_PREFIX,
+                DispatchMarkerRecord.PREFIX,
+                StaticMachines.PREFIX,
+            )
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
@@ -14,10 +14,7 @@
  * Decides what the exit of an attempt means: the task is done, or it is tried again, at once or after a backoff. A
  * completion is recorded before its machine may forget it. Called by [AttemptReconciler].
  */
-internal class AttemptOutcomes(
-    private val context: CoreContext,
-    private val reservations: AttemptReservations,
-) {
+internal class AttemptOutcomes(private val context: CoreContext, private val reservations: AttemptReservations) {
     /** [attempt] has exited for [cause], as its machine says for the first time. */
     fun onExit(attempt: Attempt, cause: ExitCause) {
         reservations.release(attempt)
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobCancellation.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobCancellation.kt
@@ -11,11 +11,7 @@
  * record must not be lost: when the state service refuses it, smaller forms of it are tried, the smallest again and
  * again. Called by `RequestHandler`.
  */
-class JobCancellation(
-    private val jobs: JobTable,
-    private val limits: StateLimits,
-    private val events: JobEvents,
-) {
+class JobCancellation(private val jobs: JobTable, private val limits: StateLimits, private val events: JobEvents) {
     /** Queues the cancellation of an open job; [onDurable] runs once it is durable. */
     fun cancel(job: OpenJob, onDurable: () -> Unit) {
         job.beginCancellation()
