--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -56,7 +56,7 @@
     private val images = ImageLocations(context, names, limits, fleet)
 
     private val reconciler = AttemptReconciler(context, jobs, quotas, events) { leadership.fencingToken }
-    private val completions = CompletionWriter(context, jobs, reconciler::onOutcomesRecorded, events)
+    private val completions = CompletionWriter(context, jobs, events, reconciler::onOutcomesRecorded)
     private val dispatch = DispatchLog(limits, reconciler, fleet)
     val writer = StateWriter(context, limits, options, leadership, writeSources())
     private val planner = CommandPlanner(reconciler)
--- a/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
@@ -53,7 +53,7 @@
      */
     fun replicaEnded(machine: Int, t: Long, placedForMs: Long, replicas: Int) {
         failedAt.put(machine, t)
-        failures = if (placedForMs > LONG_RUN_MS) 0 else failures + 1
+        failures = if (placedForMs > STABLE_REPLICA_MS) 0 else failures + 1
         if (failures > replicas) notBefore = t + backoffMs(failures / replicas)
     }
 
@@ -64,8 +64,8 @@
         const val SEVERAL_MACHINES = 3
         const val FIRST_BACKOFF_MS = 1000L
 
-        /** A replica that ran for longer did not fail at its start. */
-        const val LONG_RUN_MS = 15_000L
+        /** A replica that lasted longer than this does not count as one that fails again and again. */
+        const val STABLE_REPLICA_MS = 15_000L
 
         /** So many failures, wherever they were, double the wait, and the wait is doubled so many times at most. */
         const val FAILURES_PER_DOUBLING = 3
--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -16,9 +16,9 @@
 class CompletionWriter(
     private val context: CoreContext,
     private val jobs: JobTable,
-    /** Hears which tasks' completions are durable, see `AttemptReconciler.onOutcomesRecorded`. */
-    private val onRecorded: (OpenJob, BitSet) -> Unit,
     private val events: JobEvents,
+    /** Hears which tasks' completions are durable, so that workers may forget them. */
+    private val onRecorded: (OpenJob, BitSet) -> Unit,
 ) {
     fun next(room: StateWriter.Room): Write? {
         if (room.ops < 1) return null
