--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -6,89 +6,100 @@
 import org.chalkhollow.model.TaskStatus
 
 /**
- * What machines are to be told, by what [AttemptReconciler] knows of their attempts: starts are repeated until they
- * are seen, stops until they are obeyed. No attempt is started whose marker is not durable, and none is forgotten that
- * a late copy of its start could begin again. Called by [HeartbeatHandler] and [WorkerCommandSender].
+ * Decides what machines are to be commanded, by what [AttemptReconciler] knows of their attempts: starts are repeated
+ * until they are seen, stops until they are obeyed. No attempt is started whose marker is not durable, and none is
+ * forgotten that a late copy of its start could begin again. It keeps no state of its own. Called by [HeartbeatHandler]
+ * and [WorkerCommandSender].
  */
 class CommandPlanner(private val reconciler: AttemptReconciler) {
-    /** What to tell [m] in the answer to its report; no starts if the report is not its newest. */
-    fun answering(m: Machine, startsAllowed: Boolean): List<Command> {
-        val out = ArrayList<Command>()
-        for (a in ArrayList(m.attempts)) {
-            if (out.size >= MAX_COMMANDS) break
-            commandFor(a, startsAllowed)?.let(out::add)
+    /** The commands in the response to [machine]'s heartbeat; no starts if the heartbeat is not its newest. */
+    fun inResponse(machine: Machine, startsAllowed: Boolean): List<Command> {
+        val commands = ArrayList<Command>()
+        for (attempt in ArrayList(machine.attempts)) { // a withdrawal removes its attempt
+            if (commands.size >= MAX_COMMANDS) break
+            commandFor(attempt, startsAllowed)?.let(commands::add)
         }
-        for (t in m.orphans) {
-            if (out.size >= MAX_COMMANDS) break
-            out.add(removal(t))
+        for (task in machine.orphans) {
+            if (commands.size >= MAX_COMMANDS) break
+            commands.add(removal(task))
         }
-        m.orphans = emptyList()
-        return out
+        machine.orphans = emptyList()
+        return commands
     }
 
-    private fun commandFor(a: Attempt, startsAllowed: Boolean): Command? {
-        val unwanted = a.job.cancelled || a.job.done.get(a.index)
-        return when (a.phase) {
+    private fun commandFor(attempt: Attempt, startsAllowed: Boolean): Command? =
+        when (attempt.phase) {
             Attempt.Phase.MARKER_PENDING -> null
-            Attempt.Phase.MARKER_PERSISTED -> firstStart(a, unwanted, startsAllowed)
-            Attempt.Phase.START_SENT -> if (startsAllowed && !unwanted) repeatedStart(a) else null
-            Attempt.Phase.EXITED -> forget(a)
-            else ->
-                if (unwanted) {
-                    stop(a, 0.0)
-                } else if (a.stopRequested) {
-                    stop(a)
-                } else {
-                    null
-                }
+            Attempt.Phase.MARKER_PERSISTED -> firstStart(attempt, startsAllowed)
+            Attempt.Phase.START_SENT -> repeatedStart(attempt, startsAllowed)
+            Attempt.Phase.FETCHING, Attempt.Phase.RUNNING, Attempt.Phase.SAVING -> stopIfDue(attempt)
+            Attempt.Phase.EXITED -> forget(attempt)
         }
-    }
 
-    private fun firstStart(a: Attempt, unwanted: Boolean, startsAllowed: Boolean): Command? {
-        if (unwanted || a.machine.draining || a.machine.noticeAt != Machine.NEVER) {
-            reconciler.withdraw(a)
+    /** Whether nobody waits for the attempt's outcome any more. */
+    private fun isUnwanted(attempt: Attempt): Boolean = attempt.job.cancelled || attempt.job.done.get(attempt.index)
+
+    private fun firstStart(attempt: Attempt, startsAllowed: Boolean): Command? {
+        val machine = attempt.machine
+        if (isUnwanted(attempt) || machine.draining || machine.noticeAt != Machine.NEVER) {
+            reconciler.withdraw(attempt)
             return null
         }
-        if (!startsAllowed || a.job.cancelling) return null
-        a.startSent()
-        return start(a)
+        if (!startsAllowed || attempt.job.cancelling) return null
+        attempt.startSent()
+        return start(attempt)
     }
 
-    /** A direct start without an answer is repeated by the answers to reports; an earlier leader's is not ours. */
-    private fun repeatedStart(a: Attempt): Command? = if (a.directStartUnresolved && !a.inherited) start(a) else null
+    /**
+     * A direct start whose outcome is unknown is repeated by the responses to heartbeats; an earlier leader's is not
+     * ours.
+     */
+    private fun repeatedStart(attempt: Attempt, startsAllowed: Boolean): Command? {
+        if (!startsAllowed || isUnwanted(attempt)) return null
+        return if (attempt.directStartUnresolved && !attempt.inherited) start(attempt) else null
+    }
+
+    private fun stopIfDue(attempt: Attempt): Command? =
+        when {
+            isUnwanted(attempt) -> stop(attempt, 0.0)
+            attempt.stopRequested -> stop(attempt)
+            else -> null
+        }
 
-    fun start(a: Attempt) = Command.Start(a.job.spec.id, a.index, a.number)
+    fun start(attempt: Attempt) = Command.Start(attempt.job.spec.id, attempt.index, attempt.number)
 
     /** Stops a task so that it saves its progress if it can; nobody has any use for that of a cancelled one. */
-    fun stop(a: Attempt) = stop(a, if (a.job.cancelled) 0.0 else a.job.spec.saveS + GRACE_S)
+    fun stop(attempt: Attempt) =
+        stop(attempt, if (attempt.job.cancelled) 0.0 else attempt.job.spec.saveS + SAVE_MARGIN_S)
 
-    private fun stop(a: Attempt, graceS: Double) = Command.Stop(a.job.spec.id, a.index, a.number, graceS)
+    private fun stop(attempt: Attempt, graceS: Double) =
+        Command.Stop(attempt.job.spec.id, attempt.index, attempt.number, graceS)
 
     /**
      * A worker that has forgotten an attempt begins it again when a copy of its start comes late, and what was stopped
-     * or cancelled would run unknown to us. So an attempt that this leader started directly is left to the next
-     * generation to forget, whose token voids all copies, unless it was completed: then it ends as soon as it begins.
-     * An earlier version took the first answer for the last.
+     * or cancelled would run unknown to us. So an attempt that this leader started directly is left to the next leader
+     * to forget, whose fencing token voids all copies, unless it was completed: then it ends as soon as it begins. An
+     * earlier version took the first answer for the last.
      */
-    private fun forget(a: Attempt): Command? {
-        if (!a.outcomeRecorded || a.directStartUnresolved) return null
-        val beginsNoMore = !a.startedDirectly || a.completed && !a.job.cancelled
-        return if (beginsNoMore) Command.Forget(a.job.spec.id, a.index, a.number) else null
+    private fun forget(attempt: Attempt): Command? {
+        if (!attempt.outcomeRecorded || attempt.directStartUnresolved) return null
+        val cannotRunAgain = !attempt.startedDirectly || attempt.completed && !attempt.job.cancelled
+        return if (cannotRunAgain) Command.Forget(attempt.job.spec.id, attempt.index, attempt.number) else null
     }
 
     /** Ends what no attempt of ours explains. */
-    private fun removal(t: TaskStatus): Command =
-        if (t.phase == TaskStatus.Phase.EXITED) {
-            Command.Forget(t.jobId, t.index, t.attempt)
+    private fun removal(task: TaskStatus): Command =
+        if (task.phase == TaskStatus.Phase.EXITED) {
+            Command.Forget(task.jobId, task.index, task.attempt)
         } else {
-            Command.Stop(t.jobId, t.index, t.attempt, 0.0)
+            Command.Stop(task.jobId, task.index, task.attempt, 0.0)
         }
 
     private companion object {
-        /** More do not fit well into one answer; the rest comes with the next. */
+        /** More do not fit well into one response; the rest comes with the next. */
         const val MAX_COMMANDS = 400
 
         /** Saving may take longer than its owner's estimate. */
-        const val GRACE_S = 1.0
+        const val SAVE_MARGIN_S = 1.0
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -1,6 +1,7 @@
 package org.chalkhollow.core.attempts
 
 import org.chalkhollow.core.Controller
+import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.fleet.Fleet
@@ -12,8 +13,8 @@
 import org.chalkhollow.wire.WorkerCodec
 
 /**
- * Answers workers' reports. An answer renews the lease of all that runs on a machine, so only an entitled leader gives
- * one; others name the leader. Called by [Controller].
+ * Responds to workers' heartbeats. A response renews the lease of all that runs on a machine, so only an entitled
+ * leader gives one; others redirect to the leader. It owns no state of the cluster. Called by [Controller].
  */
 class HeartbeatHandler(
     private val context: CoreContext,
@@ -26,46 +27,54 @@
 ) {
     private val redirects = settings.peers.map { Pack.encode(WorkerCodec.redirect(it.label)) }
 
-    /** The answer that asks for nothing, which most are, for [nothingFor]. */
-    private var nothing = ByteArray(0)
-    private var nothingFor = -1L
+    /** The encoded response without commands, which most are, and the fencing token that it names. */
+    private var emptyResponse = ByteArray(0)
+    private var emptyResponseToken = -1L
 
     fun onHeartbeat(call: Int, heartbeat: WorkerHeartbeat) {
         leadership.heartbeatTraffic.note(context.steady)
         if (!leadership.entitled()) return redirect(call)
-        val m = fleet.observe(heartbeat)
-        if (m == null || m.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
-        if (heartbeat.seq > m.answeredSeq) {
-            // The worker's lease runs from when it sent this report, which is not after now. One that is no newer than
-            // another that we answered was sent before it and renews nothing: late copies must not keep a dead machine
-            // alive. The reply to a direct command does not count here, since a report sent after it may come before
-            // it.
-            m.answeredSeq = heartbeat.seq
-            m.answeredAt = context.steady
+        val machine = fleet.observe(heartbeat)
+        if (machine == null || machine.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
+        renewLease(machine, heartbeat)
+        val isNewest = heartbeat.seq > machine.seq
+        if (isNewest) {
+            machine.seq = heartbeat.seq
+            images.recall(machine)
+            reconciler.reconcile(machine, heartbeat, fromHeartbeat = true)
         }
-        val newer = heartbeat.seq > m.seq
-        if (newer) {
-            m.seq = heartbeat.seq
-            images.recall(m)
-            reconciler.reconcile(m, heartbeat, fromHeartbeat = true)
-        }
-        val commands = commandPlanner.answering(m, startsAllowed = newer)
-        if (commands.isEmpty()) return context.answer(call, HttpStatus.OK, nothing())
+        respond(call, machine, startsAllowed = isNewest)
+    }
+
+    /**
+     * The worker's lease runs from when it sent this heartbeat, which is not after now. One that is no newer than
+     * another that we answered was sent before it and renews nothing: late copies must not keep a dead machine alive.
+     * The reply to a direct command does not count here, since a heartbeat sent after it may come before it.
+     */
+    private fun renewLease(machine: Machine, heartbeat: WorkerHeartbeat) {
+        if (heartbeat.seq <= machine.answeredSeq) return
+        machine.answeredSeq = heartbeat.seq
+        machine.answeredAt = context.steady
+    }
+
+    private fun respond(call: Int, machine: Machine, startsAllowed: Boolean) {
+        val commands = commandPlanner.inResponse(machine, startsAllowed)
+        if (commands.isEmpty()) return context.answer(call, HttpStatus.OK, emptyResponse())
         context.answer(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
     }
 
-    /** A report that was not read: it came while this controller did not lead. */
+    /** A heartbeat that was not read: it came while this controller did not lead. */
     fun onUnread(call: Int) {
         leadership.heartbeatTraffic.note(context.steady)
         redirect(call)
     }
 
-    private fun nothing(): ByteArray {
-        if (nothingFor != leadership.fencingToken) {
-            nothingFor = leadership.fencingToken
-            nothing = Pack.encode(WorkerCodec.commands(nothingFor, emptyList()))
+    private fun emptyResponse(): ByteArray {
+        if (emptyResponseToken != leadership.fencingToken) {
+            emptyResponseToken = leadership.fencingToken
+            emptyResponse = Pack.encode(WorkerCodec.commands(emptyResponseToken, emptyList()))
         }
-        return nothing
+        return emptyResponse
     }
 
     private fun redirect(call: Int) {
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -17,10 +17,11 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns the commands that go straight to workers, beside the answers to their reports: starts as soon as their marker is
- * durable, stops, and questions whether a machine hears us. One without an answer may be carried out as long as our
- * token holds, so its attempt stays in doubt until it is reported, its session ends, or the generation is raised.
- * Called by [Controller].
+ * Owns the commands that go straight to workers, beside the responses to their heartbeats: starts as soon as their
+ * marker is durable, stops, and probes whether a machine hears us. One without a reply may be carried out as long as
+ * our fencing token holds, so the outcome of its attempt stays unknown until the attempt is reported, its machine's
+ * epoch ends, or the fencing token is advanced. At most one call with commands is under way to a machine. Called by
+ * [Controller].
  */
 class WorkerCommandSender(
     private val context: CoreContext,
@@ -32,7 +33,7 @@
     private val reconciler: AttemptReconciler,
     private val commandPlanner: CommandPlanner,
 ) {
-    private val freshMs = (settings.heartbeatIntervalS * FRESH_REPORTS * MS_PER_S).toLong()
+    private val freshMs = (settings.heartbeatIntervalS * FRESH_HEARTBEATS * MS_PER_S).toLong()
     private var fencingTokenAdvancedAt = context.steady
 
     /** Replies to what was sent in an earlier term mean nothing any more. */
@@ -44,139 +45,159 @@
     }
 
     /**
-     * Stops, and starts whose marker has just become durable go straight to the worker; the next report's answer
-     * repeats them. A direct command costs many times an answer, so short of processor time starts are left to those.
+     * Stops, and starts whose marker has just become durable, go straight to the worker; the response to its next
+     * heartbeat repeats them. A direct command costs many times a response, so short of processor time starts are left
+     * to those.
      */
-    fun send(m: Machine) {
-        if (!leadership.entitled() || !reachableNow(m)) return
-        val starts = if (context.overload.high) emptyList() else m.attempts.filter(::mayStart)
-        val stops = m.attempts.filter { (it.stopRequested || it.job.cancelled) && it.onMachine && !it.directStopSent }
+    fun send(machine: Machine) {
+        if (!leadership.entitled() || !canSendTo(machine)) return
+        val starts = if (context.overload.high) emptyList() else machine.attempts.filter(::mayStart)
+        val stops = machine.attempts.filter(::mayStop)
         if (starts.isEmpty() && stops.isEmpty()) return
-        for (a in stops) a.stopSentDirectly() // once; answers to reports repeat it
-        for (a in starts) a.startSentDirectly()
-        m.directBusy = true
-        m.askedAt = context.steady
-        val epoch = m.epoch
+        for (attempt in stops) attempt.stopSentDirectly() // once; responses to heartbeats repeat it
+        for (attempt in starts) attempt.startSentDirectly()
+        machine.directBusy = true
+        machine.askedAt = context.steady
+        val epoch = machine.epoch
         val commands = stops.map(commandPlanner::stop) + starts.map(commandPlanner::start)
-        call(m, commands) { reply -> onReply(m, epoch, starts, reply) }
+        call(machine, commands) { reply -> onReply(machine, epoch, starts, reply) }
     }
 
-    private fun mayStart(a: Attempt): Boolean =
-        a.phase == Attempt.Phase.MARKER_PERSISTED && !a.job.cancelling && !a.job.cancelled
+    private fun mayStart(attempt: Attempt): Boolean =
+        attempt.phase == Attempt.Phase.MARKER_PERSISTED && !attempt.job.cancelling && !attempt.job.cancelled
 
-    private fun reachableNow(m: Machine): Boolean {
-        if (m.directBusy || m.address.isEmpty() || m.epoch == 0L) return false
-        return m.reachable && context.steady - m.heartbeatAt <= freshMs
+    private fun mayStop(attempt: Attempt): Boolean =
+        (attempt.stopRequested || attempt.job.cancelled) && attempt.onMachine && !attempt.directStopSent
+
+    private fun canSendTo(machine: Machine): Boolean {
+        if (machine.directBusy || machine.address.isEmpty() || machine.epoch == 0L) return false
+        return machine.reachable && context.steady - machine.heartbeatAt <= freshMs
     }
 
-    /** What is cancelled is stopped at once where few machines have it, else with the answers to their next reports. */
+    /**
+     * What is cancelled is stopped at once where few machines have it, else with the responses to their next
+     * heartbeats.
+     */
     fun stopAll(job: OpenJob) {
-        val machines = fleet.machines.filter { m -> m.attempts.any { it.job === job && it.onMachine } }
-        machines.take(MAX_ASKED).forEach(::send)
+        val machines = fleet.machines.filter { machine -> machine.attempts.any { it.job === job && it.onMachine } }
+        machines.take(MAX_CALLS).forEach(::send)
     }
 
-    /** A direct command without orders: its answer shows that the machine hears us. */
+    /** Calls machines that may not hear us, without commands: a reply shows that they do. */
     fun probeDoubtful() {
-        var left = MAX_ASKED
-        for (m in fleet.machines) {
-            if (left == 0) return
-            if (m.address.isEmpty() || !fleet.toBeAsked(m)) continue
-            left--
-            val epoch = m.epoch
-            call(m, emptyList()) { reply ->
-                if (m.epoch == epoch && reply is CommandReply.Executed) fleet.reached(m)
-            }
+        var callsLeft = MAX_CALLS
+        for (machine in fleet.machines) {
+            if (callsLeft == 0) return
+            if (machine.address.isEmpty() || !fleet.toBeAsked(machine)) continue
+            callsLeft--
+            probe(machine)
         }
     }
 
-    private fun call(m: Machine, commands: List<Command>, then: (CommandReply) -> Unit) {
-        val inTerm = term
-        val epoch = m.epoch
-        context.direct({ Effect.WorkerCommand(it, m.address, leadership.fencingToken, epoch, commands) }) { reply ->
-            if (term == inTerm) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
+    private fun probe(machine: Machine) {
+        val epoch = machine.epoch
+        call(machine, emptyList()) { reply ->
+            if (machine.epoch == epoch && reply is CommandReply.Executed) fleet.reached(machine)
         }
     }
 
-    private fun onReply(m: Machine, epoch: Long, starts: List<Attempt>, reply: CommandReply) {
-        m.directBusy = false
+    private fun call(machine: Machine, commands: List<Command>, onReply: (CommandReply) -> Unit) {
+        val termOfCall = term
+        val epoch = machine.epoch
+        val effect = { ticket: Int ->
+            Effect.WorkerCommand(ticket, machine.address, leadership.fencingToken, epoch, commands)
+        }
+        context.direct(effect) { reply ->
+            if (term == termOfCall) onReply(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
+        }
+    }
+
+    private fun onReply(machine: Machine, epoch: Long, starts: List<Attempt>, reply: CommandReply) {
+        machine.directBusy = false
         if (reply is CommandReply.NoResponse) return // it may still be executed: see [advanceFencingTokenIfNeeded]
-        for (a in starts) a.directStartConcluded()
+        for (attempt in starts) attempt.directStartConcluded()
         if (reply is CommandReply.Executed) {
-            onExecuted(m, epoch, reply.heartbeat)
+            onExecuted(machine, epoch, reply.heartbeat)
         } else {
-            for (a in starts) {
-                if (a.phase == Attempt.Phase.START_SENT &&
-                    !a.resolved
-                ) {
-                    a.startDropped()
-                }
-            }
+            onRefused(starts)
         }
     }
 
-    private fun onExecuted(m: Machine, epoch: Long, heartbeat: WorkerHeartbeat) {
-        val sameSession = heartbeat.epoch == epoch && m.epoch == epoch
-        if (sameSession) fleet.reached(m)
-        if (!sameSession || heartbeat.machine != m.name) {
+    private fun onRefused(starts: List<Attempt>) {
+        for (attempt in starts) {
+            if (attempt.phase == Attempt.Phase.START_SENT && !attempt.resolved) attempt.startDropped()
+        }
+    }
+
+    private fun onExecuted(machine: Machine, epoch: Long, heartbeat: WorkerHeartbeat) {
+        val sameEpoch = heartbeat.epoch == epoch && machine.epoch == epoch
+        if (sameEpoch) fleet.reached(machine)
+        if (!sameEpoch || heartbeat.machine != machine.name) {
             context.dropped.count(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
-        } else if (heartbeat.seq <= m.seq) {
+        } else if (heartbeat.seq <= machine.seq) {
             context.dropped.count(DroppedInput.HEARTBEAT_LATE)
         } else {
-            m.seq = heartbeat.seq
-            reconciler.reconcile(m, heartbeat, fromHeartbeat = false)
+            machine.seq = heartbeat.seq
+            reconciler.reconcile(machine, heartbeat, fromHeartbeat = false)
         }
-        if (m.attempts.any { it.phase == Attempt.Phase.MARKER_PERSISTED }) send(m)
+        if (machine.attempts.any { it.phase == Attempt.Phase.MARKER_PERSISTED }) send(machine)
     }
 
     /**
-     * A direct start without an answer may be executed as long as our token holds. When something waits for its fate,
-     * the generation is raised: no worker that has seen the new token obeys the old one.
+     * A direct start without a reply may be executed as long as our fencing token holds. When something waits for its
+     * outcome, the token is advanced by giving up the lead: no worker that has seen the new token obeys the old one.
      */
     fun advanceFencingTokenIfNeeded() {
-        val t = context.steady
         if (dispatch.exhausted) return leadership.depose("attempt numbers are used up")
-        if (log.slow() || t - fencingTokenAdvancedAt < RAISE_MS) return quarantineStuck(t)
-        if (fleet.machines.none { stuck(it, t) || keepsTooMany(it) }) return
-        fencingTokenAdvancedAt = t
-        leadership.depose("raising the generation to settle direct starts without an answer")
+        val advancedLately = context.steady - fencingTokenAdvancedAt < MIN_ADVANCE_INTERVAL_MS
+        if (log.slow() || advancedLately) return quarantineStuck()
+        if (fleet.machines.none { waitsForNewToken(it) || keepsTooMany(it) }) return
+        fencingTokenAdvancedAt = context.steady
+        leadership.depose("advancing the fencing token to resolve direct starts whose outcome is unknown")
     }
 
-    private fun keepsTooMany(m: Machine): Boolean =
-        m.attempts.size > MAX_KEPT && m.attempts.count { it.finished } > MAX_KEPT
+    private fun keepsTooMany(machine: Machine): Boolean =
+        machine.attempts.size > MAX_FINISHED && machine.attempts.count { it.finished } > MAX_FINISHED
 
-    private fun stuck(m: Machine, t: Long): Boolean =
-        m.state == Machine.State.UP && m.attempts.any { inDoubtForLong(it, t) && (mayYetBegin(it) || it.finished) }
+    private fun waitsForNewToken(machine: Machine): Boolean =
+        machine.state == Machine.State.UP &&
+            machine.attempts.any { outcomeUnknownForLong(it) && (mayYetRunCancelled(it) || it.finished) }
 
-    private fun inDoubtForLong(a: Attempt, t: Long): Boolean = a.directStartUnresolved && t - a.progressAt > STUCK_MS
+    private fun outcomeUnknownForLong(attempt: Attempt): Boolean =
+        attempt.directStartUnresolved && context.steady - attempt.progressAt > MAX_OUTCOME_UNKNOWN_MS
 
-    /** Whether [a] is cancelled, and its start without an answer may still be carried out. */
-    private fun mayYetBegin(a: Attempt): Boolean = a.phase == Attempt.Phase.START_SENT && a.job.cancelled
+    /** Whether [attempt] is cancelled, and its start without a reply may still be carried out. */
+    private fun mayYetRunCancelled(attempt: Attempt): Boolean =
+        attempt.phase == Attempt.Phase.START_SENT && attempt.job.cancelled
 
     /**
-     * No generation can be raised while nothing can be written, and giving up the lead then would cost every machine
-     * its lease; an earlier version did. Nor is one raised again and again. A cancelled task's start that may still be
-     * carried out ends with the session of its machine alone, so that one is answered no more.
+     * The fencing token cannot be advanced while nothing can be written, and giving up the lead then would cost every
+     * machine its lease; an earlier version did. Nor is it advanced again and again. A cancelled task's start that may
+     * still be carried out ends with the epoch of its machine alone, so that one is answered no more.
      */
-    private fun quarantineStuck(t: Long) {
-        for (m in fleet.machines) {
-            if (m.quarantined || m.state != Machine.State.UP) continue
-            if (m.attempts.none { inDoubtForLong(it, t) && mayYetBegin(it) }) continue
-            context.info("${m.name} may yet begin what was cancelled, and is left to its lease")
-            m.quarantined = true
+    private fun quarantineStuck() {
+        for (machine in fleet.machines) {
+            if (machine.quarantined || machine.state != Machine.State.UP) continue
+            if (machine.attempts.none { outcomeUnknownForLong(it) && mayYetRunCancelled(it) }) continue
+            context.info("${machine.name} is quarantined until its lease expires: it may yet start what was cancelled")
+            machine.quarantined = true
         }
     }
 
     private companion object {
-        const val RAISE_MS = 20_000L
-        const val STUCK_MS = 6000L
+        /** The lead is not given up more often than this to advance the fencing token. */
+        const val MIN_ADVANCE_INTERVAL_MS = 20_000L
+
+        /** A direct start without a reply is waited for so long. */
+        const val MAX_OUTCOME_UNKNOWN_MS = 6000L
 
-        /** A machine that has missed so many reports is not sent anything. */
-        const val FRESH_REPORTS = 2
+        /** A machine that has missed so many heartbeats is not sent anything. */
+        const val FRESH_HEARTBEATS = 2
 
-        /** More tasks that are over than this are not kept in a machine's reports for want of a newer token. */
-        const val MAX_KEPT = 200
+        /** More attempts that are over than this are not kept in a machine's heartbeats for want of a newer token. */
+        const val MAX_FINISHED = 200
 
-        /** Each takes a connection; those that are left out are asked the next time. */
-        const val MAX_ASKED = 20
+        /** Each takes a connection; those that are left out are called the next time. */
+        const val MAX_CALLS = 20
     }
 }
