--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
@@ -13,8 +13,7 @@
 internal class AttemptLifecycle(
     private val context: CoreContext,
     private val reservations: AttemptReservations,
-    private val onStartsReady: (Machine) -> Unit,
-    private val onStartObserved: (Machine) -> Unit,
+    private val events: AttemptEvents,
 ) {
     /** The markers of [attempts] are durable: they may be started. */
     fun onMarkersPersisted(attempts: List<Attempt>) {
@@ -28,7 +27,7 @@
                 reservations.resolve(attempt)
             }
         }
-        machines.forEach(onStartsReady)
+        machines.forEach(events::onStartsReady)
     }
 
     /** A marker cannot be written: none of its [attempts] was sent, and their tasks are ready again. */
@@ -43,7 +42,7 @@
     fun onPhaseObserved(attempt: Attempt, phase: Attempt.Phase) {
         if (attempt.phase == Attempt.Phase.EXITED || attempt.phase == phase) return
         val machine = attempt.machine
-        if (attempt.phase == Attempt.Phase.START_SENT && !attempt.inherited) onStartObserved(machine)
+        if (attempt.phase == Attempt.Phase.START_SENT && !attempt.inherited) events.onStartObserved(machine)
         val wasRunning = attempt.running
         attempt.entered(phase, context.steady)
         if (phase == Attempt.Phase.RUNNING && attempt.job.image >= 0) machine.held.add(attempt.job.image)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -24,20 +24,11 @@
     context: CoreContext,
     private val jobs: JobTable,
     quotas: Quotas,
+    events: AttemptEvents = AttemptEvents.None,
     private val fencingToken: () -> Long,
 ) {
-    /** Set by the controller: an attempt's marker is needed no more. */
-    var onMarkerReleased: (DispatchMarker) -> Unit = {}
-
-    /** Set by the controller: a machine has attempts whose markers are durable. */
-    var onStartsReady: (Machine) -> Unit = {}
-
-    /** Set by the controller: a machine has begun what this leader told it to. */
-    var onStartObserved: (Machine) -> Unit = {}
-
-    private val reservations = AttemptReservations(context, quotas) { onMarkerReleased(it) }
-    private val lifecycle =
-        AttemptLifecycle(context, reservations, { onStartsReady(it) }, onStartObserved = { onStartObserved(it) })
+    private val reservations = AttemptReservations(context, quotas, events)
+    private val lifecycle = AttemptLifecycle(context, reservations, events)
     private val outcomes = AttemptOutcomes(context, jobs, reservations)
 
     fun clear() = reservations.clear()
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
@@ -15,7 +15,7 @@
 internal class AttemptReservations(
     private val context: CoreContext,
     private val quotas: Quotas,
-    private val onMarkerReleased: (DispatchMarker) -> Unit,
+    private val events: AttemptEvents,
 ) {
     /** CPUs held by attempts that were given to jobs that had been passed over. */
     var creditCpus = 0.0
@@ -82,6 +82,6 @@
     }
 
     private fun releaseMarker(attempt: Attempt) {
-        attempt.marker?.let(onMarkerReleased)
+        attempt.marker?.let(events::onMarkerReleased)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -35,7 +35,7 @@
         leadership.heartbeatTraffic.note(context.steady)
         if (!leadership.entitled()) return redirect(call)
         val machine = fleet.observe(heartbeat)
-        if (machine == null || machine.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
+        if (machine == null || machine.quarantined) return context.respond(call, HttpStatus.UNAVAILABLE)
         renewLease(machine, heartbeat)
         val isNewest = heartbeat.seq > machine.seq
         if (isNewest) {
@@ -59,8 +59,8 @@
 
     private fun respond(call: Int, machine: Machine, startsAllowed: Boolean) {
         val commands = commandPlanner.inResponse(machine, startsAllowed)
-        if (commands.isEmpty()) return context.answer(call, HttpStatus.OK, emptyResponse())
-        context.answer(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
+        if (commands.isEmpty()) return context.respond(call, HttpStatus.OK, emptyResponse())
+        context.respond(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
     }
 
     /** A heartbeat that was not read: it came while this controller did not lead. */
@@ -79,7 +79,7 @@
 
     private fun redirect(call: Int) {
         val leader = leadership.reachableLeader()
-        if (leader < 0) return context.answer(call, HttpStatus.UNAVAILABLE)
-        context.answer(call, HttpStatus.MISDIRECTED, redirects[leader])
+        if (leader < 0) return context.respond(call, HttpStatus.UNAVAILABLE)
+        context.respond(call, HttpStatus.MISDIRECTED, redirects[leader])
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -51,7 +51,7 @@
      */
     fun send(machine: Machine) {
         if (!leadership.entitled() || !canSendTo(machine)) return
-        val starts = if (context.overload.high) emptyList() else machine.attempts.filter(::mayStart)
+        val starts = if (context.overload.overloaded) emptyList() else machine.attempts.filter(::mayStart)
         val stops = machine.attempts.filter(::mayStop)
         if (starts.isEmpty() && stops.isEmpty()) return
         for (attempt in stops) attempt.stopSentDirectly() // once; responses to heartbeats repeat it
@@ -107,7 +107,7 @@
         val effect = { ticket: Int ->
             Effect.WorkerCommand(ticket, machine.address, leadership.fencingToken, epoch, commands)
         }
-        context.direct(effect) { reply ->
+        context.sendCommands(effect) { reply ->
             if (term == termOfCall) onReply(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
