--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.attempts
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.DispatchMarker
 import org.chalkhollow.core.cluster.Machine
@@ -17,8 +16,9 @@
  * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. Squares it with what machines report:
  * an attempt is resolved, and its task free to be placed again, only on proof that it runs nowhere and never will.
  *
- * This is the one entry to the parts that keep attempts; [Controller] tells it of records and machines, [DispatchLog]
- * of reservations and markers, [HeartbeatHandler] and [WorkerCommandSender] of heartbeats.
+ * This is the one entry to the parts that keep attempts. [DispatchLog] calls it for reservations and markers,
+ * [HeartbeatHandler] and [WorkerCommandSender] for heartbeats, and the controller's event dispatcher when machines are
+ * gone or outcomes are recorded. It reports to [AttemptEvents].
  */
 class AttemptReconciler(
     context: CoreContext,
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.attempts
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.DispatchMarker
 import org.chalkhollow.core.fleet.Fleet
@@ -12,9 +11,10 @@
 import org.chalkhollow.settings.StateLimits
 
 /**
- * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value, before
- * any of them is started, so that a later leader knows what may run; a marker is removed once none of its attempts
- * needs it. Called by [Controller] for each placement round and while a new leader loads.
+ * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value,
+ * before any of them is started, so that a later leader knows what may run; a marker is removed once none of its
+ * attempts needs it. Called for each placement round, while a new leader loads, and when an attempt needs its marker
+ * no more.
  */
 class DispatchLog(
     private val limits: StateLimits,
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.attempts
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.HttpStatus
@@ -14,7 +13,8 @@
 
 /**
  * Responds to workers' heartbeats. A response renews the lease of all that runs on a machine, so only an entitled
- * leader gives one; others redirect to the leader. It owns no state of the cluster. Called by [Controller].
+ * leader gives one; others redirect to the leader. It owns no state of the cluster. Called by the controller for each
+ * heartbeat.
  */
 class HeartbeatHandler(
     private val context: CoreContext,
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.attempts
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
@@ -20,8 +19,8 @@
  * Owns the commands that go straight to workers, beside the responses to their heartbeats: starts as soon as their
  * marker is durable, stops, and probes whether a machine hears us. One without a reply may be carried out as long as
  * our fencing token holds, so the outcome of its attempt stays unknown until the attempt is reported, its machine's
- * epoch ends, or the fencing token is advanced. At most one call with commands is under way to a machine. Called by
- * [Controller].
+ * epoch ends, or the fencing token is advanced. At most one call with commands is under way to a machine. Called when
+ * starts are ready, placement preempts or a job is cancelled, and periodically while this controller leads.
  */
 class WorkerCommandSender(
     private val context: CoreContext,
