--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -10,9 +10,6 @@
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.ExitCause
-import org.chalkhollow.model.JobSpec
-import org.chalkhollow.model.Priority
-import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 import org.chalkhollow.model.TaskStatus
 import org.chalkhollow.model.Team
@@ -28,28 +25,7 @@
     private val reconciler = AttemptReconciler(context, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
 
     private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
-        val spec =
-            JobSpec(
-                id,
-                "w",
-                "t",
-                shape,
-                Priority.STANDARD,
-                10,
-                Resources(1.0, 0.0, 1.0),
-                "i",
-                1.0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                5.0,
-                0.0,
-                0.0,
-                null,
-            )
-        jobs.accept(spec, refused = {}) {}
+        jobs.accept(jobSpec(id, shape), refused = {}) {}
         jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
@@ -0,0 +1,49 @@
+package org.chalkhollow.core.attempts
+
+import org.chalkhollow.core.cluster.Attempt
+import org.chalkhollow.core.cluster.Machine
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class AttemptTest {
+    private val machine = Machine(0, "n-1")
+    private val job = openJob("j-1", tasks = 2)
+
+    private fun attempt(inherited: Boolean = false) =
+        Attempt(job, 0, 100, machine, marker = null, fromCredit = false, inherited, placedAt = 1000)
+
+    @Test
+    fun `an attempt begins with its marker pending, an inherited one as if its start had been sent`() {
+        assertEquals(Attempt.Phase.MARKER_PENDING, attempt().phase)
+        assertEquals(Attempt.Phase.START_SENT, attempt(inherited = true).phase)
+    }
+
+    @Test
+    fun `the outcome of a direct start is unknown until it is concluded, and stays on record`() {
+        val attempt = attempt().also { it.markerPersisted() }
+        attempt.directStartConcluded()
+        assertFalse(attempt.startedDirectly, "nothing was sent directly")
+        attempt.startSentDirectly()
+        assertTrue(attempt.directStartUnresolved && attempt.startedDirectly)
+        attempt.directStartConcluded()
+        attempt.startDropped()
+        assertFalse(attempt.directStartUnresolved)
+        assertTrue(attempt.startedDirectly, "a copy of it may still come")
+        assertEquals(Attempt.Phase.MARKER_PERSISTED, attempt.phase)
+    }
+
+    @Test
+    fun `only time in the running phase counts against the time that remains`() {
+        val attempt = attempt()
+        assertEquals(4.0, attempt.minRemainingS(3000))
+        attempt.entered(Attempt.Phase.FETCHING, 4000)
+        assertEquals(4.0, attempt.minRemainingS(5000))
+        attempt.entered(Attempt.Phase.RUNNING, 6000)
+        assertEquals(1.0, attempt.minRemainingS(9000))
+        job.runs = 2
+        job.ranS = 40.0
+        assertEquals(13.0, attempt.minRemainingS(9000), "what others took counts more than the estimate")
+    }
+}
--- a/src/test/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilderTest.kt
@@ -1,14 +1,10 @@
 package org.chalkhollow.core.attempts
 
 import org.chalkhollow.core.cluster.DispatchMarker
-import org.chalkhollow.core.cluster.JobEntry
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.EncodedSize
-import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.KeyValue
-import org.chalkhollow.model.Priority
-import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -17,31 +13,6 @@
 class DispatchMarkerBuilderTest {
     private val machine = Machine(0, "n-1")
 
-    private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
-        val spec =
-            JobSpec(
-                id = id,
-                workload = "w",
-                team = "t",
-                shape = shape,
-                priority = Priority.STANDARD,
-                tasks = 100,
-                taskResources = Resources(1.0, 0.0, 1.0),
-                image = null,
-                imageGb = 0.0,
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = true,
-                expectedS = 1.0,
-                checkpointS = 0.0,
-                saveS = 0.0,
-                dueS = null,
-            )
-        return OpenJob(JobEntry(0, spec.tasks), spec, 0, -1, null, -1, 0)
-    }
-
     private fun allocation(job: OpenJob, vararg tasks: Int) = Allocation(job, machine, tasks, fromCredit = false)
 
     /** The tasks of each marker, as `job:ranges`. */
@@ -59,8 +30,8 @@
         return packed.map { entry -> entry.allocations.map { "${it.job.spec.id}:${IndexRanges.encode(it.tasks)}" } }
     }
 
-    private val array = job("array")
-    private val gang = job("gang", Shape.GANG)
+    private val array = openJob("array", tasks = 100)
+    private val gang = openJob("gang", Shape.GANG)
     private val rowBytes = DispatchMarkerRecord.Row.of(allocation(array, 0)).bytes
 
     @Test
@@ -97,7 +68,12 @@
     fun `a marker is read back as it was written`() {
         val marker = DispatchMarker(DispatchMarkerRecord.key(7, 3), 9)
         val builder = DispatchMarkerBuilder(10_000, 1, 10_000) { marker }
-        val change = builder.pack(listOf(allocation(array, 0, 1, 2, 7), allocation(job("other"), 5))).single().change()
+        val change =
+            builder
+                .pack(
+                    listOf(allocation(array, 0, 1, 2, 7), allocation(openJob("other"), 5)),
+                ).single()
+                .change()
         assertEquals("mark/000000000007/3", change.key)
         val rows = listOf(listOf("array", "n-1", "0-2,7"), listOf("other", "n-1", "5"))
         assertEquals(mapOf("n" to 9L, "a" to rows), change.value)
