--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptEvents.kt
@@ -11,7 +11,7 @@
     /** [machine] has attempts whose dispatch markers have just become durable, so they may be started. */
     fun onStartsReady(machine: Machine)
 
-    /** [machine] has begun an attempt that this leader told it to start: our commands reach it. */
+    /** [machine] has started an attempt as this leader commanded: our commands reach it. */
     fun onStartObserved(machine: Machine)
 
     /** For those that need not hear of attempts. */
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
@@ -47,16 +47,16 @@
         attempt.entered(phase, context.steady)
         if (phase == Attempt.Phase.RUNNING && attempt.job.image >= 0) machine.held.add(attempt.job.image)
         if (attempt.running && !wasRunning) onRunning(attempt)
-        if (!attempt.running && wasRunning) attempt.job.running--
+        if (!attempt.running && wasRunning) attempt.job.tasks.runEnded()
     }
 
     private fun onRunning(attempt: Attempt) {
         val job = attempt.job
-        job.running++
+        job.tasks.runStarted()
         val startMs = context.steady - attempt.placedAt
         val waitMs = context.now.wall - job.acceptedWall
         context.emit(Effect.Timing("start", startMs))
-        if (job.running == 1 && job.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
+        if (job.tasks.running == 1 && job.progress.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
         val task = "${job.spec.id}/${attempt.index} (${job.spec.workload})"
         val where = attempt.machine.name + if (attempt.imageWasHeld) ", image held" else ""
         context.debug("$task runs $waitMs ms after it was accepted, $startMs ms after it was placed on $where")
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
@@ -48,7 +48,7 @@
         if (attempt.fromCredit) creditCpus += job.taskResources.cpus
         attempt.machine.attempts.add(attempt)
         attempt.machine.occupy(job.taskResources)
-        job.taken(attempt.index)
+        job.tasks.attemptReserved(attempt.index)
         quotas.add(job.team, job.taskResources)
         attempt.marker?.hold()
         return attempt
@@ -57,12 +57,12 @@
     /** The attempt is on its machine no more: others may have its room, and its task is ready unless it is done. */
     fun release(attempt: Attempt) {
         val job = attempt.job
-        if (attempt.running) job.running--
+        if (attempt.running) job.tasks.runEnded()
         quotas.remove(job.team, job.taskResources)
         attempt.machine.vacate(job.taskResources)
         if (attempt.fromCredit) creditCpus -= job.taskResources.cpus
         context.changed()
-        job.released(attempt.index)
+        job.tasks.attemptReleased(attempt.index)
     }
 
     /** The attempt runs nowhere and never will: nothing is known of it from now on. */
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -112,10 +112,10 @@
         val marker = DispatchMarker(stored.key, DispatchMarkerRecord.number(stored))
         marker.hold() // until the whole marker is read
         for (row in DispatchMarkerRecord.rows(stored)) {
-            val job = jobs.marked(row.jobId) ?: continue
+            val job = jobs.findForMarker(row.jobId) ?: continue
             val machine = fleet.known(row.machineName)
             for (index in IndexRanges.decode(row.ranges)) {
-                if (index >= job.spec.tasks || job.done.get(index)) continue
+                if (index >= job.spec.tasks || job.progress.isDone(index)) continue
                 reconciler.reserveInherited(job, index, marker.number, machine, marker)
             }
         }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -25,8 +25,11 @@
     private val reconciler = AttemptReconciler(context, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
 
     private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
-        jobs.accept(jobSpec(id, shape), refused = {}) {}
-        jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
+        jobs.accept(jobSpec(id, shape), onRefused = {}) {}
+        jobs.urgentWrites
+            .next(StateWriter.Room(10, 10_000))
+            ?.onDurable
+            ?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
 
@@ -62,8 +65,8 @@
             WorkerHeartbeat("n-1", "n-1", "x", "z", false, 1, 2, 1, null, tasks),
             fromHeartbeat = true,
         )
-        assertEquals("{1}", job.done.toString())
-        assertEquals(2, job.running)
+        assertEquals("{1}", job.progress.snapshot().toString())
+        assertEquals(2, job.tasks.running)
         assertEquals(listOf(0, 2), m.attempts.filter { it.phase == Attempt.Phase.RUNNING }.map { it.index })
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
@@ -42,8 +42,7 @@
         assertEquals(4.0, attempt.minRemainingS(5000))
         attempt.entered(Attempt.Phase.RUNNING, 6000)
         assertEquals(1.0, attempt.minRemainingS(9000))
-        job.runs = 2
-        job.ranS = 40.0
+        job.runTimes.add(20.0)
         assertEquals(13.0, attempt.minRemainingS(9000), "what others took counts more than the estimate")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/JobFixtures.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/JobFixtures.kt
@@ -32,4 +32,4 @@
 
 /** An open job on its own, in no job table. */
 internal fun openJob(id: String, shape: Shape = Shape.ARRAY, tasks: Int = 10): OpenJob =
-    OpenJob(JobEntry(0, tasks), jobSpec(id, shape, tasks), team = 0, image = -1, types = null, zone = -1, 0)
+    OpenJob(JobEntry(0, tasks), jobSpec(id, shape, tasks), 0, -1, types = null, -1, 0, tasksPerPage = 8192)
