--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -37,7 +37,8 @@
         }
 
     /** Whether nobody waits for the attempt's outcome any more. */
-    private fun isUnwanted(attempt: Attempt): Boolean = attempt.job.cancelled || attempt.job.progress.isDone(attempt.index)
+    private fun isUnwanted(attempt: Attempt): Boolean =
+        attempt.job.cancelled || attempt.job.progress.isDone(attempt.index)
 
     private fun firstStart(attempt: Attempt, startsAllowed: Boolean): Command? {
         val machine = attempt.machine
