--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -43,7 +43,7 @@
     private fun dispatch(input: Input) {
         when (input) {
             Input.Tick -> modules.periodic.tick()
-            is Input.User -> modules.requests.ask(input.call, input.ask)
+            is Input.User -> modules.requests.onRequest(input.call, input.request)
             is Input.Heartbeat -> modules.heartbeats.onHeartbeat(input.call, input.heartbeat)
             is Input.UnreadHeartbeat -> modules.heartbeats.onUnread(input.call)
             is Input.State -> context.reply(input)
@@ -56,8 +56,8 @@
     private fun onPeer(from: Int, message: PeerMessage) {
         when (message) {
             is PeerMessage.Hello -> modules.versions.greeted(from, message)
-            is PeerMessage.ForwardedRequest -> modules.requests.onForward(from, message)
-            is PeerMessage.ForwardedResponse -> modules.requests.onForwarded(message)
+            is PeerMessage.ForwardedRequest -> modules.requests.onForwardedRequest(from, message)
+            is PeerMessage.ForwardedResponse -> modules.requests.onForwardedResponse(message)
             else -> leadership.onPeer(from, message)
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -70,7 +70,7 @@
 
     override fun onAttemptBegun(machine: Machine) = targets.fleet.reached(machine)
 
-    override fun onJobDone(job: OpenJob) = targets.requests.finished(job)
+    override fun onJobDone(job: OpenJob) = targets.requests.onJobDone(job)
 
     override fun onJobCancelled(job: OpenJob) {
         targets.reconciler.recorded(job, job.done)
--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -2,6 +2,7 @@
 
 import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.peer.PeerMessage
 
@@ -33,17 +34,13 @@
         val message = effect.message
         if (message !is PeerMessage.ForwardedResponse || !isDecided(message.status)) return effect
         val unavailable =
-            PeerMessage.ForwardedResponse(message.seq, HttpStatus.UNAVAILABLE, ByteArray(0), RETRY_AFTER_S)
+            PeerMessage.ForwardedResponse(message.seq, HttpStatus.UNAVAILABLE, ByteArray(0), UserRequest.RETRY_AFTER_S)
         return Effect.Send(effect.peer, unavailable)
     }
 
     private fun unavailable(effect: Effect.Response) =
-        Effect.Response(effect.call, HttpStatus.UNAVAILABLE, null, RETRY_AFTER_S)
+        Effect.Response(effect.call, HttpStatus.UNAVAILABLE, null, UserRequest.RETRY_AFTER_S)
 
     /** Server errors say that nothing was decided; every other response rests on what the leader knows. */
     private fun isDecided(status: Int): Boolean = status < HttpStatus.SERVER_ERRORS
-
-    private companion object {
-        const val RETRY_AFTER_S = 1
-    }
 }
--- a/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
@@ -45,7 +45,7 @@
         }
         loaded = true
         leadership.ready = true
-        requests.open = true
+        requests.open()
         records.complete()
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
@@ -18,7 +18,7 @@
     data object Tick : Input
 
     /** A user's request. [call] identifies it until the [Effect.Response] with the same number, and is not negative. */
-    class User(val call: Int, val ask: UserRequest) : Input
+    class User(val call: Int, val request: UserRequest) : Input
 
     /** A worker's heartbeat, to be responded to as [call]. */
     class Heartbeat(val call: Int, val heartbeat: WorkerHeartbeat) : Input
--- a/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
@@ -26,6 +26,9 @@
     class Cancel(override val jobId: String) : UserRequest
 
     companion object {
+        /** After how many seconds a user who got 503 may repeat the request. */
+        const val RETRY_AFTER_S = 1
+
         /** What [body] asks as a submission, or null when it is malformed and names no job. */
         fun ofSubmission(body: ByteArray): UserRequest? =
             try {
