--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -103,7 +103,7 @@
     /** For operators: one job, or null when this controller does not know it. */
     fun jobStatus(now: Now, id: String): JobView? {
         context.now = now
-        return modules.statusReport.job(id)
+        return modules.jobReport.job(id)
     }
 
     /** As of the last input. */
@@ -116,7 +116,7 @@
                 jobs = modules.jobs.size,
                 machines = modules.fleet.machines.size,
                 versions = modules.versions.all,
-                replicas = modules.statusReport.replicas(),
+                replicas = modules.jobReport.replicas(),
                 dropped = context.dropped.counts(),
             )
 
--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -18,7 +18,10 @@
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.leadership.LeadershipRecord
 import org.chalkhollow.core.operations.ControllerVersions
+import org.chalkhollow.core.operations.FleetReport
+import org.chalkhollow.core.operations.JobReport
 import org.chalkhollow.core.operations.StatusReport
+import org.chalkhollow.core.operations.WaitReasons
 import org.chalkhollow.core.placement.Placement
 import org.chalkhollow.core.requests.RequestHandler
 import org.chalkhollow.core.storage.StateWriter
@@ -84,21 +87,11 @@
     val lateEffects = LateEffects(leadership)
 
     val versions = ControllerVersions(label, peerLabels)
+    private val waitReasons = WaitReasons(context, writer, quotas, fleet, placement)
+    val jobReport = JobReport(context, jobs, waitReasons)
+    private val fleetReport = FleetReport(fleet, names)
     val statusReport =
-        StatusReport(
-            context,
-            label,
-            peerLabels,
-            settings.teams,
-            leadership,
-            jobs,
-            quotas,
-            fleet,
-            placement,
-            names,
-            writer,
-            versions,
-        )
+        StatusReport(label, peerLabels, settings.teams, leadership, quotas, versions, jobReport, fleetReport)
 
     init {
         events.bind(
