--- a/src/test/kotlin/org/chalkhollow/LayersTest.kt
+++ b/src/test/kotlin/org/chalkhollow/LayersTest.kt
@@ -6,22 +6,28 @@
 import java.nio.file.Files
 import java.nio.file.Path
 import kotlin.io.path.extension
-import kotlin.io.path.readLines
+import kotlin.io.path.readText
 
+/** Which part of the program may use which. */
 class LayersTest {
+    private fun sources(folder: String): List<SourceFile> =
+        Files.walk(Path.of("src/main/kotlin/org/chalkhollow", folder)).use { paths ->
+            paths
+                .filter { it.extension == "kt" }
+                .map { SourceFile(it.fileName.toString(), it.readText()) }
+                .toList()
+        }
+
     private fun imports(folder: String): List<String> =
-        Files.walk(Path.of("src/main/kotlin/org/chalkhollow", folder)).use { files ->
-            files.filter { it.extension == "kt" }.toList().flatMap { file ->
-                file
-                    .readLines()
-                    .filter {
-                        it.startsWith(
-                            "import ",
-                        )
-                    }.map { "${file.fileName}: ${it.removePrefix("import ")}" }
-            }
+        sources(folder).flatMap { file ->
+            file.text
+                .lines()
+                .filter { it.startsWith("import ") }
+                .map { "${file.name}: ${it.removePrefix("import ")}" }
         }
 
+    private fun List<String>.naming(foreign: List<String>) = filter { line -> foreign.any { it in line } }
+
     @Test
     fun `the core does no I-O, has no clock and no coroutines`() {
         val all = imports("core")
@@ -38,17 +44,102 @@
                 "kotlin.random.",
                 "org.chalkhollow.runtime.",
             )
-        assertEquals(emptyList<String>(), all.filter { line -> foreign.any { it in line } })
+        assertEquals(emptyList<String>(), all.naming(foreign))
     }
 
     @Test
     fun `protocol and peer messages know nothing of the core or the runtime`() {
         val foreign = listOf("org.chalkhollow.core.", "org.chalkhollow.runtime.")
-        assertEquals(
-            emptyList<String>(),
-            (imports("wire") + imports("model")).filter { line ->
-                foreign.any { it in line }
-            },
-        )
+        assertEquals(emptyList<String>(), (imports("wire") + imports("model")).naming(foreign))
+    }
+
+    @Test
+    fun `packages of the core use only those below them that the rules name`() {
+        val files = sources("core")
+        assertTrue(files.size > 50, "the sources were not found")
+        assertEquals(emptyList<String>(), CORE_RULES.cycles())
+        assertEquals(emptyList<String>(), CORE_RULES.undeclaredUses(files))
+    }
+
+    // The checks above are worth something only if they fail on what they forbid.
+
+    private val rules = PackageRules(mapOf("common" to emptySet(), "jobs" to setOf("common"), "core" to setOf("jobs")))
+
+    private fun file(packageName: String, text: String) =
+        listOf(SourceFile("File.kt", "package org.chalkhollow.$packageName\n\n$text\n"))
+
+    private fun assertUse(expected: String, files: List<SourceFile>) =
+        assertEquals(listOf("File.kt: $expected"), rules.undeclaredUses(files))
+
+    @Test
+    fun `a use that no rule names is found`() {
+        val import = "import org.chalkhollow.core.fleet.Fleet\n\nclass Jobs(val fleet: Fleet)"
+        assertUse("jobs uses fleet", file("core.jobs", import))
+        val upwards = "import org.chalkhollow.core.jobs.JobTable\n\nval jobs = JobTable()"
+        assertUse("common uses jobs", file("core.common", upwards))
+        val root = "import org.chalkhollow.core.Controller\n\nval controller: Controller? = null"
+        assertUse("jobs uses core", file("core.jobs", root))
+        val qualified = "val fleet = org.chalkhollow.core.fleet.Fleet()"
+        assertUse("jobs uses fleet", file("core.jobs", qualified))
+        val alias = "import org.chalkhollow.core.fleet.Fleet as Machines\n\nval fleet = Machines()"
+        assertUse("jobs uses fleet", file("core.jobs", alias))
+        val all = "import org.chalkhollow.core.fleet.*"
+        assertUse("jobs uses fleet", file("core.jobs", all))
+    }
+
+    @Test
+    fun `a use that a rule names is allowed, and one in a comment is none`() {
+        val allowed = "import org.chalkhollow.core.common.Now\n\nval now = Now(0, 0)"
+        assertEquals(emptyList<String>(), rules.undeclaredUses(file("core.jobs", allowed)))
+        val comment = "import org.chalkhollow.core.fleet.Fleet\n\n/** See [Fleet]. */\nclass Jobs // like Fleet"
+        assertEquals(emptyList<String>(), rules.undeclaredUses(file("core.jobs", comment)))
+    }
+
+    @Test
+    fun `a package without a rule is found`() {
+        assertUse("package placement has no rule", file("core.placement", "class Placement"))
+        assertUse("no package of the core", file("wire", "class Codec"))
+    }
+
+    @Test
+    fun `rules that allow a cycle are found`() {
+        val cycle = PackageRules(mapOf("jobs" to setOf("fleet"), "fleet" to setOf("jobs")))
+        assertEquals(listOf("jobs may use fleet, which is not below it"), cycle.cycles())
+        val unknown = PackageRules(mapOf("jobs" to setOf("fleet")))
+        assertEquals(listOf("jobs may use fleet, which is not below it"), unknown.cycles())
+        assertEquals(emptyList<String>(), rules.cycles())
+    }
+
+    private companion object {
+        /** From the lowest layer up. */
+        val CORE_RULES =
+            PackageRules(
+                linkedMapOf(
+                    "common" to emptySet(),
+                    "cluster" to setOf("common"),
+                    "leadership" to setOf("common", "cluster"),
+                    "storage" to setOf("common", "leadership"),
+                    "jobs" to setOf("common", "cluster", "storage"),
+                    "fleet" to setOf("common", "cluster", "storage"),
+                    "attempts" to setOf("common", "cluster", "leadership", "storage", "jobs", "fleet"),
+                    "placement" to setOf("common", "cluster", "jobs", "fleet", "attempts"),
+                    "requests" to setOf("common", "cluster", "leadership", "storage", "jobs", "fleet"),
+                    "operations" to
+                        setOf("common", "cluster", "leadership", "storage", "jobs", "fleet", "placement"),
+                    PackageRules.ROOT to
+                        setOf(
+                            "common",
+                            "cluster",
+                            "leadership",
+                            "storage",
+                            "jobs",
+                            "fleet",
+                            "attempts",
+                            "placement",
+                            "requests",
+                            "operations",
+                        ),
+                ),
+            )
     }
 }
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
@@ -0,0 +1,46 @@
+package org.chalkhollow.core.operations
+
+import org.chalkhollow.simulation.Simulation
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** What operators are told by the leader and by the others. */
+class StatusReportTest {
+    private val simulation =
+        Simulation(1).also {
+            it.network.loss = 0.0
+            it.network.late = 0.0
+            it.begin(0, 1)
+            it.clock.runUntil(15_000)
+        }
+    private val leader = simulation.nodes.single { it.leads }
+
+    @Test
+    fun `a follower tells who leads and which versions run, and nothing of the cluster`() {
+        val follower = simulation.nodes.first { !it.leads }
+        val status = checkNotNull(follower.status()) { "does not run" }
+        assertEquals(StatusView(follower.label, false, leader.label, status.fencingToken, false), status.bare())
+        assertEquals(simulation.nodes.map { it.label }.toSet(), status.controllers.map { it.label }.toSet())
+        assertEquals(checkNotNull(leader.status()).fencingToken, status.fencingToken)
+    }
+
+    private fun StatusView.bare() = copy(controllers = emptyList(), allNew = false)
+
+    @Test
+    fun `the leader tells of jobs, teams and machines`() {
+        val id = simulation.users.submit { it.copy(tasks = 3, types = null, zone = null, expectedS = 100.0) }
+        simulation.clock.runUntil(simulation.clock.time + 60_000)
+        val status = checkNotNull(leader.status()) { "does not run" }
+        assertTrue(status.leads && status.ready)
+        assertEquals(leader.label, status.leader)
+        assertEquals(1 to 1, status.jobsKnown to status.jobsOpen)
+        assertEquals(1, status.classes.single().jobs)
+        assertEquals(simulation.settings.teams.map { it.name }, status.teams.map { it.name })
+        val machines = status.machines.groupBy { it.state }.mapValues { (_, views) -> views.sumOf { it.count } }
+        assertNotNull(machines["busy"], "$machines")
+        assertTrue(status.teams.any { it.cpus > 0 })
+        assertEquals(id, checkNotNull(leader.jobStatus(id)).id)
+    }
+}
