--- a/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
@@ -26,8 +26,8 @@
         ClassView(
             name = name,
             jobs = jobsOfClass.size,
-            tasksReady = jobsOfClass.sumOf { it.ready.cardinality() },
-            tasksLive = jobsOfClass.sumOf { it.live.size },
+            tasksReady = jobsOfClass.sumOf { it.tasks.readyCount },
+            tasksLive = jobsOfClass.sumOf { it.tasks.liveCount },
             oldestS = jobsOfClass.maxOf { context.now.wall - it.acceptedWall } / MS_IN_S,
         )
 
@@ -38,18 +38,18 @@
     private fun wantedServices(): List<OpenJob> = jobs.open.filter { it.service && !it.cancelling }
 
     private fun view(name: String, services: List<OpenJob>): ServiceView {
-        val lacking = services.filter { it.running < it.spec.tasks }.sortedBy { it.acceptedWall }
+        val lacking = services.filter { it.tasks.running < it.spec.tasks }.sortedBy { it.acceptedWall }
         return ServiceView(
             name = name,
             services = services.size,
             wanted = services.sumOf { it.spec.tasks },
-            up = services.sumOf { it.running },
+            up = services.sumOf { it.tasks.running },
             down = lacking.take(MAX_EXPLAINED).map { "${it.spec.id}: ${whyDown(it)}" },
         )
     }
 
     private fun whyDown(service: OpenJob): String {
-        val inDoubt = service.live.size - service.running
+        val inDoubt = service.tasks.liveCount - service.tasks.running
         val doubt = "$inDoubt begin, or are not yet proved gone where they were".takeIf { inDoubt > 0 }
         return (waitReasons.of(service) + listOfNotNull(doubt)).joinToString("; ")
     }
@@ -61,7 +61,7 @@
         for (job in jobs.open) {
             if (job.service && !job.cancelling) {
                 wanted += job.spec.tasks
-                up += job.running
+                up += job.tasks.running
             }
         }
         return ReplicaCounts(wanted, up)
@@ -79,9 +79,9 @@
             id = id,
             state = state,
             tasks = job.spec.tasks,
-            done = job.doneCount,
-            running = job.running,
-            live = job.live.size,
+            done = job.progress.doneCount,
+            running = job.tasks.running,
+            live = job.tasks.liveCount,
             waitsFor = waitReasons.of(job),
         )
 
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -57,7 +57,7 @@
         teams.mapIndexed { index, team ->
             TeamView(
                 name = team.name,
-                cpus = quotas.cpusOf(index),
+                cpus = quotas.usedCpus(index),
                 guaranteed = team.cpus,
                 most = team.cpusMax,
             )
--- a/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
@@ -18,7 +18,7 @@
 ) {
     /** Why ready tasks of [job] are not placed now; empty when it has none. */
     fun of(job: OpenJob): List<String> {
-        if (job.ready.isEmpty) return emptyList()
+        if (job.tasks.noneReady) return emptyList()
         val reasons =
             listOfNotNull(
                 "the state service takes no writes, and nothing starts without a marker".takeIf { writer.stalled() },
@@ -31,7 +31,7 @@
     }
 
     private fun backoff(job: OpenJob): String? {
-        val leftMs = job.notBefore - context.steady
+        val leftMs = job.backoff.notBefore - context.steady
         return if (leftMs > 0) "its tasks fail; tried again in ${leftMs / MS_IN_S} s" else null
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -7,6 +7,7 @@
 import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobCancellation
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.storage.StateWriter
@@ -26,6 +27,7 @@
     private val responder: Responder,
     private val writer: StateWriter,
     private val jobs: JobTable,
+    private val cancellation: JobCancellation,
     private val quotas: Quotas,
     private val fleet: Fleet,
     private val names: Interners,
@@ -52,7 +54,7 @@
             spec.id in accepting -> accepting.add(spec.id, call)
             !fleet.catalogKnown -> responder.respondUnavailable(call)
             !canEverRun(spec) -> responder.respond(call, HttpStatus.UNPROCESSABLE)
-            !jobs.fits(spec) -> responder.respond(call, HttpStatus.BAD_REQUEST)
+            !jobs.recordFits(spec) -> responder.respond(call, HttpStatus.BAD_REQUEST)
             writer.stalled() || accepting.size >= MAX_ACCEPTING -> responder.respondUnavailable(call)
             else -> accept(call, spec)
         }
@@ -87,7 +89,7 @@
         if (team < 0) return false
         val tasksAtOnce = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
         val needed = Resources(spec.taskResources.cpus * tasksAtOnce, spec.taskResources.gpus * tasksAtOnce, 0.0)
-        if (!quotas.possible(team, needed)) return false
+        if (!quotas.couldEverFit(team, needed)) return false
         return fleet.types.filterNotNull().any { type ->
             val typeAllowed = spec.types == null || type.name in spec.types
             val zoneAllowed = spec.zone == null || spec.zone in type.zones
@@ -99,8 +101,8 @@
         val entry = jobs.find(jobId)
         if (entry?.state == null) return respondUnknown(call, jobId)
         val job = entry.open
-        val done = if (entry.state == JobState.DONE) entry.tasks else job?.doneCount ?: 0
-        val progress = UserCodec.progress(jobId, status(entry), minOf(done, entry.tasks), job?.running ?: 0)
+        val done = if (entry.state == JobState.DONE) entry.tasks else job?.progress?.doneCount ?: 0
+        val progress = UserCodec.progress(jobId, status(entry), minOf(done, entry.tasks), job?.tasks?.running ?: 0)
         responder.respond(call, HttpStatus.OK, progress)
     }
 
@@ -121,7 +123,7 @@
     private fun startCancelling(call: Int, job: OpenJob) {
         val jobId = job.spec.id
         cancelling.add(jobId, call)
-        jobs.cancel(job) { cancelling.remove(jobId).forEach { respondStatus(it, jobId, CANCELLED) } }
+        cancellation.cancel(job) { cancelling.remove(jobId).forEach { respondStatus(it, jobId, CANCELLED) } }
     }
 
     /** The completion of [job] is durable. */
@@ -140,7 +142,7 @@
         when (entry.state) {
             JobState.DONE -> DONE
             JobState.CANCELLED -> CANCELLED
-            else -> if ((entry.open?.running ?: 0) > 0) RUNNING else QUEUED
+            else -> if ((entry.open?.tasks?.running ?: 0) > 0) RUNNING else QUEUED
         }
 
     /**
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -6,6 +6,7 @@
 import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobCancellation
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.leadership.Leadership
@@ -22,13 +23,14 @@
     private val leadership: Leadership,
     writer: StateWriter,
     jobs: JobTable,
+    cancellation: JobCancellation,
     quotas: Quotas,
     fleet: Fleet,
     names: Interners,
 ) {
     private val responder = Responder(context)
     private val forwarder = RequestForwarder(context, leadership, responder)
-    private val jobRequests = JobRequests(context, responder, writer, jobs, quotas, fleet, names)
+    private val jobRequests = JobRequests(context, responder, writer, jobs, cancellation, quotas, fleet, names)
 
     /** Whether the stored records are loaded; before that the leader does not know what was accepted. */
     private var isOpen = false
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.leadership.CandidateSnapshot
 import org.chalkhollow.core.operations.ControllerVersions
 import org.chalkhollow.core.common.CoreContext
-import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.IndexRanges
 import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.common.Input
 import org.chalkhollow.core.leadership.Leadership
@@ -29,9 +29,9 @@
     @Test
     fun `index ranges are written and read back`() {
         for (set in listOf(intArrayOf(0), intArrayOf(0, 1, 2, 7), intArrayOf(3, 5, 6, 99_999), IntArray(1000) { it * 2 })) {
-            assertEquals(set.toList(), DispatchLog.indices(DispatchLog.ranges(set)))
+            assertEquals(set.toList(), IndexRanges.decode(IndexRanges.encode(set)))
         }
-        assertEquals("0-3,7", DispatchLog.ranges(intArrayOf(0, 1, 2, 3, 7)))
+        assertEquals("0-3,7", IndexRanges.encode(intArrayOf(0, 1, 2, 3, 7)))
     }
 
     @Test
@@ -41,8 +41,8 @@
         assertEquals(4, quotas.headroom(0, taskResources, Resources(0.0, 0.0, 0.0)))
         quotas.add(0, taskResources)
         assertEquals(2, quotas.headroom(0, taskResources, Resources(4.0, 0.0, 0.0)))
-        assertTrue(quotas.guarantees(0, 8.0, 0.0))
-        assertFalse(quotas.guarantees(0, 8.1, 0.0))
+        assertTrue(quotas.withinGuarantee(0, 8.0, 0.0))
+        assertFalse(quotas.withinGuarantee(0, 8.1, 0.0))
         assertEquals(0, quotas.headroom(-1, taskResources, Resources(0.0, 0.0, 0.0)), "a team the settings do not know has no room")
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -77,8 +77,11 @@
                 saveS = 0.0,
                 dueS = null,
             )
-        jobs.accept(change(spec), refused = {}) {}
-        jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
+        jobs.accept(change(spec), onRefused = {}) {}
+        jobs.urgentWrites
+            .next(StateWriter.Room(10, 10_000))
+            ?.onDurable
+            ?.invoke()
         return checkNotNull(jobs.find("j-1")?.open)
     }
 
@@ -97,12 +100,12 @@
 
     private fun running(job: OpenJob, index: Int, m: Machine): Attempt =
         reconciler.reserve(job, index, 100L + index, m, null).also {
-            it.phase = Attempt.Phase.RUNNING
-            job.running++
+            it.entered(Attempt.Phase.RUNNING, context.steady)
+            job.tasks.runStarted()
         }
 
     /** The attempt is certainly gone, as when its worker reports that it has obeyed. */
-    private fun gone(m: Machine) = reconciler.machineGone(m)
+    private fun gone(m: Machine) = reconciler.onMachineGone(m)
 
     private fun notice(m: Machine, inMs: Long) {
         m.noticeAt = context.steady + inMs
@@ -119,12 +122,12 @@
         notice(old, 15_000)
         assertTrue(moves.pending())
         val plan = moves.plan(listOf(full))
-        assertFalse(replica.stopping)
+        assertFalse(replica.stopRequested)
         assertEquals(emptyList<Machine>(), plan.stoppedOn)
         assertEquals(listOf(job to 1), plan.lacking.map { it.job to it.count })
         context.now = Now(13_600, 13_600)
         assertEquals(listOf(old), moves.plan(listOf(full)).stoppedOn, "the notice is nearly over")
-        assertTrue(replica.stopping)
+        assertTrue(replica.stopRequested)
     }
 
     @Test
@@ -135,17 +138,17 @@
         val replicas = List(3) { running(job, it, old) }
         old.draining = true
         assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
-        assertEquals(listOf(true, false, false), replicas.map { it.stopping })
+        assertEquals(listOf(true, false, false), replicas.map { it.stopRequested })
         assertEquals(6.0, other.left.cpus)
         offer(other, 8.0)
         assertEquals(emptyList<Allocation>(), moves.start(listOf(other)), "the old attempt is not gone")
         assertEquals(6.0, other.left.cpus, "the room is held in the next round, too")
         assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "one is under way")
 
-        replicas[0].phase = Attempt.Phase.EXITED
-        job.running--
+        replicas[0].exited(hasCompleted = false)
+        job.tasks.runEnded()
         quotas.remove(job.team, job.taskResources)
-        job.released(0)
+        job.tasks.attemptReleased(0)
         offer(other, 8.0)
         val started = moves.start(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
@@ -153,7 +156,7 @@
         assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "the first does not run again yet")
         running(job, 0, other)
         assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
-        assertEquals(listOf(true, true, false), replicas.map { it.stopping })
+        assertEquals(listOf(true, true, false), replicas.map { it.stopRequested })
     }
 
     @Test
@@ -164,7 +167,7 @@
         val replicas = List(3) { running(job, it, old) }
         notice(old, 10_000)
         moves.plan(listOf(other))
-        assertTrue(replicas.all { it.stopping })
+        assertTrue(replicas.all { it.stopRequested })
         assertEquals(2.0, other.left.cpus)
         gone(old)
         // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
@@ -248,8 +251,8 @@
         assertEquals(0, startAfter { _, target -> target.noticeAt = 5000 }, "it is about to be taken itself")
         assertEquals(0, startAfter { _, target -> target.left = Resources(1.0, 0.0, 64.0) }, "it has no room")
         assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
-        assertEquals(0, startAfter { job, _ -> job.cancelling = true }, "the service is withdrawn")
-        assertEquals(0, startAfter { job, _ -> job.notBefore = 1000 }, "its replicas fail")
+        assertEquals(0, startAfter { job, _ -> job.beginCancellation() }, "the service is withdrawn")
+        assertEquals(0, startAfter { job, _ -> job.backoff.pauseUntil(1000) }, "its replicas fail")
     }
 
     @Test
