--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -83,7 +83,7 @@
         var left = MAX_ASKED
         for (m in fleet.machines) {
             if (left == 0) return
-            if (m.address.isEmpty() || !fleet.toBeAsked(m)) continue
+            if (m.address.isEmpty() || !fleet.shouldProbe(m)) continue
             left--
             val epoch = m.epoch
             call(m, emptyList()) { reply ->
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -42,7 +42,7 @@
     /** When the last report that we answered came in; its lease ends at most this long after. */
     var answeredAt = NEVER
     var heartbeatAt = NEVER
-    var noticeAt = NEVER
+    var reclaimAt = NEVER
 
     /** It was listed by the cloud, and when last. */
     var listedAt = NEVER
@@ -118,8 +118,8 @@
     }
 
     // Only within a placement round: the room that the round has not given away, and how the machine ranks for a job.
-    var left = NOTHING
-    var rank = 0
+    var roundRoom = NOTHING
+    var roundRank = 0
 
     val busy: Boolean get() = users > 0
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -132,11 +132,11 @@
     /** Takes in whether, and in how many seconds, the cloud will take [m]. */
     private fun takeNotice(m: Machine, noticeS: Double?) {
         if (noticeS == null) {
-            m.noticeAt = Machine.NEVER
+            m.reclaimAt = Machine.NEVER
             return
         }
-        if (m.noticeAt == Machine.NEVER) context.changed()
-        m.noticeAt = context.steady + (noticeS * MS_PER_S).toLong()
+        if (m.reclaimAt == Machine.NEVER) context.changed()
+        m.reclaimAt = context.steady + (noticeS * MS_PER_S).toLong()
         windDown(m)
     }
 
@@ -160,7 +160,7 @@
     fun reached(m: Machine) = reachability.proved(m)
 
     /** Whether it is not certain that [m] hears us, so that it is to be asked directly; true once in a while. */
-    fun toBeAsked(m: Machine): Boolean {
+    fun shouldProbe(m: Machine): Boolean {
         if (m.state != Machine.State.UP || m.fencingToken < table.fencingToken) return false
         return context.steady - m.heartbeatAt < leaseMs && reachability.ask(m)
     }
@@ -170,7 +170,7 @@
      * then begins elsewhere at once, since it would be lost here and known to be lost only when the lease has lapsed.
      */
     private fun windDown(m: Machine) {
-        val leftS = (m.noticeAt - context.steady) / MS_PER_S
+        val leftS = (m.reclaimAt - context.steady) / MS_PER_S
         for (a in m.attempts) {
             if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMigration]
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -79,7 +79,7 @@
         }
 
     private val Machine.takesTasks: Boolean
-        get() = state == Machine.State.UP && reachable && !beingEmptied && noticeAt == Machine.NEVER
+        get() = state == Machine.State.UP && reachable && !beingEmptied && reclaimAt == Machine.NEVER
 
     private val Machine.beingEmptied: Boolean get() = draining || quarantined || cordoned
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -81,7 +81,7 @@
             if (m.state != Machine.State.UP) continue
             up.addTo(m.zone, 1)
             if (reachability.overdue(m)) overdue.addTo(m.zone, 1)
-            if (m.noticeAt != Machine.NEVER && t > m.noticeAt + TAKEN_MS) {
+            if (m.reclaimAt != Machine.NEVER && t > m.reclaimAt + TAKEN_MS) {
                 out.add(m)
             } else if (m.busy && reachability.silent(m)) {
                 silent.add(m)
@@ -135,7 +135,7 @@
             unreachable(m, t) -> true
             m.draining -> !m.busy
             m.cordoned && m.state == Machine.State.UP -> m.vacant
-            m.noticeAt != Machine.NEVER -> m.vacant
+            m.reclaimAt != Machine.NEVER -> m.vacant
             else -> false
         }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
@@ -40,7 +40,7 @@
     fun chooseZone(machines: List<Machine>) {
         if (only >= 0) return
         val room = HashMap<Int, Int>()
-        for (m in machines) room.merge(m.zone, job.taskResources.countIn(m.left), Int::plus)
+        for (m in machines) room.merge(m.zone, job.taskResources.countIn(m.roundRoom), Int::plus)
         only = room.entries.maxByOrNull { it.value }?.key ?: -1
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -114,7 +114,7 @@
         when {
             m.state != Machine.State.UP -> m.state.name.lowercase()
             !m.reachable -> "deaf"
-            m.noticeAt != Machine.NEVER -> "noticed"
+            m.reclaimAt != Machine.NEVER -> "noticed"
             m.draining || m.cordoned -> "draining"
             m.vacant -> "idle"
             else -> "busy"
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -12,7 +12,7 @@
 /**
  * Chooses machines for the tasks of one job: best fit first among a sample of those that fit, all of them if the sample
  * has no room. A job's tasks are alike, so each machine is given as many as it has room for. It takes the room off
- * [Machine.left]; [PlacementRound] and [Preemption] call it.
+ * [Machine.roundRoom]; [PlacementRound] and [Preemption] call it.
  */
 class MachineSelector(
     private val context: CoreContext,
@@ -33,10 +33,10 @@
 
     /** Places all tasks of a gang, or gives back whatever it had taken. */
     fun placeGang(job: OpenJob, want: Int, machines: List<Machine>, out: MutableList<Allocation>): Int {
-        val before = machines.map { it.left }
+        val before = machines.map { it.roundRoom }
         val size = out.size
         if (place(job, want, machines, out, 0, false) == want) return want
-        for ((i, m) in machines.withIndex()) m.left = before[i]
+        for ((i, m) in machines.withIndex()) m.roundRoom = before[i]
         while (out.size > size) out.removeLast()
         return 0
     }
@@ -68,7 +68,7 @@
         for (k in 0 until ordered.size * passes) {
             if (left == 0) break
             val m = ordered[k % ordered.size]
-            var n = minOf(left, job.taskResources.countIn(m.left), zones.roomIn(m.zone))
+            var n = minOf(left, job.taskResources.countIn(m.roundRoom), zones.roomIn(m.zone))
             if (job.service && k < ordered.size) n = minOf(n, replicas.mostOn(job) - replicas.on(m, job))
             if (n <= 0) continue
             val tasks = IntArray(n)
@@ -78,7 +78,7 @@
             }
             out.add(Allocation(job, m, tasks, starvation.goesFirst(job)))
             zones.take(m.zone, n)
-            m.left = m.left.without(job.taskResources, n)
+            m.roundRoom = m.roundRoom.without(job.taskResources, n)
             if (job.image >= 0) m.images.add(job.image)
             left -= n
         }
@@ -89,10 +89,11 @@
         val urgent = objectives.startsCount(job)
         val fits = ArrayList<Machine>()
         for (m in machines) {
-            if (!job.taskResources.fitsIn(m.left) || !allowed(job, m)) continue
+            if (!job.taskResources.fitsIn(m.roundRoom) || !allowed(job, m)) continue
             val fetches = fetches(job, m)
             if (heldOnly && fetches) continue
-            m.rank = (if (scarce.wantedElsewhere(job, m.type)) WANTED_ELSEWHERE else 0) + fetchRank(fetches, urgent)
+            m.roundRank =
+                (if (scarce.wantedElsewhere(job, m.type)) WANTED_ELSEWHERE else 0) + fetchRank(fetches, urgent)
             fits.add(m)
         }
         return fits
@@ -112,10 +113,10 @@
      */
     private val preference =
         Comparator<Machine> { a, b ->
-            var c = (a.rank shr 1).compareTo(b.rank shr 1)
+            var c = (a.roundRank shr 1).compareTo(b.roundRank shr 1)
             if (c == 0) c = fleet.size(a).compareTo(fleet.size(b))
-            if (c == 0) c = a.rank.compareTo(b.rank)
-            if (c == 0) c = a.left.cpus.compareTo(b.left.cpus)
+            if (c == 0) c = a.roundRank.compareTo(b.roundRank)
+            if (c == 0) c = a.roundRoom.cpus.compareTo(b.roundRoom.cpus)
             if (c == 0) c = a.id.compareTo(b.id)
             c
         }
@@ -138,7 +139,7 @@
                 some.add(
                     part[(start + i) % part.size].also {
                         room +=
-                            job.taskResources.countIn(it.left)
+                            job.taskResources.countIn(it.roundRoom)
                     },
                 )
             }
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -99,8 +99,8 @@
         val memory = waiting.minOfOrNull { it.taskResources.memoryGb } ?: 0.0
         val least = Resources(cpus, 0.0, memory)
         return placeable.filter { m ->
-            m.left = m.room(fleet.types)
-            least.fitsIn(m.left)
+            m.roundRoom = m.room(fleet.types)
+            least.fitsIn(m.roundRoom)
         }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -43,7 +43,7 @@
     /** Machines on which replicas were told to stop, since room for them was found elsewhere. */
     val stoppedOn = ArrayList<Machine>()
     private val machines get() = room.machines
-    private var free = machines.sumOf { it.left.cpus }
+    private var free = machines.sumOf { it.roundRoom.cpus }
     private val capacity = order.capacity
 
     /** CPU seconds of waiting work, this job's and what goes before it. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -138,7 +138,7 @@
 
     /** The room that this round leaves on [m], and what its tasks that are being stopped will leave. */
     private fun roomAfterStops(m: Machine): Resources {
-        var room = m.left
+        var room = m.roundRoom
         for (a in m.attempts) if (a.stopping && a.onMachine) room += a.job.taskResources
         return room
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -85,7 +85,7 @@
     }
 
     private fun leaves(m: Machine): Boolean =
-        m.state == Machine.State.UP && (m.noticeAt != Machine.NEVER || m.draining || m.cordoned)
+        m.state == Machine.State.UP && (m.reclaimAt != Machine.NEVER || m.draining || m.cordoned)
 
     private fun toBeMoved(a: Attempt): Boolean = a.job.service && wanted(a.job) && a.onMachine && !a.stopping
 
@@ -98,7 +98,7 @@
     private fun mayStart(move: Move, placeable: List<Machine>, given: List<Allocation>): Boolean {
         val job = move.job
         if (!job.placeable || job.notBefore > context.steady || move.target !in placeable) return false
-        if (!job.taskResources.fitsIn(move.target.left) || !mayUse(job, move.target)) return false
+        if (!job.taskResources.fitsIn(move.target.roundRoom) || !mayUse(job, move.target)) return false
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked || !zones.admits(move.target.zone)) return false
         val ofTeam = given.filter { it.job.team == job.team }
@@ -108,9 +108,9 @@
     }
 
     private fun hold(move: Move) {
-        val left = move.target.left
+        val left = move.target.roundRoom
         val taskResources = move.job.taskResources
-        move.target.left =
+        move.target.roundRoom =
             Resources(
                 left.cpus - taskResources.cpus,
                 left.gpus - taskResources.gpus,
@@ -139,7 +139,7 @@
     private fun outOfTime(attempt: Attempt): Boolean = deadline(attempt.machine) - context.steady <= LAST_MS
 
     /** When the cloud takes the machine; [Long.MAX_VALUE] if it stays until it is empty. */
-    private fun deadline(m: Machine): Long = if (m.noticeAt == Machine.NEVER) Long.MAX_VALUE else m.noticeAt
+    private fun deadline(m: Machine): Long = if (m.reclaimAt == Machine.NEVER) Long.MAX_VALUE else m.reclaimAt
 
     /** The rule on zones as it will stand once the moves under way are over and [attempt] is gone. */
     private fun zonesWithout(attempt: Attempt): ZoneConstraint {
@@ -158,12 +158,12 @@
         val job = attempt.job
         if (zones.blocked) return null
         return placeable
-            .filter { job.taskResources.fitsIn(it.left) && mayUse(job, it) && zones.admits(it.zone) }
+            .filter { job.taskResources.fitsIn(it.roundRoom) && mayUse(job, it) && zones.admits(it.zone) }
             .minWithOrNull(
                 compareBy(
                     { if (job.image < 0 || job.image in it.images) 0 else 1 },
                     { if (replicas.on(it, job) < replicas.mostOn(job)) 0 else 1 },
-                    { it.left.cpus },
+                    { it.roundRoom.cpus },
                     { it.id },
                 ),
             )
--- a/src/main/kotlin/org/chalkhollow/core/placement/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Replicas.kt
@@ -33,8 +33,8 @@
     /** Gives the room that [keepRoom] took off back to the machines. */
     fun giveBack() {
         for ((m, r) in kept) {
-            m.left =
-                Resources(m.left.cpus + r.cpus, m.left.gpus + r.gpus, m.left.memoryGb + r.memoryGb)
+            m.roundRoom =
+                Resources(m.roundRoom.cpus + r.cpus, m.roundRoom.gpus + r.gpus, m.roundRoom.memoryGb + r.memoryGb)
         }
         kept.clear()
     }
@@ -53,10 +53,10 @@
             for (some in byZone.values) {
                 var need = (its.count + byZone.size - 1) / byZone.size
                 // Where their images are kept already, a replica that comes or comes back need not wait for one.
-                for (m in some.sortedWith(compareBy({ -its.imagesOn(it) }, { it.left.cpus }))) {
+                for (m in some.sortedWith(compareBy({ -its.imagesOn(it) }, { it.roundRoom.cpus }))) {
                     if (need == 0) break
                     if (m.spot && !its.spotAllowed) continue
-                    val n = minOf(need, its.taskResources.countIn(m.left), MAX_KEPT)
+                    val n = minOf(need, its.taskResources.countIn(m.roundRoom), MAX_KEPT)
                     if (n <= 0) continue
                     need -= n
                     cpus += n * its.taskResources.cpus
@@ -68,11 +68,11 @@
                                 n * its.taskResources.memoryGb,
                             ),
                     )
-                    m.left =
+                    m.roundRoom =
                         Resources(
-                            m.left.cpus - n * its.taskResources.cpus,
-                            m.left.gpus - n * its.taskResources.gpus,
-                            m.left.memoryGb - n * its.taskResources.memoryGb,
+                            m.roundRoom.cpus - n * its.taskResources.cpus,
+                            m.roundRoom.gpus - n * its.taskResources.gpus,
+                            m.roundRoom.memoryGb - n * its.taskResources.memoryGb,
                         )
                 }
             }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -92,7 +92,7 @@
 
     /** What a placement round finds left of the machine. */
     private fun offer(m: Machine, cpus: Double) {
-        m.left = Resources(cpus, 0.0, 64.0)
+        m.roundRoom = Resources(cpus, 0.0, 64.0)
     }
 
     private fun running(job: OpenJob, index: Int, m: Machine): Attempt =
@@ -105,7 +105,7 @@
     private fun gone(m: Machine) = reconciler.machineGone(m)
 
     private fun notice(m: Machine, inMs: Long) {
-        m.noticeAt = context.steady + inMs
+        m.reclaimAt = context.steady + inMs
     }
 
     @Test
@@ -136,10 +136,10 @@
         old.draining = true
         assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, false, false), replicas.map { it.stopping })
-        assertEquals(6.0, other.left.cpus)
+        assertEquals(6.0, other.roundRoom.cpus)
         offer(other, 8.0)
         assertEquals(emptyList<Allocation>(), moves.start(listOf(other)), "the old attempt is not gone")
-        assertEquals(6.0, other.left.cpus, "the room is held in the next round, too")
+        assertEquals(6.0, other.roundRoom.cpus, "the room is held in the next round, too")
         assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "one is under way")
 
         replicas[0].phase = Attempt.Phase.EXITED
@@ -149,7 +149,7 @@
         offer(other, 8.0)
         val started = moves.start(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
-        assertEquals(6.0, other.left.cpus)
+        assertEquals(6.0, other.roundRoom.cpus)
         assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "the first does not run again yet")
         running(job, 0, other)
         assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
@@ -165,7 +165,7 @@
         notice(old, 10_000)
         moves.plan(listOf(other))
         assertTrue(replicas.all { it.stopping })
-        assertEquals(2.0, other.left.cpus)
+        assertEquals(2.0, other.roundRoom.cpus)
         gone(old)
         // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
         offer(other, 8.0)
@@ -180,7 +180,7 @@
                 .tasks
                 .toList(),
         )
-        assertEquals(2.0, other.left.cpus, "room for this one and for the last")
+        assertEquals(2.0, other.roundRoom.cpus, "room for this one and for the last")
     }
 
     @Test
@@ -192,7 +192,7 @@
         running(job, 0, old)
         old.cordoned = true
         moves.plan(listOf(fuller, holder))
-        assertEquals(listOf(2.0, 2.0), listOf(fuller.left.cpus, holder.left.cpus))
+        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, holder.roundRoom.cpus))
     }
 
     @Test
@@ -210,7 +210,7 @@
         assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
         assertEquals(listOf(true, false), listOf(0, 1).map { plan.lacking.single().admits(it) })
         assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
-        assertEquals(0.0, sameZone.left.cpus)
+        assertEquals(0.0, sameZone.roundRoom.cpus)
     }
 
     @Test
@@ -242,11 +242,11 @@
             test.moves.plan(listOf(target))
             test.gone(old)
             test.change(job, target)
-            return test.moves.start(listOf(target).filter { it.noticeAt == Machine.NEVER }).size
+            return test.moves.start(listOf(target).filter { it.reclaimAt == Machine.NEVER }).size
         }
         assertEquals(1, startAfter { _, _ -> })
-        assertEquals(0, startAfter { _, target -> target.noticeAt = 5000 }, "it is about to be taken itself")
-        assertEquals(0, startAfter { _, target -> target.left = Resources(1.0, 0.0, 64.0) }, "it has no room")
+        assertEquals(0, startAfter { _, target -> target.reclaimAt = 5000 }, "it is about to be taken itself")
+        assertEquals(0, startAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) }, "it has no room")
         assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
         assertEquals(0, startAfter { job, _ -> job.cancelling = true }, "the service is withdrawn")
         assertEquals(0, startAfter { job, _ -> job.notBefore = 1000 }, "its replicas fail")
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -58,7 +58,7 @@
     private fun machine(name: String, zone: Int, cpus: Double): Machine =
         fleet.known(name).also {
             it.zone = zone
-            it.left = Resources(cpus, 0.0, 64.0)
+            it.roundRoom = Resources(cpus, 0.0, 64.0)
         }
 
     @Test
@@ -71,11 +71,11 @@
         val otherZone = machine("n-4", 1, 8.0)
         val machines = listOf(fullest, fuller, holder, otherZone)
         assertEquals(6.0, replicas.keepRoom(machines))
-        assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.left.cpus })
+        assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.roundRoom.cpus })
         replicas.giveBack()
-        assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.left.cpus })
+        assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.roundRoom.cpus })
         val spot = machine("n-5", 0, 1.0).also { it.spot = true }
         replicas.keepRoom(listOf(spot))
-        assertEquals(1.0, spot.left.cpus, "its services may not use spot machines")
+        assertEquals(1.0, spot.roundRoom.cpus, "its services may not use spot machines")
     }
 }
