--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -56,7 +56,7 @@
         attempt.placedAt = context.steady
         attempt.cached = job.image in machine.held
         machine.attempts.add(attempt)
-        machine.occupy(job.taskResources)
+        machine.usage.occupy(job.taskResources)
         job.taken(index)
         quotas.add(job.team, job.taskResources)
         if (marker != null) marker.outstanding++
@@ -88,7 +88,7 @@
     private fun release(a: Attempt) {
         if (a.onMachine && a.phase != Attempt.Phase.FETCHING) a.job.running--
         quotas.remove(a.job.team, a.job.taskResources)
-        a.machine.vacate(a.job.taskResources)
+        a.machine.usage.vacate(a.job.taskResources)
         if (a.fromCredit) creditCpus -= a.job.taskResources.cpus
         context.changed()
         a.job.released(a.index)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -45,7 +45,7 @@
     }
 
     private fun firstStart(a: Attempt, unwanted: Boolean, startsAllowed: Boolean): Command? {
-        if (unwanted || a.machine.draining || a.machine.reclaimAt != Machine.NEVER) {
+        if (unwanted || a.machine.availability.draining || a.machine.availability.hasSpotNotice) {
             reconciler.withdraw(a)
             return null
         }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -34,18 +34,10 @@
         leadership.heartbeatTraffic.note(context.steady)
         if (!leadership.entitled()) return redirect(call)
         val m = fleet.observe(heartbeat)
-        if (m == null || m.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
-        if (heartbeat.seq > m.answeredSeq) {
-            // The worker's lease runs from when it sent this report, which is not after now. One that is no newer than
-            // another that we answered was sent before it and renews nothing: late copies must not keep a dead machine
-            // alive. The reply to a direct command does not count here, since a report sent after it may come before
-            // it.
-            m.answeredSeq = heartbeat.seq
-            m.answeredAt = context.steady
-        }
-        val newer = heartbeat.seq > m.seq
+        if (m == null || m.availability.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
+        m.lease.renew(heartbeat.seq, context.steady)
+        val newer = m.lease.advanceStatus(heartbeat.seq)
         if (newer) {
-            m.seq = heartbeat.seq
             images.recall(m)
             reconciler.reconcile(m, heartbeat, fromHeartbeat = true)
         }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -59,8 +59,8 @@
             a.sentDirectly = true
         }
         m.directBusy = true
-        m.askedAt = context.steady
-        val epoch = m.epoch
+        m.reachability.recordProbe(context.steady)
+        val epoch = m.lease.epoch
         val commands = stops.map(commandPlanner::stop) + starts.map(commandPlanner::start)
         call(m, commands) { reply -> onReply(m, epoch, starts, reply) }
     }
@@ -68,8 +68,8 @@
     private fun mayStart(a: Attempt): Boolean = a.phase == Attempt.Phase.MARKED && !a.job.cancelling && !a.job.cancelled
 
     private fun reachableNow(m: Machine): Boolean {
-        if (m.directBusy || m.address.isEmpty() || m.epoch == 0L) return false
-        return m.reachable && context.steady - m.heartbeatAt <= freshMs
+        if (m.directBusy || m.address.isEmpty() || m.lease.epoch == 0L) return false
+        return m.reachability.reachable && context.steady - m.lease.heartbeatAt <= freshMs
     }
 
     /** What is cancelled is stopped at once where few machines have it, else with the answers to their next reports. */
@@ -85,16 +85,16 @@
             if (left == 0) return
             if (m.address.isEmpty() || !fleet.shouldProbe(m)) continue
             left--
-            val epoch = m.epoch
+            val epoch = m.lease.epoch
             call(m, emptyList()) { reply ->
-                if (m.epoch == epoch && reply is CommandReply.Executed) fleet.reached(m)
+                if (m.lease.epoch == epoch && reply is CommandReply.Executed) fleet.reached(m)
             }
         }
     }
 
     private fun call(m: Machine, commands: List<Command>, then: (CommandReply) -> Unit) {
         val inTerm = term
-        val epoch = m.epoch
+        val epoch = m.lease.epoch
         context.direct({ Effect.WorkerCommand(it, m.address, leadership.fencingToken, epoch, commands) }) { reply ->
             if (term == inTerm) then(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
@@ -112,14 +112,13 @@
     }
 
     private fun onExecuted(m: Machine, epoch: Long, heartbeat: WorkerHeartbeat) {
-        val sameSession = heartbeat.epoch == epoch && m.epoch == epoch
+        val sameSession = heartbeat.epoch == epoch && m.lease.epoch == epoch
         if (sameSession) fleet.reached(m)
         if (!sameSession || heartbeat.machine != m.name) {
             context.dropped.count(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
-        } else if (heartbeat.seq <= m.seq) {
+        } else if (!m.lease.advanceStatus(heartbeat.seq)) {
             context.dropped.count(DroppedInput.HEARTBEAT_LATE)
         } else {
-            m.seq = heartbeat.seq
             reconciler.reconcile(m, heartbeat, fromHeartbeat = false)
         }
         if (m.attempts.any { it.phase == Attempt.Phase.MARKED }) send(m)
@@ -157,10 +156,10 @@
      */
     private fun quarantineStuck(t: Long) {
         for (m in fleet.machines) {
-            if (m.quarantined || m.state != Machine.State.UP) continue
+            if (m.availability.quarantined || m.state != Machine.State.UP) continue
             if (m.attempts.none { inDoubtForLong(it, t) && mayYetBegin(it) }) continue
             context.info("${m.name} may yet begin what was cancelled, and is left to its lease")
-            m.quarantined = true
+            m.availability.quarantine()
         }
     }
 
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/CloudRecord.kt
@@ -0,0 +1,32 @@
+package org.chalkhollow.core.cluster
+
+import org.chalkhollow.model.ListedMachine
+
+/** Holds what the cloud said of one machine, as `CloudInventory` and `ScaleOut` read it. */
+class CloudRecord(createdAt: Long) {
+    /** When the machine was asked for, by our clock. */
+    var createdAt = createdAt
+        private set
+
+    /** When a list last had the machine. */
+    var listedAt = Machine.NEVER
+        private set
+    var failed = false
+        private set
+    private var starting = false
+
+    val isListed: Boolean get() = listedAt != Machine.NEVER
+
+    /** Whether the machine should be sending heartbeats by what the cloud says. */
+    val isListedUp: Boolean get() = isListed && !starting && !failed
+
+    fun recordCreated(at: Long) {
+        createdAt = at
+    }
+
+    fun recordListed(status: ListedMachine.Status, now: Long) {
+        listedAt = now
+        failed = status == ListedMachine.Status.FAILED
+        starting = status == ListedMachine.Status.STARTING
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -1,133 +1,114 @@
 package org.chalkhollow.core.cluster
 
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet
-import org.chalkhollow.core.fleet.Fleet
-import org.chalkhollow.core.fleet.MachineReachability
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.TaskStatus
 
-/** A machine as this leader knows it. */
-class Machine(val id: Int, val name: String) {
+/**
+ * A machine as this leader knows it: its state, what kind of machine it is, and the attempts that may be on it. Its
+ * concerns are objects of their own, each of which says who changes it: [lease], [reachability], [cloud], [usage],
+ * [availability]. `MachineTable` makes machines; a machine that is certainly gone is never in use again.
+ */
+class Machine(val id: Int, val name: String, createdAt: Long = 0L) {
+    /** LOST: the lease has expired, and whether the machine still exists is not known. */
     enum class State { BOOTING, UP, LOST, DELETING }
 
     var state = State.BOOTING
-    var type = -1
-    var zone = -1
-    var spot = false
-    var address = ""
-
-    /** Whether what we say has lately reached it, see [MachineReachability]. */
-    var reachable = false
-
-    /** The last proof of that in this session, and when it was last asked directly. */
-    var provedAt = NEVER
-    var askedAt = NEVER
+        private set
 
-    /** Its reports are not answered, so that its session ends: only then is it certain what it will not do. */
-    var quarantined = false
-
-    /** Since when it reports while our answers do not reach it; [NEVER] while they do or while it says nothing. */
-    var unreachableSince = NEVER
+    /** When it was [State.LOST]. */
+    var lostAt = NEVER
+        private set
 
-    /** When its rental was asked for, by our clock. */
-    var bornAt = 0L
-    var epoch = 0L
-    var seq = -1L
+    /** Indices of its type and zone; [UNKNOWN] until the cloud or its worker names them. */
+    var type = UNKNOWN
+        private set
+    var zone = UNKNOWN
+        private set
+    var spot = false
+        private set
 
-    /** The newest report of this session that was answered; direct commands' replies count in [seq] only. */
-    var answeredSeq = -1L
-    var fencingToken = 0L
+    /** Where its worker takes direct commands; empty while that is not known. */
+    var address = ""
 
-    /** When the last report that we answered came in; its lease ends at most this long after. */
-    var answeredAt = NEVER
-    var heartbeatAt = NEVER
-    var reclaimAt = NEVER
+    val lease = WorkerLease()
+    val reachability = Reachability()
+    val cloud = CloudRecord(createdAt)
+    val usage = ResourceUsage()
+    val availability = Availability()
 
-    /** It was listed by the cloud, and when last. */
-    var listedAt = NEVER
-    var lostAt = NEVER
+    // What follows belongs to `AttemptReconciler` and the modules beside it.
 
     val attempts = ArrayList<Attempt>()
 
-    /** Tasks reported that no attempt of ours explains and that must go. */
+    /** Tasks in heartbeats that no attempt of ours explains and that must be stopped. */
     var orphans: List<TaskStatus> = emptyList()
+
+    /** Images that are on it, or will be when the tasks that were sent there have fetched them. */
     val images = IntOpenHashSet()
 
-    /** Images that some task here has run with; a worker keeps its cache when its lease lapses. */
+    /** Images that some task here has run with; a worker keeps its cache when its lease expires. */
     val held = IntOpenHashSet()
+
+    /** Whether a direct command has no reply yet. */
     var directBusy = false
 
     /** The task list that was last reconciled; an equal one is the same instance, see `HeartbeatReader`. */
     var reconciled: List<TaskStatus>? = null
-    var idleSince = NEVER
 
     /** Jobs that failed here since a task last completed here. */
     val failedJobs = IntOpenHashSet()
-    var draining = false
 
-    /** Takes no new tasks while the others have room enough, so that it can be returned; see [Fleet]. */
-    var cordoned = false
+    /** No task is placed here until then, since its worker had no room for one. */
+    var fullUntil = NEVER
 
-    /** As the cloud lists it. */
-    var failed = false
-    var listedStarting = false
+    // Scratch of the placement round under way, without meaning after it.
 
-    var fullUntil = NEVER
+    /** The room that the round has not given away. */
+    var roundRoom = NOTHING
 
-    /** Reports of sessions up to this one are from before the lease lapsed, and mean nothing. */
-    var expiredEpoch = -1L
-
-    // What the attempts that may be on it take; kept up to date, since rounds ask for it of every machine.
-    private var usedCpus = 0.0
-    private var usedGpus = 0.0
-    private var usedMemoryGb = 0.0
-    private var users = 0
-
-    /** An attempt of this size may be on it from now on. */
-    fun occupy(taskResources: Resources) {
-        users++
-        usedCpus += taskResources.cpus
-        usedGpus += taskResources.gpus
-        usedMemoryGb += taskResources.memoryGb
-    }
+    /** How the machine ranks for the job that is being placed. */
+    var roundRank = 0
 
-    /** One that counted is certainly gone. */
-    fun vacate(taskResources: Resources) {
-        if (--users == 0) {
-            usedCpus = 0.0 // no rounding errors add up
-            usedGpus = 0.0
-            usedMemoryGb = 0.0
-            return
-        }
-        usedCpus -= taskResources.cpus
-        usedGpus -= taskResources.gpus
-        usedMemoryGb -= taskResources.memoryGb
+    val isTypeKnown: Boolean get() = type != UNKNOWN
+
+    /** Whether some attempt may be on it. */
+    val busy: Boolean get() = !usage.isEmpty
+
+    /** Whether nothing of its past is left to be seen to; what is over and merely not forgotten yet does not count. */
+    val vacant: Boolean get() = attempts.all { it.phase == Attempt.Phase.EXITED && it.forgettable }
+
+    fun describe(machineType: Int, inZone: Int, isSpot: Boolean) {
+        type = machineType
+        zone = inZone
+        spot = isSpot
     }
 
-    /** What is left of it for new tasks. */
-    fun room(types: List<MachineType?>): Resources {
-        val all = types.getOrNull(type)?.room ?: return NOTHING
-        return if (users ==
-            0
-        ) {
-            all
-        } else {
-            Resources(all.cpus - usedCpus, all.gpus - usedGpus, all.memoryGb - usedMemoryGb)
-        }
+    fun markUp() {
+        state = State.UP
     }
 
-    // Only within a placement round: the room that the round has not given away, and how the machine ranks for a job.
-    var roundRoom = NOTHING
-    var roundRank = 0
+    fun markDeleting() {
+        state = State.DELETING
+    }
 
-    val busy: Boolean get() = users > 0
+    /** Whatever its worker still says belongs to an epoch that has ended. */
+    fun markLost(since: Long) {
+        state = State.LOST
+        lostAt = since
+        lease.expire()
+    }
 
-    /** Whether nothing of its past is left to be seen to; what is over and merely not forgotten yet does not count. */
-    val vacant: Boolean get() = attempts.all { it.phase == Attempt.Phase.EXITED && it.forgettable }
+    /** What is left of it for new tasks. */
+    fun room(types: List<MachineType?>): Resources {
+        val capacity = types.getOrNull(type)?.room ?: return NOTHING
+        return usage.leftOf(capacity)
+    }
 
     companion object {
         const val NEVER = Long.MIN_VALUE / 4
+        const val UNKNOWN = -1
         val NOTHING = Resources(0.0, 0.0, 0.0)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Reachability.kt
@@ -0,0 +1,48 @@
+package org.chalkhollow.core.cluster
+
+/**
+ * Holds whether our messages have lately reached one machine, and the proofs of that in its present epoch. Only
+ * `MachineReachability`, which says what a proof is, and `WorkerCommandSender`, whose commands are probes, change it.
+ */
+class Reachability {
+    var reachable = false
+        private set
+
+    /** The last proof in this epoch. */
+    var provedAt = Machine.NEVER
+        private set
+
+    /** When a direct command, whose reply would be a proof, was last sent in this epoch. */
+    var probedAt = Machine.NEVER
+        private set
+
+    /** Since when the machine sends heartbeats and is not [reachable]; [Machine.NEVER] while it is. */
+    var unreachableSince = Machine.NEVER
+        private set
+
+    /** Proofs and probes of an earlier epoch say nothing about this one. */
+    fun beginEpoch() {
+        provedAt = Machine.NEVER
+        probedAt = Machine.NEVER
+    }
+
+    fun recordProof(now: Long) {
+        provedAt = now
+    }
+
+    fun recordProbe(now: Long) {
+        probedAt = now
+    }
+
+    /** Sets [reachable]; returns whether it changed. */
+    fun update(isReachable: Boolean, now: Long): Boolean {
+        val changed = isReachable != reachable
+        reachable = isReachable
+        if (isReachable) {
+            unreachableSince = Machine.NEVER
+        } else if (unreachableSince == Machine.NEVER) {
+            unreachableSince = now
+        }
+        return changed
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -95,16 +95,12 @@
         if (table.isGone(l.name)) return
         val m = table.known(l.name)
         if (m.state == Machine.State.DELETING) return
-        m.listedAt = context.steady
-        if (m.type < 0) {
-            m.type = names.types.intern(l.type)
-            m.zone = names.zones.intern(l.zone)
-            m.spot = l.spot
-            m.bornAt = context.steady - (l.ageS * MS_PER_S).toLong()
+        m.cloud.recordListed(l.status, context.steady)
+        if (!m.isTypeKnown) {
+            m.describe(names.types.intern(l.type), names.zones.intern(l.zone), l.spot)
+            m.cloud.recordCreated(context.steady - (l.ageS * MS_PER_S).toLong())
         }
         if (l.address.isNotEmpty()) m.address = l.address
-        m.failed = l.status == ListedMachine.Status.FAILED
-        m.listedStarting = l.status == ListedMachine.Status.STARTING
     }
 
     /** A machine that was listed and no longer is, and does not report, has gone. */
@@ -113,16 +109,14 @@
         for (m in ArrayList(table.all)) {
             if (m.name in found || m.state == Machine.State.UP || m.state == Machine.State.DELETING) continue
             if (m.state == Machine.State.BOOTING && m.attempts.isNotEmpty()) continue // its lease has to lapse first
-            val since = if (m.listedAt != Machine.NEVER) m.listedAt else m.bornAt
+            val since = if (m.cloud.isListed) m.cloud.listedAt else m.cloud.createdAt
             if (t - since > missingMs) table.remove(m)
         }
     }
 
     /** Whether every machine that the cloud lists as up has reported; never before a list was read. */
     fun heardFromListed(): Boolean =
-        listAt != Machine.NEVER && table.all.none { it.listedUp && it.state == Machine.State.BOOTING }
-
-    private val Machine.listedUp: Boolean get() = listedAt != Machine.NEVER && !listedStarting && !failed
+        listAt != Machine.NEVER && table.all.none { it.cloud.isListedUp && it.state == Machine.State.BOOTING }
 
     private companion object {
         const val CATALOG_MS = 60_000L
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -104,27 +104,24 @@
     fun observe(heartbeat: WorkerHeartbeat): Machine? {
         if (table.isGone(heartbeat.machine)) return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         val m = table.known(heartbeat.machine)
-        if (heartbeat.epoch <= m.expiredEpoch || heartbeat.epoch < m.epoch || m.state == Machine.State.DELETING) {
+        if (m.lease.hasEnded(heartbeat.epoch) || m.state == Machine.State.DELETING) {
             return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         }
-        if (heartbeat.epoch == m.epoch && heartbeat.seq <= m.answeredSeq) {
-            val repeated = heartbeat.seq == m.answeredSeq
+        if (heartbeat.epoch == m.lease.epoch && heartbeat.seq <= m.lease.answeredSeq) {
+            val repeated = heartbeat.seq == m.lease.answeredSeq
             context.dropped.count(if (repeated) DroppedInput.HEARTBEAT_REPEATED else DroppedInput.HEARTBEAT_LATE)
             return m
         }
-        m.type = names.types.intern(heartbeat.type)
-        m.zone = names.zones.intern(heartbeat.zone)
-        m.spot = heartbeat.spot
+        m.describe(names.types.intern(heartbeat.type), names.zones.intern(heartbeat.zone), heartbeat.spot)
         m.address = heartbeat.address
-        val newEpoch = heartbeat.epoch > m.epoch
+        val newEpoch = heartbeat.epoch > m.lease.epoch
         if (newEpoch) beginEpoch(m, heartbeat.epoch)
         val atOurFencingToken = heartbeat.fencingToken >= table.fencingToken
-        val showsOurFencingToken = m.fencingToken < table.fencingToken && atOurFencingToken
+        val showsOurFencingToken = m.lease.fencingToken < table.fencingToken && atOurFencingToken
         reachability.reported(m, newEpoch, showsOurFencingToken, atOurFencingToken)
         if (m.state != Machine.State.UP || showsOurFencingToken) context.changed()
-        m.state = Machine.State.UP
-        m.heartbeatAt = context.steady
-        m.fencingToken = maxOf(m.fencingToken, heartbeat.fencingToken)
+        m.markUp()
+        m.lease.recordHeartbeat(heartbeat.fencingToken, context.steady)
         takeNotice(m, heartbeat.noticeS)
         return m
     }
@@ -132,11 +129,11 @@
     /** Takes in whether, and in how many seconds, the cloud will take [m]. */
     private fun takeNotice(m: Machine, noticeS: Double?) {
         if (noticeS == null) {
-            m.reclaimAt = Machine.NEVER
+            m.availability.withdrawSpotNotice()
             return
         }
-        if (m.reclaimAt == Machine.NEVER) context.changed()
-        m.reclaimAt = context.steady + (noticeS * MS_PER_S).toLong()
+        if (!m.availability.hasSpotNotice) context.changed()
+        m.availability.recordSpotNotice(context.steady + (noticeS * MS_PER_S).toLong())
         windDown(m)
     }
 
@@ -146,11 +143,9 @@
     }
 
     private fun beginEpoch(m: Machine, epoch: Long) {
-        if (m.epoch > 0) newEpochListener(m, m.fencingToken >= table.fencingToken)
-        m.epoch = epoch
-        m.quarantined = false
-        m.seq = -1
-        m.answeredSeq = -1
+        if (m.lease.epoch > 0) newEpochListener(m, m.lease.fencingToken >= table.fencingToken)
+        m.lease.beginEpoch(epoch)
+        m.availability.endQuarantine()
         m.reconciled = null
         m.images.clear()
         m.images.addAll(m.held) // its cache outlives the session; what it was fetching does not
@@ -161,8 +156,8 @@
 
     /** Whether it is not certain that [m] hears us, so that it is to be asked directly; true once in a while. */
     fun shouldProbe(m: Machine): Boolean {
-        if (m.state != Machine.State.UP || m.fencingToken < table.fencingToken) return false
-        return context.steady - m.heartbeatAt < leaseMs && reachability.ask(m)
+        if (m.state != Machine.State.UP || m.lease.fencingToken < table.fencingToken) return false
+        return context.steady - m.lease.heartbeatAt < leaseMs && reachability.startProbe(m)
     }
 
     /**
@@ -170,7 +165,7 @@
      * then begins elsewhere at once, since it would be lost here and known to be lost only when the lease has lapsed.
      */
     private fun windDown(m: Machine) {
-        val leftS = (m.reclaimAt - context.steady) / MS_PER_S
+        val leftS = (m.availability.reclaimAt - context.steady) / MS_PER_S
         for (a in m.attempts) {
             if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMigration]
             val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
@@ -186,8 +181,8 @@
         nextLeaseExpiryAt = t + leaseExpiresAfterMs
         for (m in table.all) {
             if (m.state != Machine.State.UP && m.attempts.isEmpty()) continue
-            if (t < m.answeredAt + leaseExpiresAfterMs) {
-                nextLeaseExpiryAt = minOf(nextLeaseExpiryAt, m.answeredAt + leaseExpiresAfterMs)
+            if (t < m.lease.answeredAt + leaseExpiresAfterMs) {
+                nextLeaseExpiryAt = minOf(nextLeaseExpiryAt, m.lease.answeredAt + leaseExpiresAfterMs)
                 continue
             }
             if (m.state == Machine.State.LOST || m.state == Machine.State.DELETING) {
@@ -195,9 +190,7 @@
                 continue
             }
             context.info("the lease of ${m.name} has lapsed")
-            m.state = Machine.State.LOST
-            m.lostAt = t
-            m.expiredEpoch = maxOf(m.epoch, m.expiredEpoch)
+            m.markLost(since = t)
             onGone(m)
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
@@ -59,7 +59,7 @@
 
     /** Gives [m] back what it held, also when its lease has lapsed since. */
     fun recall(m: Machine) {
-        if (m.epoch == 0L) return
+        if (m.lease.epoch == 0L) return
         for (image in remembered.remove(m.name) ?: return) {
             val index = names.images.intern(image)
             m.images.add(index)
@@ -95,7 +95,7 @@
             val bytes = EncodedSize.of(m.name) + ROW_BYTES + m.held.size * INDEX_BYTES + fresh
             if (size + bytes > limits.valueBytes) break
             size += bytes
-            held[m.name] = listOf(m.epoch) + m.held.map { images.getOrPut(it) { images.size }.toLong() }
+            held[m.name] = listOf(m.lease.epoch) + m.held.map { images.getOrPut(it) { images.size }.toLong() }
         }
         return mapOf("images" to images.keys.map(names.images::name), "held" to held)
     }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -24,50 +24,49 @@
     fun reported(m: Machine, newEpoch: Boolean, showsOurFencingToken: Boolean, atOurFencingToken: Boolean) {
         val t = context.steady
         if (newEpoch) {
-            m.provedAt = Machine.NEVER
-            m.askedAt = Machine.NEVER
+            m.reachability.beginEpoch()
         }
-        val soon = !newEpoch && m.heartbeatAt != Machine.NEVER && t - m.heartbeatAt < UNANSWERED_GAP_MS
-        if (atOurFencingToken && (showsOurFencingToken || soon)) m.provedAt = t
+        val soon = !newEpoch && m.lease.heartbeatAt != Machine.NEVER && t - m.lease.heartbeatAt < UNANSWERED_GAP_MS
+        if (atOurFencingToken && (showsOurFencingToken || soon)) m.reachability.recordProof(t)
         judge(m, atOurFencingToken)
     }
 
     /** [m] did what only one that hears us does. */
     fun proved(m: Machine) {
-        m.provedAt = context.steady
+        m.reachability.recordProof(context.steady)
         judge(m, true)
     }
 
     private fun judge(m: Machine, atOurFencingToken: Boolean) {
-        val reachable = atOurFencingToken && context.steady - m.provedAt < doubtMs + ASK_MS
-        if (reachable != m.reachable) context.changed()
-        m.reachable = reachable
-        m.unreachableSince =
-            if (reachable) {
-                Machine.NEVER
-            } else if (m.unreachableSince == Machine.NEVER) {
-                context.steady
-            } else {
-                m.unreachableSince
-            }
+        val reachable = atOurFencingToken && context.steady - m.reachability.provedAt < doubtMs + PROBE_EVERY_MS
+        if (m.reachability.update(reachable, context.steady)) context.changed()
     }
 
-    /** Whether [m] is to be asked directly now. */
-    fun ask(m: Machine): Boolean {
-        val t = context.steady
-        if (!(m.busy && overdue(m)) && t - m.provedAt < doubtMs || t - m.askedAt < ASK_MS || m.directBusy) return false
-        m.askedAt = t
+    /** Whether to probe [m] now with a direct command; if so, the probe is taken as sent. */
+    fun startProbe(m: Machine): Boolean {
+        if (m.directBusy || !isDoubtful(m)) return false
+        val now = context.steady
+        if (now - m.reachability.probedAt < PROBE_EVERY_MS) return false
+        m.reachability.recordProbe(now)
         return true
     }
 
+    private fun isDoubtful(m: Machine): Boolean {
+        if (m.busy && overdue(m)) return true
+        return context.steady - m.reachability.provedAt >= doubtMs
+    }
+
     /** Whether a report should have come from [m] by now. */
-    fun overdue(m: Machine): Boolean = m.heartbeatAt != Machine.NEVER && context.steady - m.heartbeatAt > overdueMs
+    fun overdue(m: Machine): Boolean =
+        m.lease.heartbeatAt != Machine.NEVER && context.steady - m.lease.heartbeatAt > overdueMs
 
     /** Whether [m] has said nothing for long, not even when it was asked. */
     fun silent(m: Machine): Boolean {
         val t = context.steady
-        return m.heartbeatAt != Machine.NEVER && t - maxOf(m.heartbeatAt, m.provedAt) > silentMs &&
-            m.askedAt > maxOf(m.heartbeatAt, m.provedAt) && t - m.askedAt > DIRECT_MS
+        return m.lease.heartbeatAt != Machine.NEVER &&
+            t - maxOf(m.lease.heartbeatAt, m.reachability.provedAt) > silentMs &&
+            m.reachability.probedAt > maxOf(m.lease.heartbeatAt, m.reachability.provedAt) &&
+            t - m.reachability.probedAt > DIRECT_MS
     }
 
     private companion object {
@@ -88,6 +87,6 @@
 
         /** How long a direct command waits for its answer, and how often one is sent to ask. */
         const val DIRECT_MS = 3000L
-        const val ASK_MS = 4000L
+        const val PROBE_EVERY_MS = 4000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -38,9 +38,8 @@
 
     fun known(name: String): Machine =
         byName.getOrPut(name) {
-            Machine(names.machines.intern(name), name).also {
-                it.bornAt = context.steady
-                it.answeredAt = takenOverAt // an earlier leader may have answered it until we took over
+            Machine(names.machines.intern(name), name, context.steady).also {
+                it.lease.assumeAnsweredUntil(takenOverAt)
             }
         }
 
@@ -79,12 +78,10 @@
         }
 
     private val Machine.takesTasks: Boolean
-        get() = state == Machine.State.UP && reachable && !beingEmptied && reclaimAt == Machine.NEVER
-
-    private val Machine.beingEmptied: Boolean get() = draining || quarantined || cordoned
+        get() = state == Machine.State.UP && reachability.reachable && availability.acceptsTasks
 
     private fun heardLately(m: Machine): Boolean =
-        context.steady >= m.fullUntil && context.steady - m.heartbeatAt < leaseMs / 2
+        context.steady >= m.fullUntil && context.steady - m.lease.heartbeatAt < leaseMs / 2
 
     /** Whether tasks of [job] may run on machines of this kind; room and type aside. */
     fun allows(job: OpenJob, type: Int, zone: Int, spot: Boolean): Boolean {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -53,16 +53,12 @@
     }
 
     private fun noteIdle(m: Machine, t: Long) {
-        if (!m.vacant || m.state != Machine.State.UP) {
-            m.idleSince = Machine.NEVER
-        } else if (m.idleSince == Machine.NEVER) {
-            m.idleSince = t
-        }
+        m.availability.recordIdle(idle = m.vacant && m.state == Machine.State.UP, t)
     }
 
     private fun setAsideIfSick(m: Machine) {
-        if (m.failedJobs.size < SICK_JOBS || m.draining) return
-        m.draining = true
+        if (m.failedJobs.size < SICK_JOBS || m.availability.draining) return
+        m.availability.drain()
         context.changed()
         context.info("${m.name} fails every task and is set aside")
     }
@@ -81,7 +77,7 @@
             if (m.state != Machine.State.UP) continue
             up.addTo(m.zone, 1)
             if (reachability.overdue(m)) overdue.addTo(m.zone, 1)
-            if (m.reclaimAt != Machine.NEVER && t > m.reclaimAt + TAKEN_MS) {
+            if (m.availability.hasSpotNotice && t > m.availability.reclaimAt + TAKEN_MS) {
                 out.add(m)
             } else if (m.busy && reachability.silent(m)) {
                 silent.add(m)
@@ -100,7 +96,7 @@
         val t = context.steady
         if (waits) {
             waitedAt = t
-            for (m in table.all) m.cordoned = false
+            for (m in table.all) m.availability.uncordon()
             return
         }
         if (t - waitedAt < CALM_MS || t - retiredAt < RETIRE_EVERY_MS) return
@@ -115,7 +111,7 @@
         for ((m, room) in dear.take(maxOf(1, dear.size / RETIRED_OF))) {
             free -= room
             if (free < reserve() * RESERVES_KEPT) return
-            m.cordoned = true
+            m.availability.cordon()
             retiredAt = t
         }
     }
@@ -129,13 +125,13 @@
 
     private fun useless(m: Machine, t: Long): Boolean =
         when {
-            m.failed && m.state != Machine.State.UP -> true
+            m.cloud.failed && m.state != Machine.State.UP -> true
             m.state == Machine.State.LOST -> t - m.lostAt > LOST_MS
             m.state == Machine.State.BOOTING -> neverCameUp(m, t)
             unreachable(m, t) -> true
-            m.draining -> !m.busy
-            m.cordoned && m.state == Machine.State.UP -> m.vacant
-            m.reclaimAt != Machine.NEVER -> m.vacant
+            m.availability.draining -> !m.busy
+            m.availability.cordoned && m.state == Machine.State.UP -> m.vacant
+            m.availability.hasSpotNotice -> m.vacant
             else -> false
         }
 
@@ -144,12 +140,12 @@
      * version returned those that a list named before their first report came in.
      */
     private fun neverCameUp(m: Machine, t: Long): Boolean =
-        m.attempts.isEmpty() && t - m.bornAt > table.bootS(m) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS &&
+        m.attempts.isEmpty() && t - m.cloud.createdAt > table.bootS(m) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS &&
             t - table.takenOverAt > leaseMs * 2
 
     private fun unreachable(m: Machine, t: Long): Boolean {
-        if (m.state != Machine.State.UP || m.unreachableSince == Machine.NEVER) return false
-        return t - m.unreachableSince > unreachableMs && t - table.takenOverAt > unreachableMs
+        if (m.state != Machine.State.UP || m.reachability.unreachableSince == Machine.NEVER) return false
+        return t - m.reachability.unreachableSince > unreachableMs && t - table.takenOverAt > unreachableMs
     }
 
     /**
@@ -161,7 +157,7 @@
         val long =
             idle
                 .filter {
-                    t - it.idleSince >
+                    t - it.availability.idleSince >
                         idleAllowedMs(
                             it,
                         )
@@ -176,7 +172,8 @@
         return out.take(maxOf(0, idle.size - options.spareMachines))
     }
 
-    private fun idles(m: Machine): Boolean = m.state == Machine.State.UP && m.idleSince != Machine.NEVER && !m.draining
+    private fun idles(m: Machine): Boolean =
+        m.state == Machine.State.UP && m.availability.idleSince != Machine.NEVER && !m.availability.draining
 
     private fun preProvisionedPrice(): Double =
         table.all.filter { it.name in staticMachines.names }.sumOf { table.priceOf(it.type, it.spot) }
@@ -197,7 +194,7 @@
     }
 
     private fun delete(list: List<Machine>) {
-        for (m in list) m.state = Machine.State.DELETING
+        list.forEach(Machine::markDeleting)
         context.info("returning ${list.joinToString(" ") { it.name }}")
         cloud.change(CloudOp.Delete(list.map { it.name })) { reply ->
             if (reply is CloudReply.Deleted) {
@@ -205,11 +202,7 @@
                 return@change
             }
             // Without a 200 they may or may not be gone: they stay out of use and are asked for again.
-            for (m in list) {
-                m.state = Machine.State.LOST
-                m.expiredEpoch = maxOf(m.epoch, m.expiredEpoch)
-                m.lostAt = context.steady - LOST_MS
-            }
+            for (m in list) m.markLost(since = context.steady - LOST_MS)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
@@ -128,13 +128,13 @@
     private fun roomsOnTheirWay(): MutableList<ExpectedRoom> {
         val t = context.steady
         return table.all
-            .filter { it.state == Machine.State.BOOTING && it.type >= 0 && !it.failed && !overdue(it, t) }
+            .filter { it.state == Machine.State.BOOTING && it.isTypeKnown && !it.cloud.failed && !overdue(it, t) }
             .map { ExpectedRoom(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NOTHING) }
             .toMutableList()
     }
 
     /** Whether a machine has booted for twice as long as its type takes, so that it may never come up. */
-    private fun overdue(m: Machine, t: Long): Boolean = t - m.bornAt > table.bootS(m) * 2 * MS_PER_S
+    private fun overdue(m: Machine, t: Long): Boolean = t - m.cloud.createdAt > table.bootS(m) * 2 * MS_PER_S
 
     /** Deals [rooms] out to [u]; returns how many tasks are left. */
     private fun fill(u: UnplacedTasks, rooms: List<ExpectedRoom>): Int {
@@ -239,11 +239,9 @@
         for (name in list) {
             if (table.isGone(name)) continue
             val m = table.known(name)
-            if (m.type < 0) {
-                m.type = offer.type
-                m.zone = offer.zone
-                m.spot = offer.spot
-                m.bornAt = context.steady
+            if (!m.isTypeKnown) {
+                m.describe(offer.type, offer.zone, offer.spot)
+                m.cloud.recordCreated(context.steady)
             }
         }
         if (list.size < rent.count) refuse(offer) else backoff.remove(offer)
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -113,9 +113,9 @@
     private fun state(m: Machine): String =
         when {
             m.state != Machine.State.UP -> m.state.name.lowercase()
-            !m.reachable -> "deaf"
-            m.reclaimAt != Machine.NEVER -> "noticed"
-            m.draining || m.cordoned -> "draining"
+            !m.reachability.reachable -> "deaf"
+            m.availability.hasSpotNotice -> "noticed"
+            m.availability.draining || m.availability.cordoned -> "draining"
             m.vacant -> "idle"
             else -> "busy"
         }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -84,8 +84,7 @@
         return Plan(stoppedOn, lacking)
     }
 
-    private fun leaves(m: Machine): Boolean =
-        m.state == Machine.State.UP && (m.reclaimAt != Machine.NEVER || m.draining || m.cordoned)
+    private fun leaves(m: Machine): Boolean = m.state == Machine.State.UP && m.availability.isBeingEmptied
 
     private fun toBeMoved(a: Attempt): Boolean = a.job.service && wanted(a.job) && a.onMachine && !a.stopping
 
@@ -116,7 +115,7 @@
                 left.gpus - taskResources.gpus,
                 left.memoryGb - taskResources.memoryGb,
             )
-        move.target.idleSince = Machine.NEVER // it is not returned for idling meanwhile
+        move.target.availability.recordIdle(idle = false, context.steady) // it is not returned for idling meanwhile
     }
 
     /** Whether a replica of the same service other than [attempt] is down, or was told to stop. */
@@ -139,7 +138,8 @@
     private fun outOfTime(attempt: Attempt): Boolean = deadline(attempt.machine) - context.steady <= LAST_MS
 
     /** When the cloud takes the machine; [Long.MAX_VALUE] if it stays until it is empty. */
-    private fun deadline(m: Machine): Long = if (m.reclaimAt == Machine.NEVER) Long.MAX_VALUE else m.reclaimAt
+    private fun deadline(m: Machine): Long =
+        if (m.availability.hasSpotNotice) m.availability.reclaimAt else Long.MAX_VALUE
 
     /** The rule on zones as it will stand once the moves under way are over and [attempt] is gone. */
     private fun zonesWithout(attempt: Attempt): ZoneConstraint {
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -61,9 +61,9 @@
         val job = job("j-1")
         val m =
             Machine(0, "n-1").also {
-                it.state = Machine.State.UP
-                it.epoch = 1
-                it.seq = 1
+                it.markUp()
+                it.lease.beginEpoch(1)
+                it.lease.advanceStatus(1)
             }
         val numbers = listOf(131L, 100L, 69L)
         numbers.forEachIndexed { index, n -> reconciler.reserve(job, index, n, m, null).phase = Attempt.Phase.SENT }
@@ -89,7 +89,7 @@
     // A service that had been passed over kept what it was given from all others that were, for as long as it ran.
     @Test
     fun `a replica does not count against the share of work that was passed over`() {
-        val m = Machine(0, "n-1").also { it.state = Machine.State.UP }
+        val m = Machine(0, "n-1").also { it.markUp() }
         val batch = reconciler.reserve(job("j-1"), 0, 100, m, null, fromCredit = true)
         val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, fromCredit = true)
         for (attempt in listOf(batch, replica)) attempt.phase = Attempt.Phase.RUNNING
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -84,9 +84,8 @@
 
     private fun machine(name: String, zone: Int = 0, cpus: Double = 0.0): Machine =
         fleet.known(name).also {
-            it.state = Machine.State.UP
-            it.type = 0
-            it.zone = zone
+            it.markUp()
+            it.describe(0, zone, isSpot = false)
             offer(it, cpus)
         }
 
@@ -105,7 +104,7 @@
     private fun gone(m: Machine) = reconciler.machineGone(m)
 
     private fun notice(m: Machine, inMs: Long) {
-        m.reclaimAt = context.steady + inMs
+        m.availability.recordSpotNotice(context.steady + inMs)
     }
 
     @Test
@@ -133,7 +132,7 @@
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
         val replicas = List(3) { running(job, it, old) }
-        old.draining = true
+        old.availability.drain()
         assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, false, false), replicas.map { it.stopping })
         assertEquals(6.0, other.roundRoom.cpus)
@@ -190,7 +189,7 @@
         val fuller = machine("n-2", cpus = 2.0)
         val holder = machine("n-3", cpus = 4.0).also { it.images.add(job.image) }
         running(job, 0, old)
-        old.cordoned = true
+        old.availability.cordon()
         moves.plan(listOf(fuller, holder))
         assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, holder.roundRoom.cpus))
     }
@@ -205,7 +204,7 @@
         running(job, 1, sameZone)
         running(job, 2, otherZone)
         running(job, 3, otherZone)
-        old.draining = true
+        old.availability.drain()
         val plan = moves.plan(listOf(otherZone))
         assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
         assertEquals(listOf(true, false), listOf(0, 1).map { plan.lacking.single().admits(it) })
@@ -221,7 +220,7 @@
         val otherZone = machine("n-3", zone = 1, cpus = 8.0)
         running(job, 0, old)
         running(job, 1, sameZone)
-        old.draining = true
+        old.availability.drain()
         assertEquals(emptyList<Machine>(), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
         offer(sameZone, 2.0)
         assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
@@ -242,10 +241,19 @@
             test.moves.plan(listOf(target))
             test.gone(old)
             test.change(job, target)
-            return test.moves.start(listOf(target).filter { it.reclaimAt == Machine.NEVER }).size
+            return test.moves.start(listOf(target).filter { !it.availability.hasSpotNotice }).size
         }
         assertEquals(1, startAfter { _, _ -> })
-        assertEquals(0, startAfter { _, target -> target.reclaimAt = 5000 }, "it is about to be taken itself")
+        assertEquals(
+            0,
+            startAfter {
+                _,
+                target,
+                ->
+                target.availability.recordSpotNotice(5000)
+            },
+            "it is about to be taken itself",
+        )
         assertEquals(0, startAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) }, "it has no room")
         assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
         assertEquals(0, startAfter { job, _ -> job.cancelling = true }, "the service is withdrawn")
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -57,7 +57,7 @@
 
     private fun machine(name: String, zone: Int, cpus: Double): Machine =
         fleet.known(name).also {
-            it.zone = zone
+            it.describe(Machine.UNKNOWN, zone, isSpot = false)
             it.roundRoom = Resources(cpus, 0.0, 64.0)
         }
 
@@ -74,7 +74,7 @@
         assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.roundRoom.cpus })
         replicas.giveBack()
         assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.roundRoom.cpus })
-        val spot = machine("n-5", 0, 1.0).also { it.spot = true }
+        val spot = machine("n-5", 0, 1.0).also { it.describe(it.type, it.zone, isSpot = true) }
         replicas.keepRoom(listOf(spot))
         assertEquals(1.0, spot.roundRoom.cpus, "its services may not use spot machines")
     }
