--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -7,11 +7,12 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.model.ListedMachine
+import org.chalkhollow.model.ListedPage
 import org.chalkhollow.model.MachineType
 
 /**
- * Owns what the cloud says there is: machine types, and the list of machines. The list lags behind, so a machine counts
- * as taken away only when it was missing for longer than that and does not report. Called by [Fleet].
+ * Owns what the cloud says there is: the catalog of machine types, and the list of machines. The list lags behind, so a
+ * machine counts as gone only when it was missing for longer than that and sends no heartbeats. Called by [Fleet].
  */
 class CloudInventory(
     private val context: CoreContext,
@@ -40,18 +41,18 @@
     }
 
     /** Reads the catalog when it is due; a follower reads it once, so that it can place at once when it leads. */
-    fun readCatalog(leading: Boolean) {
+    fun readCatalogIfDue(leading: Boolean) {
         if (catalogBusy) return
         val due = catalogAt == Machine.NEVER || leading && context.steady - catalogAt > CATALOG_MS
-        if (!due || !cloud.spend()) return
+        if (!due || !cloud.trySpend()) return
         catalogBusy = true
-        cloud.ask(CloudOp.Catalog) { reply ->
+        cloud.send(CloudOp.Catalog) { reply ->
             catalogBusy = false
-            if (reply is CloudReply.CatalogIs) take(reply.types)
+            if (reply is CloudReply.CatalogIs) onCatalog(reply.types)
         }
     }
 
-    private fun take(types: List<MachineType>) {
+    private fun onCatalog(types: List<MachineType>) {
         catalogAt = context.steady
         catalogKnown = true
         for (type in types) {
@@ -59,62 +60,69 @@
             while (table.types.size <= index) table.types.add(null)
             table.types[index] = type
         }
-        types.minOfOrNull { it.bootS }?.let { leastBootMs = (it * MS_PER_S).toLong() }
+        val leastBootS = types.minOfOrNull { it.bootS } ?: return
+        leastBootMs = (leastBootS * MS_PER_S).toLong()
     }
 
-    /** Reads the machine list when it is due. */
-    fun readList() {
-        if (!listBusy && context.steady - listAt > LIST_MS && cloud.spend()) readList(null, HashSet())
+    /** Reads the list of machines when it is due. */
+    fun readListIfDue() {
+        if (listBusy || context.steady - listAt <= LIST_MS) return
+        if (cloud.trySpend()) readList(after = null, found = HashSet())
     }
 
+    /** Reads the pages of the list from the one that follows [after]; [found] has the names on those before. */
     private fun readList(after: String?, found: HashSet<String>) {
         listBusy = true
-        cloud.askNow(CloudOp.Machines(after)) { reply ->
+        cloud.sendInTerm(CloudOp.Machines(after)) { reply ->
             listBusy = false
-            if (reply !is CloudReply.MachinesAre) {
-                listAt = context.steady - LIST_MS / 2
-                return@askNow
-            }
-            val machines = reply.page.machines
-            for (m in machines) {
-                found.add(m.name)
-                onListed(m)
-            }
-            val last = machines.lastOrNull()?.name
-            if (reply.page.more && last != null) {
-                readList(last, found)
+            if (reply is CloudReply.MachinesAre) {
+                onPage(reply.page, found)
             } else {
-                listAt = context.steady
-                staticMachines.onList(found)
-                dropUnlisted(found)
+                listAt = context.steady - LIST_MS / 2
             }
         }
     }
 
-    private fun onListed(l: ListedMachine) {
-        if (table.isGone(l.name)) return
-        val m = table.known(l.name)
-        if (m.state == Machine.State.DELETING) return
-        m.cloud.recordListed(l.status, context.steady)
-        if (!m.isTypeKnown) {
-            m.describe(names.types.intern(l.type), names.zones.intern(l.zone), l.spot)
-            m.cloud.recordCreated(context.steady - (l.ageS * MS_PER_S).toLong())
+    private fun onPage(page: ListedPage, found: HashSet<String>) {
+        for (listed in page.machines) {
+            found.add(listed.name)
+            onListed(listed)
         }
-        if (l.address.isNotEmpty()) m.address = l.address
+        val last = page.machines.lastOrNull()?.name
+        if (page.more && last != null) return readList(last, found)
+        listAt = context.steady
+        staticMachines.onList(found)
+        dropUnlisted(found)
     }
 
-    /** A machine that was listed and no longer is, and does not report, has gone. */
+    private fun onListed(listed: ListedMachine) {
+        if (table.isGone(listed.name)) return
+        val machine = table.known(listed.name)
+        if (machine.state == Machine.State.DELETING) return
+        machine.cloud.recordListed(listed.status, context.steady)
+        if (!machine.isTypeKnown) {
+            machine.describe(names.types.intern(listed.type), names.zones.intern(listed.zone), listed.spot)
+            machine.cloud.recordCreated(context.steady - (listed.ageS * MS_PER_S).toLong())
+        }
+        if (listed.address.isNotEmpty()) machine.address = listed.address
+    }
+
+    /** A machine that was listed and no longer is, and sends no heartbeats, is gone. */
     private fun dropUnlisted(found: Set<String>) {
-        val t = context.steady
-        for (m in ArrayList(table.all)) {
-            if (m.name in found || m.state == Machine.State.UP || m.state == Machine.State.DELETING) continue
-            if (m.state == Machine.State.BOOTING && m.attempts.isNotEmpty()) continue // its lease has to lapse first
-            val since = if (m.cloud.isListed) m.cloud.listedAt else m.cloud.createdAt
-            if (t - since > missingMs) table.remove(m)
+        for (machine in ArrayList(table.all)) {
+            if (machine.name !in found && isMissing(machine)) table.remove(machine)
         }
     }
 
-    /** Whether every machine that the cloud lists as up has reported; never before a list was read. */
+    private fun isMissing(machine: Machine): Boolean {
+        if (machine.state == Machine.State.UP || machine.state == Machine.State.DELETING) return false
+        // Its lease has to expire first.
+        if (machine.state == Machine.State.BOOTING && machine.attempts.isNotEmpty()) return false
+        val lastKnownAt = if (machine.cloud.isListed) machine.cloud.listedAt else machine.cloud.createdAt
+        return context.steady - lastKnownAt > missingMs
+    }
+
+    /** Whether every machine that the cloud lists as up has sent a heartbeat; never before a list was read. */
     fun heardFromListed(): Boolean =
         listAt != Machine.NEVER && table.all.none { it.cloud.isListedUp && it.state == Machine.State.BOOTING }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -1,25 +1,22 @@
 package org.chalkhollow.core.fleet
 
 import org.chalkhollow.core.Controller
-import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.DroppedInput
-import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.common.leaseMs
-import org.chalkhollow.core.placement.ReplicaMigration
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns the state of each machine: what reports say of it, its session, its lease. Nothing on a machine counts as gone
- * before its lease has certainly lapsed, its session has ended, or its deletion is confirmed. What the cloud lists,
- * what is rented and what is returned is decided by its parts, [CloudInventory], [ScaleOut] and [ScaleIn].
- * Called by [Controller]; the others read the machines here.
+ * Owns what is known of each machine from its heartbeats: its state, its worker's epoch and lease. Nothing on a machine
+ * counts as gone before its lease has certainly expired, its epoch has ended, or its deletion is confirmed. What the
+ * cloud lists and how the fleet is scaled belongs to its parts: [CloudInventory], [ScaleOut] and [ScaleIn]. Called by
+ * [Controller]; the others read the machines here.
  */
 class Fleet(
     private val context: CoreContext,
@@ -30,26 +27,22 @@
     staticMachines: StaticMachines,
 ) {
     private val leaseMs = settings.leaseMs
-
-    /** After this long without an answer a lease has certainly lapsed. */
-    private val leaseExpiresAfterMs = leaseMs + leaseMs / DRIFT_OF + LEASE_EXPIRY_MARGIN_MS
-
-    /** No lease lapses before then: each answer puts its machine's lapse off, and one that comes later is longer. */
-    private var nextLeaseExpiryAt = 0L
     private val table = MachineTable(context, names, leaseMs)
     private val cloud = CloudRequests(context, settings.cloudRps)
     private val reachability = MachineReachability(context, settings.heartbeatIntervalS, settings.leaseS)
-    private val listing = CloudInventory(context, names, table, cloud, staticMachines, settings.listLagS)
-    private val rental = ScaleOut(context, names, table, cloud, reachability, settings, options, label)
-    private val returns = ScaleIn(context, table, cloud, reachability, staticMachines, options, leaseMs)
+    private val leaseExpiry = LeaseExpiry(context, table, leaseMs)
+    private val spotNotices = SpotNotices(context)
+    private val inventory = CloudInventory(context, names, table, cloud, staticMachines, settings.listLagS)
+    private val scaleOut = ScaleOut(context, names, table, cloud, reachability, settings, options, label)
+    private val scaleIn = ScaleIn(context, table, cloud, reachability, staticMachines, options, leaseMs)
 
     /** Machine types by index; a type that the catalog does not list is null. */
     val types: List<MachineType?> get() = table.types
     val machines: Collection<Machine> get() = table.all
-    val catalogKnown: Boolean get() = listing.catalogKnown
+    val catalogKnown: Boolean get() = inventory.catalogKnown
 
-    /** Whether there may be more to rent at once. */
-    val moreNow: Boolean get() = rental.moreNow
+    /** Whether the fleet may have to be scaled out further at once. */
+    val moreNow: Boolean get() = scaleOut.moreNow
 
     /** Set by the controller: everything on the machine is certainly gone. */
     var onGone: (Machine) -> Unit
@@ -58,22 +51,22 @@
             table.onGone = value
         }
 
-    /** Set by the controller: the machine is in a new session; whether it had told our token in the one before. */
+    /** Set by the controller: the machine is in a new epoch, and whether it had shown our fencing token before. */
     var newEpochListener: (Machine, Boolean) -> Unit = { _, _ -> }
 
     /** Set by the controller: CPUs that are to stay free for urgent work. */
     var reserve: () -> Double
-        get() = returns.reserve
+        get() = scaleIn.reserve
         set(value) {
-            returns.reserve = value
+            scaleIn.reserve = value
         }
 
     fun start(newFencingToken: Long) {
         table.start(newFencingToken)
-        nextLeaseExpiryAt = 0L
+        leaseExpiry.start()
         cloud.start(newFencingToken)
-        listing.start()
-        rental.start()
+        inventory.start()
+        scaleOut.start()
     }
 
     fun known(name: String): Machine = table.known(name)
@@ -86,55 +79,35 @@
     fun size(m: Machine): Double = table.cpusOf(m)
 
     /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
-    fun leastBootMs(): Long = listing.leastBootMs
+    fun leastBootMs(): Long = inventory.leastBootMs
 
     /** Whether every machine that the cloud lists as up has reported; never before a list was read. */
-    fun heardFromListed(): Boolean = listing.heardFromListed()
+    fun heardFromListed(): Boolean = inventory.heardFromListed()
 
-    /** Machines that take new tasks: up, heard from at our token, neither draining nor about to be taken. */
+    /** Machines that take new tasks, see [MachineTable.placeable]. */
     fun placeable(): List<Machine> = table.placeable()
 
     /** Whether tasks of [job] may run on machines of this kind; room and type aside. */
     fun allows(job: OpenJob, type: Int, zone: Int, spot: Boolean): Boolean = table.allows(job, type, zone, spot)
 
     /**
-     * Takes in who reports; null for a machine that is gone or a session that is over. A report that is not newer than
-     * what is known, such as a copy that was held up on its way, changes nothing.
+     * Takes in the sender of a heartbeat; null for a machine that is gone or an epoch that has ended. A heartbeat that
+     * is not newer than what is known, such as a copy that was held up on its way, changes nothing.
      */
     fun observe(heartbeat: WorkerHeartbeat): Machine? {
         if (table.isGone(heartbeat.machine)) return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
-        val m = table.known(heartbeat.machine)
-        if (m.lease.hasEnded(heartbeat.epoch) || m.state == Machine.State.DELETING) {
+        val machine = table.known(heartbeat.machine)
+        val lease = machine.lease
+        if (lease.hasEnded(heartbeat.epoch) || machine.state == Machine.State.DELETING) {
             return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         }
-        if (heartbeat.epoch == m.lease.epoch && heartbeat.seq <= m.lease.answeredSeq) {
-            val repeated = heartbeat.seq == m.lease.answeredSeq
+        if (heartbeat.epoch == lease.epoch && heartbeat.seq <= lease.answeredSeq) {
+            val repeated = heartbeat.seq == lease.answeredSeq
             context.dropped.count(if (repeated) DroppedInput.HEARTBEAT_REPEATED else DroppedInput.HEARTBEAT_LATE)
-            return m
+            return machine
         }
-        m.describe(names.types.intern(heartbeat.type), names.zones.intern(heartbeat.zone), heartbeat.spot)
-        m.address = heartbeat.address
-        val newEpoch = heartbeat.epoch > m.lease.epoch
-        if (newEpoch) beginEpoch(m, heartbeat.epoch)
-        val atOurFencingToken = heartbeat.fencingToken >= table.fencingToken
-        val showsOurFencingToken = m.lease.fencingToken < table.fencingToken && atOurFencingToken
-        reachability.reported(m, newEpoch, showsOurFencingToken, atOurFencingToken)
-        if (m.state != Machine.State.UP || showsOurFencingToken) context.changed()
-        m.markUp()
-        m.lease.recordHeartbeat(heartbeat.fencingToken, context.steady)
-        takeNotice(m, heartbeat.noticeS)
-        return m
-    }
-
-    /** Takes in whether, and in how many seconds, the cloud will take [m]. */
-    private fun takeNotice(m: Machine, noticeS: Double?) {
-        if (noticeS == null) {
-            m.availability.withdrawSpotNotice()
-            return
-        }
-        if (!m.availability.hasSpotNotice) context.changed()
-        m.availability.recordSpotNotice(context.steady + (noticeS * MS_PER_S).toLong())
-        windDown(m)
+        update(machine, heartbeat)
+        return machine
     }
 
     private fun dropped(input: DroppedInput): Machine? {
@@ -142,76 +115,58 @@
         return null
     }
 
-    private fun beginEpoch(m: Machine, epoch: Long) {
-        if (m.lease.epoch > 0) newEpochListener(m, m.lease.fencingToken >= table.fencingToken)
-        m.lease.beginEpoch(epoch)
-        m.availability.endQuarantine()
-        m.reconciled = null
-        m.images.clear()
-        m.images.addAll(m.held) // its cache outlives the session; what it was fetching does not
+    /** Takes in a heartbeat that is newer than all that were answered. */
+    private fun update(machine: Machine, heartbeat: WorkerHeartbeat) {
+        machine.describe(names.types.intern(heartbeat.type), names.zones.intern(heartbeat.zone), heartbeat.spot)
+        machine.address = heartbeat.address
+        val newEpoch = heartbeat.epoch > machine.lease.epoch
+        if (newEpoch) beginEpoch(machine, heartbeat.epoch)
+        val atOurFencingToken = heartbeat.fencingToken >= table.fencingToken
+        val showsOurFencingToken = !hasShownOurFencingToken(machine) && atOurFencingToken
+        reachability.onHeartbeat(machine, newEpoch, showsOurFencingToken, atOurFencingToken)
+        if (machine.state != Machine.State.UP || showsOurFencingToken) context.changed()
+        machine.markUp()
+        machine.lease.recordHeartbeat(heartbeat.fencingToken, context.steady)
+        spotNotices.onHeartbeat(machine, heartbeat.noticeS)
     }
 
-    /** It carried out what we sent it directly: our commands reach it. */
-    fun reached(m: Machine) = reachability.proved(m)
+    private fun hasShownOurFencingToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
 
-    /** Whether it is not certain that [m] hears us, so that it is to be asked directly; true once in a while. */
-    fun shouldProbe(m: Machine): Boolean {
-        if (m.state != Machine.State.UP || m.lease.fencingToken < table.fencingToken) return false
-        return context.steady - m.lease.heartbeatAt < leaseMs && reachability.startProbe(m)
+    private fun beginEpoch(machine: Machine, epoch: Long) {
+        if (machine.lease.epoch > 0) newEpochListener(machine, hasShownOurFencingToken(machine))
+        machine.lease.beginEpoch(epoch)
+        machine.availability.endQuarantine()
+        machine.reconciled = null
+        machine.images.clear()
+        machine.images.addAll(machine.held) // its cache outlives the epoch; what it was fetching does not
     }
 
-    /**
-     * The cloud will take the machine: what can save its progress does so now, and what will certainly not be over by
-     * then begins elsewhere at once, since it would be lost here and known to be lost only when the lease has lapsed.
-     */
-    private fun windDown(m: Machine) {
-        val leftS = (m.availability.reclaimAt - context.steady) / MS_PER_S
-        for (a in m.attempts) {
-            if (!a.onMachine || a.stopping || a.job.service) continue // replicas are moved by [ReplicaMigration]
-            val saves = a.job.spec.checkpointS > 0 && a.phase == Attempt.Phase.RUNNING
-            val overInTime = a.inherited || a.leastLeftS(context.steady) <= leftS
-            if (saves || !overInTime) a.stopping = true
-        }
-    }
+    /** The machine carried out a direct command: our messages reach it. */
+    fun reached(machine: Machine) = reachability.onProof(machine)
 
-    /** Ends leases that have certainly lapsed. */
-    fun expireLeases() {
-        val t = context.steady
-        if (t < nextLeaseExpiryAt) return
-        nextLeaseExpiryAt = t + leaseExpiresAfterMs
-        for (m in table.all) {
-            if (m.state != Machine.State.UP && m.attempts.isEmpty()) continue
-            if (t < m.lease.answeredAt + leaseExpiresAfterMs) {
-                nextLeaseExpiryAt = minOf(nextLeaseExpiryAt, m.lease.answeredAt + leaseExpiresAfterMs)
-                continue
-            }
-            if (m.state == Machine.State.LOST || m.state == Machine.State.DELETING) {
-                onGone(m) // asked to be deleted with tasks on it, and whether it is gone is not known yet
-                continue
-            }
-            context.info("the lease of ${m.name} has lapsed")
-            m.markLost(since = t)
-            onGone(m)
-        }
+    /** Whether it is in doubt that our messages reach [machine], so that it is to be probed; true once in a while. */
+    fun shouldProbe(machine: Machine): Boolean {
+        if (machine.state != Machine.State.UP || !hasShownOurFencingToken(machine)) return false
+        return context.steady - machine.lease.heartbeatAt < leaseMs && reachability.startProbe(machine)
     }
 
+    /** Expires the leases that have certainly run out. */
+    fun expireLeases() = leaseExpiry.run()
+
+    /**
+     * Reads from the cloud what is due, and scales the fleet by at most one request. Only a leader scales, and a
+     * request without a reply is repeated before anything else is scaled.
+     */
     fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayRent: Boolean) {
         cloud.refill()
-        rental.moreNow = false
-        listing.readCatalog(leading)
+        scaleOut.moreNow = false
+        inventory.readCatalogIfDue(leading)
         if (!leading || !catalogKnown) return
-        listing.readList()
-        returns.retire(unplaced.isNotEmpty())
-        if (cloud.changing) return
-        if (rental.isPending) return rental.retry()
-        if (returns.returnMachines(unplaced)) return
-        if (mayRent) rental.rentFor(unplaced)
-    }
-
-    private companion object {
-        const val LEASE_EXPIRY_MARGIN_MS = 500L
-
-        /** Clocks of two machines drift apart by less than one part in this many. */
-        const val DRIFT_OF = 500L
+        inventory.readListIfDue()
+        scaleIn.cordonOverpriced(tasksWait = unplaced.isNotEmpty())
+        if (cloud.isScaling) return
+        if (scaleOut.isPending) return scaleOut.retry()
+        if (scaleIn.deleteUnneeded(unplaced)) return
+        if (mayRent) scaleOut.rentFor(unplaced)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -5,87 +5,94 @@
 import org.chalkhollow.core.common.MS_PER_S
 
 /**
- * Owns whether machines hear us. Reports alone do not tell, since a cut can stop one direction only; a machine that
- * reports and hears nothing looks alive, and what it is given waits for ever. Proofs are: its first report at our
- * token, a start of ours that shows up, a direct command that it answers, and a next report that comes sooner than one
- * can that follows a report without an answer. Where reports are rare, that last one is not to be had from each, so a
- * machine is doubted only when proofs fail to come for several reports, then asked directly, and given no more work
- * when that brings no proof either. Only placement and the return of machines rest on this, no proof about attempts
- * does.
+ * Owns the judgement whether our messages reach a machine. Heartbeats alone do not tell, since a network cut can stop
+ * one direction only; a machine that sends heartbeats and receives nothing looks alive, and what it is given waits for
+ * ever. Proofs are: its first heartbeat at our fencing token, a start of ours that shows up, a direct command that it
+ * answers, and a next heartbeat that comes sooner than one can that follows a heartbeat without an answer. Where
+ * heartbeats are rare, that last one is not to be had from each, so a machine is doubted only when proofs fail to come
+ * for several heartbeats, then probed with a direct command, and given no more work when that brings no proof either.
+ * Only placement and scaling in rest on this, no proof about attempts does. [Fleet] calls it, [ScaleIn] and [ScaleOut]
+ * read it.
  */
 class MachineReachability(private val context: CoreContext, heartbeatIntervalS: Double, leaseS: Double) {
     private val doubtMs = maxOf(UNANSWERED_GAP_MS, (heartbeatIntervalS * DOUBT_MS_PER_S).toLong())
 
-    /** A report is overdue after this long; no news from then on means more than that the next one is a little late. */
+    /** A heartbeat is overdue after this long; silence from then on means more than that it is a little late. */
     private val overdueMs = (heartbeatIntervalS * OVERDUE_MS_PER_S).toLong() + LATE_MS
     private val silentMs = maxOf((leaseS * MS_PER_S / 2).toLong(), overdueMs + DIRECT_MS + LATE_MS)
 
-    /** A report that is newer than all before it has come in from [m]. */
-    fun reported(m: Machine, newEpoch: Boolean, showsOurFencingToken: Boolean, atOurFencingToken: Boolean) {
-        val t = context.steady
-        if (newEpoch) {
-            m.reachability.beginEpoch()
-        }
-        val soon = !newEpoch && m.lease.heartbeatAt != Machine.NEVER && t - m.lease.heartbeatAt < UNANSWERED_GAP_MS
-        if (atOurFencingToken && (showsOurFencingToken || soon)) m.reachability.recordProof(t)
-        judge(m, atOurFencingToken)
+    /** A heartbeat of [machine] has come in that is newer than all before it. */
+    fun onHeartbeat(machine: Machine, newEpoch: Boolean, showsOurFencingToken: Boolean, atOurFencingToken: Boolean) {
+        if (newEpoch) machine.reachability.beginEpoch()
+        val soon = !newEpoch && followsSoon(machine)
+        if (atOurFencingToken && (showsOurFencingToken || soon)) machine.reachability.recordProof(context.steady)
+        judge(machine, atOurFencingToken)
     }
 
-    /** [m] did what only one that hears us does. */
-    fun proved(m: Machine) {
-        m.reachability.recordProof(context.steady)
-        judge(m, true)
+    /** Whether a heartbeat now comes too soon after the last one for that to have had no answer. */
+    private fun followsSoon(machine: Machine): Boolean {
+        val last = machine.lease.heartbeatAt
+        return last != Machine.NEVER && context.steady - last < UNANSWERED_GAP_MS
     }
 
-    private fun judge(m: Machine, atOurFencingToken: Boolean) {
-        val reachable = atOurFencingToken && context.steady - m.reachability.provedAt < doubtMs + PROBE_EVERY_MS
-        if (m.reachability.update(reachable, context.steady)) context.changed()
+    /** [machine] did what only one that our messages reach does. */
+    fun onProof(machine: Machine) {
+        machine.reachability.recordProof(context.steady)
+        judge(machine, atOurFencingToken = true)
     }
 
-    /** Whether to probe [m] now with a direct command; if so, the probe is taken as sent. */
-    fun startProbe(m: Machine): Boolean {
-        if (m.directBusy || !isDoubtful(m)) return false
+    private fun judge(machine: Machine, atOurFencingToken: Boolean) {
+        val provedLately = context.steady - machine.reachability.provedAt < doubtMs + PROBE_EVERY_MS
+        val changed = machine.reachability.update(atOurFencingToken && provedLately, context.steady)
+        if (changed) context.changed()
+    }
+
+    /** Whether to probe [machine] now with a direct command; if so, the probe is taken as sent. */
+    fun startProbe(machine: Machine): Boolean {
+        if (machine.directBusy || !isDoubtful(machine)) return false
         val now = context.steady
-        if (now - m.reachability.probedAt < PROBE_EVERY_MS) return false
-        m.reachability.recordProbe(now)
+        if (now - machine.reachability.probedAt < PROBE_EVERY_MS) return false
+        machine.reachability.recordProbe(now)
         return true
     }
 
-    private fun isDoubtful(m: Machine): Boolean {
-        if (m.busy && overdue(m)) return true
-        return context.steady - m.reachability.provedAt >= doubtMs
+    private fun isDoubtful(machine: Machine): Boolean {
+        if (machine.busy && overdue(machine)) return true
+        return context.steady - machine.reachability.provedAt >= doubtMs
     }
 
-    /** Whether a report should have come from [m] by now. */
-    fun overdue(m: Machine): Boolean =
-        m.lease.heartbeatAt != Machine.NEVER && context.steady - m.lease.heartbeatAt > overdueMs
-
-    /** Whether [m] has said nothing for long, not even when it was asked. */
-    fun silent(m: Machine): Boolean {
-        val t = context.steady
-        return m.lease.heartbeatAt != Machine.NEVER &&
-            t - maxOf(m.lease.heartbeatAt, m.reachability.provedAt) > silentMs &&
-            m.reachability.probedAt > maxOf(m.lease.heartbeatAt, m.reachability.provedAt) &&
-            t - m.reachability.probedAt > DIRECT_MS
+    /** Whether a heartbeat should have come from [machine] by now. */
+    fun overdue(machine: Machine): Boolean {
+        val last = machine.lease.heartbeatAt
+        return last != Machine.NEVER && context.steady - last > overdueMs
+    }
+
+    /** Whether [machine] has sent nothing for long, not even the reply to a probe. */
+    fun silent(machine: Machine): Boolean {
+        if (machine.lease.heartbeatAt == Machine.NEVER) return false
+        val now = context.steady
+        val probedAt = machine.reachability.probedAt
+        val lastSignAt = maxOf(machine.lease.heartbeatAt, machine.reachability.provedAt)
+        return now - lastSignAt > silentMs && probedAt > lastSignAt && now - probedAt > DIRECT_MS
     }
 
     private companion object {
         /**
-         * A worker that gets no answer waits 4 s for it and reports again after another one, a little less by our
-         * clock.
+         * A worker that gets no answer waits 4 s for it and sends its next heartbeat after another one, a little less
+         * by our clock.
          */
         const val UNANSWERED_GAP_MS = 4500L
 
-        /** A machine is doubted when there was no proof for three periods of its reports. */
+        /** A machine is doubted when there was no proof for three heartbeat intervals. */
         const val DOUBT_MS_PER_S = 3000
 
-        /** Workers report after three quarters to five quarters of their period; what comes later is overdue. */
+        /** Workers send heartbeats after three quarters to five quarters of their interval; later ones are overdue. */
         const val OVERDUE_MS_PER_S = 1250
 
-        /** How much later than expected an answer or a report may be. */
+        /** How much later than expected an answer or a heartbeat may be. */
         const val LATE_MS = 500L
 
-        /** How long a direct command waits for its answer, and how often one is sent to ask. */
+        /** How long a direct command waits for its reply. */
         const val DIRECT_MS = 3000L
         const val PROBE_EVERY_MS = 4000L
     }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -8,7 +8,7 @@
 
 /**
  * Owns which machines this leader knows, and the cloud's machine types. A machine that is certainly gone is taken out
- * once and never comes back, however late a report or a list names it. [Fleet] and its parts share it.
+ * once and never comes back, however late a heartbeat or a list names it. [Fleet] and its parts share it.
  */
 class MachineTable(private val context: CoreContext, private val names: Interners, private val leaseMs: Long) {
     private val byName = LinkedHashMap<String, Machine>()
@@ -20,7 +20,7 @@
     /** Machine types by index; a type that the catalog does not list is null. */
     val types = ArrayList<MachineType?>()
 
-    /** The generation in which this controller leads, and when it took over. */
+    /** The fencing token of this term as leader, and when the term began. */
     var fencingToken = 0L
         private set
     var takenOverAt = 0L
@@ -36,10 +36,11 @@
         takenOverAt = context.steady
     }
 
+    /** The machine of this [name]; one that is not known yet is taken in. */
     fun known(name: String): Machine =
         byName.getOrPut(name) {
             Machine(names.machines.intern(name), name, context.steady).also {
-                it.lease.assumeAnsweredUntil(takenOverAt)
+                it.lease.assumeAnsweredUntil(takenOverAt) // by an earlier leader
             }
         }
 
@@ -47,41 +48,43 @@
 
     fun isGone(name: String): Boolean = name in gone
 
-    fun remove(m: Machine) {
-        onGone(m)
-        byName.remove(m.name)
-        gone.add(m.name)
+    fun remove(machine: Machine) {
+        onGone(machine)
+        byName.remove(machine.name)
+        gone.add(machine.name)
     }
 
-    /** CPUs of the machines that are up or on their way. */
+    /** CPUs of the machines that are up or booting. */
     fun cpus(): Double = byName.values.sumOf { if (it.upOrBooting) cpusOf(it) else 0.0 }
 
     /** CPUs of those of one type; all if [type] is negative. */
-    fun cpus(type: Int): Double =
-        if (type < 0) cpus() else byName.values.sumOf { if (it.type == type && it.upOrBooting) cpusOf(it) else 0.0 }
+    fun cpus(type: Int): Double {
+        if (type < 0) return cpus()
+        return byName.values.sumOf { if (it.type == type && it.upOrBooting) cpusOf(it) else 0.0 }
+    }
 
     private val Machine.upOrBooting: Boolean get() = state == Machine.State.UP || state == Machine.State.BOOTING
 
-    fun cpusOf(m: Machine): Double = types.getOrNull(m.type)?.room?.cpus ?: 0.0
+    fun cpusOf(machine: Machine): Double = types.getOrNull(machine.type)?.room?.cpus ?: 0.0
 
     fun priceOf(type: Int, spot: Boolean): Double =
         types.getOrNull(type)?.let { if (spot) it.spotPrice else it.price } ?: 0.0
 
-    fun bootS(m: Machine): Double = types.getOrNull(m.type)?.bootS ?: UNKNOWN_BOOT_S
+    fun bootS(machine: Machine): Double = types.getOrNull(machine.type)?.bootS ?: UNKNOWN_BOOT_S
 
-    /** Machines that take new tasks: up, heard from at our token, neither draining nor about to be taken. */
-    fun placeable(): List<Machine> =
-        byName.values.filter { m ->
-            m.takesTasks && heardLately(m) &&
-                m.type in types.indices &&
-                types[m.type] != null
-        }
+    /**
+     * Machines that take new tasks: up, of a type that the catalog lists, heard from lately, reachable, and neither
+     * being emptied nor in quarantine.
+     */
+    fun placeable(): List<Machine> = byName.values.filter { it.takesTasks && heardLately(it) && isTypeListed(it) }
 
     private val Machine.takesTasks: Boolean
         get() = state == Machine.State.UP && reachability.reachable && availability.acceptsTasks
 
-    private fun heardLately(m: Machine): Boolean =
-        context.steady >= m.fullUntil && context.steady - m.lease.heartbeatAt < leaseMs / 2
+    private fun heardLately(machine: Machine): Boolean =
+        context.steady >= machine.fullUntil && context.steady - machine.lease.heartbeatAt < leaseMs / 2
+
+    private fun isTypeListed(machine: Machine): Boolean = types.getOrNull(machine.type) != null
 
     /** Whether tasks of [job] may run on machines of this kind; room and type aside. */
     fun allows(job: OpenJob, type: Int, zone: Int, spot: Boolean): Boolean {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.fleet
 
-import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CloudOp
@@ -10,221 +9,132 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns which machines are given back: what failed, never came up, was lost, is sick, silent, unreachable, or idles. A
- * machine with tasks on it is returned only where a confirmed deletion is the sooner proof that they are gone. Called
- * by [Fleet].
+ * Owns which machines are deleted: those that failed, never came up, were lost, fail their tasks, are silent or
+ * unreachable, and those that idle. A machine with tasks on it is deleted only where a confirmed deletion is the sooner
+ * proof that they are gone. Called by [Fleet].
  */
 class ScaleIn(
     private val context: CoreContext,
     private val table: MachineTable,
     private val cloud: CloudRequests,
-    private val reachability: MachineReachability,
-    private val staticMachines: StaticMachines,
-    private val options: OperatorSettings,
+    reachability: MachineReachability,
+    staticMachines: StaticMachines,
+    options: OperatorSettings,
     private val leaseMs: Long,
 ) {
-    /** A machine that reports but hears nothing for this long is returned: it can run nothing, and costs. */
-    private val unreachableMs = maxOf(leaseMs * UNREACHABLE_LEASES, UNREACHABLE_LEAST_MS)
-    private var waitedAt = Machine.NEVER
-    private var retiredAt = Machine.NEVER
-
     /** CPUs that are to stay free for urgent work. */
     var reserve: () -> Double = { 0.0 }
 
-    /** Deletes what is of no use any more; true if a request was sent. */
-    fun returnMachines(unplaced: List<UnplacedTasks>): Boolean {
-        val t = context.steady
-        val out = silent(t)
-        for (m in table.all) {
-            if (m.state == Machine.State.DELETING || m in out) continue
-            noteIdle(m, t)
-            setAsideIfSick(m)
-            if (useless(m, t)) out.add(m)
-        }
-        // Work that no machine can take waits for ever if idle machines of other kinds fill the room that the cloud
-        // gives.
-        val stuck = unplaced.any { u -> table.all.none { couldTake(it, u.job) } }
-        if (unplaced.isEmpty() || stuck) {
-            out.addAll(idle(t, stuck).filter { m -> unplaced.none { couldTake(m, it.job) } })
-        }
-        if (out.isEmpty() || !cloud.spend()) return false
-        delete(out.take(MAX_DELETED))
-        return true
-    }
+    private val silentMachines = SilentMachines(context, table, reachability, leaseMs)
+    private val idleMachines = IdleMachines(context, table, staticMachines, options)
+    private val overpricedMachines = OverpricedMachines(context, table, staticMachines) { reserve() }
 
-    private fun noteIdle(m: Machine, t: Long) {
-        m.availability.recordIdle(idle = m.vacant && m.state == Machine.State.UP, t)
+    /** A machine that sends heartbeats but receives nothing for this long is deleted: it can run nothing, and costs. */
+    private val unreachableMs = maxOf(leaseMs * UNREACHABLE_LEASES, UNREACHABLE_MIN_MS)
+
+    /** Cordons a few machines that cost too much; none while tasks wait. */
+    fun cordonOverpriced(tasksWait: Boolean) {
+        if (tasksWait) overpricedMachines.uncordonAll() else overpricedMachines.cordonSome()
     }
 
-    private fun setAsideIfSick(m: Machine) {
-        if (m.failedJobs.size < SICK_JOBS || m.availability.draining) return
-        m.availability.drain()
-        context.changed()
-        context.info("${m.name} fails every task and is set aside")
+    /** Deletes what is of no use any more; true if a request was sent. */
+    fun deleteUnneeded(unplaced: List<UnplacedTasks>): Boolean {
+        val unneeded = useless() + idle(unplaced)
+        if (unneeded.isEmpty() || !cloud.trySpend()) return false
+        delete(unneeded.take(MAX_DELETED))
+        return true
     }
 
-    /**
-     * Machines that the cloud has taken, or that say nothing and do not answer: a deletion that the cloud confirms
-     * proves what was on them gone, long before their leases lapse. Where much of a zone is silent it is the network or
-     * ourselves, and everything there may be well; those are left to their leases.
-     */
-    private fun silent(t: Long): ArrayList<Machine> {
-        val out = ArrayList<Machine>()
-        val up = Int2IntOpenHashMap()
-        val overdue = Int2IntOpenHashMap()
-        val silent = ArrayList<Machine>()
-        for (m in table.all) {
-            if (m.state != Machine.State.UP) continue
-            up.addTo(m.zone, 1)
-            if (reachability.overdue(m)) overdue.addTo(m.zone, 1)
-            if (m.availability.hasSpotNotice && t > m.availability.reclaimAt + TAKEN_MS) {
-                out.add(m)
-            } else if (m.busy && reachability.silent(m)) {
-                silent.add(m)
-            }
+    private fun useless(): List<Machine> {
+        val silent = silentMachines.find()
+        val useless = ArrayList(silent)
+        for (machine in table.all) {
+            if (machine.state == Machine.State.DELETING || machine in silent) continue
+            idleMachines.update(machine)
+            drainIfFaulty(machine)
+            if (isUseless(machine)) useless.add(machine)
         }
-        if (t - table.takenOverAt < leaseMs) return out
-        silent.filterTo(out) { overdue.get(it.zone) * SILENT_OF < up.get(it.zone) }
-        return out
+        return useless
     }
 
-    /**
-     * When little is asked for, tasks spread thinly over machines that cost more than their like can be had for. A few
-     * at a time those stop taking tasks, run dry and go; as soon as anything waits they are back in use.
-     */
-    fun retire(waits: Boolean) {
-        val t = context.steady
-        if (waits) {
-            waitedAt = t
-            for (m in table.all) m.availability.uncordon()
-            return
-        }
-        if (t - waitedAt < CALM_MS || t - retiredAt < RETIRE_EVERY_MS) return
-        val dear =
-            table
-                .placeable()
-                .filter(::dearerThanItsLike)
-                .map { it to it.room(table.types).cpus }
-                .sortedByDescending { it.second }
-        if (dear.isEmpty()) return
-        var free = table.placeable().sumOf { it.room(table.types).cpus }
-        for ((m, room) in dear.take(maxOf(1, dear.size / RETIRED_OF))) {
-            free -= room
-            if (free < reserve() * RESERVES_KEPT) return
-            m.availability.cordon()
-            retiredAt = t
-        }
+    /** Idle machines that no task waits for. */
+    private fun idle(unplaced: List<UnplacedTasks>): List<Machine> {
+        // Work that no machine can take waits for ever if idle machines of other kinds fill the room that the cloud
+        // gives.
+        val stuck = unplaced.any { tasks -> table.all.none { couldTake(it, tasks.job) } }
+        if (unplaced.isNotEmpty() && !stuck) return emptyList()
+        return idleMachines
+            .expendable(withoutStandby = stuck)
+            .filter { machine -> unplaced.none { couldTake(machine, it.job) } }
     }
 
-    private fun dearerThanItsLike(m: Machine): Boolean {
-        val type = table.types.getOrNull(m.type) ?: return false
-        // A replica never ends, so a machine that has one would never run dry.
-        return m.name !in staticMachines.names && m.attempts.none { it.job.service } &&
-            table.priceOf(m.type, m.spot) > minOf(type.price, type.spotPrice)
+    private fun drainIfFaulty(machine: Machine) {
+        if (machine.failedJobs.size < FAULTY_JOBS || machine.availability.draining) return
+        machine.availability.drain()
+        context.changed()
+        context.info("${machine.name} fails every task and is drained")
     }
 
-    private fun useless(m: Machine, t: Long): Boolean =
+    private fun isUseless(machine: Machine): Boolean =
         when {
-            m.cloud.failed && m.state != Machine.State.UP -> true
-            m.state == Machine.State.LOST -> t - m.lostAt > LOST_MS
-            m.state == Machine.State.BOOTING -> neverCameUp(m, t)
-            unreachable(m, t) -> true
-            m.availability.draining -> !m.busy
-            m.availability.cordoned && m.state == Machine.State.UP -> m.vacant
-            m.availability.hasSpotNotice -> m.vacant
+            machine.cloud.failed && machine.state != Machine.State.UP -> true
+            machine.state == Machine.State.LOST -> context.steady - machine.lostAt > LOST_MS
+            machine.state == Machine.State.BOOTING -> neverCameUp(machine)
+            isUnreachable(machine) -> true
+            machine.availability.draining -> !machine.busy
+            machine.availability.cordoned && machine.state == Machine.State.UP -> machine.vacant
+            machine.availability.hasSpotNotice -> machine.vacant
             else -> false
         }
 
     /**
      * A new leader has not heard from machines that have long been up: they are given time to find it. An earlier
-     * version returned those that a list named before their first report came in.
+     * version deleted those that a list named before their first heartbeat came in.
      */
-    private fun neverCameUp(m: Machine, t: Long): Boolean =
-        m.attempts.isEmpty() && t - m.cloud.createdAt > table.bootS(m) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS &&
-            t - table.takenOverAt > leaseMs * 2
-
-    private fun unreachable(m: Machine, t: Long): Boolean {
-        if (m.state != Machine.State.UP || m.reachability.unreachableSince == Machine.NEVER) return false
-        return t - m.reachability.unreachableSince > unreachableMs && t - table.takenOverAt > unreachableMs
+    private fun neverCameUp(machine: Machine): Boolean {
+        if (machine.attempts.isNotEmpty()) return false
+        if (context.steady - table.takenOverAt <= leaseMs * 2) return false
+        val mostBootMs = table.bootS(machine) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS
+        return context.steady - machine.cloud.createdAt > mostBootMs
     }
 
-    /**
-     * Machines that have idled for too long, the dearest first. The operator's own machines stay, and rented ones may
-     * idle beside them while they cost less than [OperatorSettings.standbyShare] of what those do.
-     */
-    private fun idle(t: Long, stuck: Boolean): List<Machine> {
-        val idle = table.all.filter { idles(it) && it.name !in staticMachines.names }
-        val long =
-            idle
-                .filter {
-                    t - it.availability.idleSince >
-                        idleAllowedMs(
-                            it,
-                        )
-                }.sortedByDescending { table.priceOf(it.type, it.spot) }
-        if (long.isEmpty()) return emptyList()
-        var standby = if (stuck) 0.0 else options.standbyShare * preProvisionedPrice()
-        val out = ArrayList<Machine>()
-        for (m in long.reversed()) {
-            standby -= table.priceOf(m.type, m.spot)
-            if (standby < 0) out.add(m)
-        }
-        return out.take(maxOf(0, idle.size - options.spareMachines))
+    private fun isUnreachable(machine: Machine): Boolean {
+        val since = machine.reachability.unreachableSince
+        if (machine.state != Machine.State.UP || since == Machine.NEVER) return false
+        val now = context.steady
+        return now - since > unreachableMs && now - table.takenOverAt > unreachableMs
     }
 
-    private fun idles(m: Machine): Boolean =
-        m.state == Machine.State.UP && m.availability.idleSince != Machine.NEVER && !m.availability.draining
-
-    private fun preProvisionedPrice(): Double =
-        table.all.filter { it.name in staticMachines.names }.sumOf { table.priceOf(it.type, it.spot) }
-
-    private fun couldTake(m: Machine, job: OpenJob): Boolean {
-        val type = table.types.getOrNull(m.type) ?: return false
-        return table.allows(job, m.type, m.zone, m.spot) && job.fitsType(m.type, type) &&
-            !job.avoids(m.id, context.steady)
+    private fun couldTake(machine: Machine, job: OpenJob): Boolean {
+        val type = table.types.getOrNull(machine.type) ?: return false
+        return table.allows(job, machine.type, machine.zone, machine.spot) && job.fitsType(machine.type, type) &&
+            !job.avoids(machine.id, context.steady)
     }
 
-    /** The dearer a machine is, compared with the cheapest way to have its like, the sooner it goes. */
-    private fun idleAllowedMs(m: Machine): Double {
-        val allowedMs = options.idleReturnS * MS_PER_S
-        val type = table.types.getOrNull(m.type) ?: return allowedMs
-        val cheapest = minOf(type.price, type.spotPrice)
-        val price = table.priceOf(m.type, m.spot)
-        return allowedMs * (if (price > 0) minOf(1.0, cheapest / price) else 1.0)
-    }
-
-    private fun delete(list: List<Machine>) {
-        list.forEach(Machine::markDeleting)
-        context.info("returning ${list.joinToString(" ") { it.name }}")
-        cloud.change(CloudOp.Delete(list.map { it.name })) { reply ->
+    private fun delete(machines: List<Machine>) {
+        machines.forEach(Machine::markDeleting)
+        context.info("deleting ${machines.joinToString(" ") { it.name }}")
+        cloud.scale(CloudOp.Delete(machines.map { it.name })) { reply ->
             if (reply is CloudReply.Deleted) {
-                list.forEach(table::remove)
-                return@change
+                machines.forEach(table::remove)
+            } else {
+                // They may or may not be gone: they stay out of use and are deleted again at once.
+                machines.forEach { it.markLost(since = context.steady - LOST_MS) }
             }
-            // Without a 200 they may or may not be gone: they stay out of use and are asked for again.
-            for (m in list) m.markLost(since = context.steady - LOST_MS)
         }
     }
 
     private companion object {
         const val UNREACHABLE_LEASES = 3
-        const val UNREACHABLE_LEAST_MS = 30_000L
+        const val UNREACHABLE_MIN_MS = 30_000L
         const val LOST_MS = 45_000L
 
         /** A machine that has not come up after so many times its usual boot time, and some seconds, never will. */
         const val BOOT_FACTOR = 4
         const val BOOT_SLACK_MS = 10_000L
-        const val SICK_JOBS = 2
-
-        /** This long after the announced moment a machine is taken for taken. */
-        const val TAKEN_MS = 1000L
 
-        /** Silence of less than one in this many of a zone's machines is their own. */
-        const val SILENT_OF = 3
-        const val CALM_MS = 3000L
-        const val RETIRE_EVERY_MS = 1500L
-        const val RETIRED_OF = 15
-        const val RESERVES_KEPT = 2.0
+        /** A machine on which so many jobs failed in a row is faulty. */
+        const val FAULTY_JOBS = 2
         const val MAX_DELETED = 100
     }
 }
