--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -11,7 +11,8 @@
 
 /**
  * Owns which machines were there before the first leader rented any: they are the operator's own and are kept, with the
- * images they hold, however long they idle. The names are written down once, by the first generation.
+ * images they hold, however long they idle. The names are stored once, by the first leader of all. The controller loads
+ * and stores them; [CloudInventory] hands over the list, [ScaleIn] and its parts read the names.
  */
 class StaticMachines(private val context: CoreContext, private val limits: StateLimits) {
     var names: Set<String> = emptySet()
@@ -21,12 +22,12 @@
     /** Whether this leader is the first of all, before whom nothing was rented. */
     var first = false
         private set
-    private var due: Write? = null
+    private var pendingWrite: Write? = null
 
     fun start(fencingToken: Long) {
         names = emptySet()
         recorded = false
-        due = null
+        pendingWrite = null
         first = fencingToken == 1L
     }
 
@@ -34,15 +35,15 @@
         recorded = true
         val fields = Fields.of(row.value, row.key)
         val runs = if (fields.has(RUNS)) fields.maps(RUNS).mapNotNull(NumberedNames::of) else emptyList()
-        names = HashSet(fields.texts("names") + runs.flatMap { it.names })
+        names = HashSet(fields.texts(NAMES) + runs.flatMap { it.names })
     }
 
-    /** The first whole machine list of the first generation, read before anything was rented. */
+    /** The first whole list of machines in the first leader's term, read before anything was rented. */
     fun onList(found: Set<String>) {
         if (!first || recorded) return
         recorded = true
         names = HashSet(found)
-        due = write(found.sorted())
+        pendingWrite = write(found.sorted())
         context.info("${found.size} machines were here before us")
     }
 
@@ -50,43 +51,41 @@
      * The names as they are; where a value cannot hold them, the last of them as runs, which earlier versions ignore.
      */
     private fun write(sorted: List<String>): Write {
-        val all = sorted.sumOf(::bytes)
-        val room = limits.valueBytes - MARGIN_BYTES
-        if (all < room) return write(sorted, emptyList())
-        var left = room - room / RUNS_PART
-        val kept =
-            sorted.takeWhile { name ->
-                left -= bytes(name)
-                left > 0
-            }
-        val runs = NumberedNames.of(sorted.drop(kept.size)).map { it.value() }
-        var leftForRuns = room / RUNS_PART
-        return write(
-            kept,
-            runs.takeWhile { run ->
-                leftForRuns -= EncodedSize.of(run) + 1
-                leftForRuns > 0
-            },
-        )
+        val valueBytes = limits.valueBytes - MARGIN_BYTES
+        if (sorted.sumOf(::encodedBytes) < valueBytes) return write(sorted, emptyList())
+        val runsBytes = valueBytes / RUNS_PART
+        val plain = takeWithin(valueBytes - runsBytes, sorted, ::encodedBytes)
+        val runs = NumberedNames.of(sorted.drop(plain.size)).map { it.value() }
+        return write(plain, takeWithin(runsBytes, runs, ::encodedBytes))
     }
 
-    private fun bytes(name: String): Int = EncodedSize.of(name) + 1
+    /** The first of [items] that take less than [bytes] together. */
+    private fun <T> takeWithin(bytes: Int, items: List<T>, size: (T) -> Int): List<T> {
+        var left = bytes
+        return items.takeWhile { item ->
+            left -= size(item)
+            left > 0
+        }
+    }
+
+    private fun encodedBytes(item: Any): Int = EncodedSize.of(item) + 1
 
-    /** What is refused although it should fit is halved; names that are not written count as rented. */
-    private fun write(kept: List<String>, runs: List<Map<String, Any?>>): Write {
-        val value = if (runs.isEmpty()) mapOf("names" to kept) else mapOf("names" to kept, RUNS to runs)
+    /** What is refused although it should fit is halved; names that are not stored count as rented. */
+    private fun write(plain: List<String>, runs: List<Map<String, Any?>>): Write {
+        val value = if (runs.isEmpty()) mapOf(NAMES to plain) else mapOf(NAMES to plain, RUNS to runs)
         return Write(listOf(Change(KEY, value)), onRefused = {
-            if (kept.isNotEmpty()) due = write(kept.take(kept.size / 2), runs)
+            if (plain.isNotEmpty()) pendingWrite = write(plain.take(plain.size / 2), runs)
         }) {}
     }
 
-    /** Whether renting may begin: what is listed later might be ours. */
+    /** Whether the machines are known, so that renting may begin: what is listed later might be rented. */
     val known: Boolean get() = recorded || !first
 
+    /** The write that is due, if [room] has a place for it. */
     fun next(room: StateWriter.Room): Write? {
-        val write = due ?: return null
+        val write = pendingWrite ?: return null
         if (room.ops < 1 || room.bytes < limits.valueBytes) return null
-        due = null
+        pendingWrite = null
         return write
     }
 
@@ -99,6 +98,7 @@
 
         /** One part in this many of a value is for runs, when it cannot hold all names. */
         private const val RUNS_PART = 4
+        private const val NAMES = "names"
         private const val RUNS = "runs"
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -77,7 +77,7 @@
                 next = job.ready.nextSetBit(next + 1)
             }
             out.add(Allocation(job, m, tasks, starvation.goesFirst(job)))
-            zones.take(m.zone, n)
+            zones.addTasks(m.zone, n)
             m.roundRoom = m.roundRoom.without(job.taskResources, n)
             if (job.image >= 0) m.images.add(job.image)
             left -= n
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -156,7 +156,7 @@
     /** The rule on zones as it stands with what this round has given the job. */
     private fun zonesAfter(job: OpenJob): ZoneConstraint {
         val zones = ZoneConstraint(job, fleet)
-        for (a in out) if (a.job === job) zones.take(a.machine.zone, a.tasks.size)
+        for (a in out) if (a.job === job) zones.addTasks(a.machine.zone, a.tasks.size)
         return zones
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -146,10 +146,10 @@
         val zones = ZoneConstraint(attempt.job, fleet)
         for (move in moves) {
             if (move.job !== attempt.job) continue
-            if (!move.oldGone) zones.leave(move.old.machine.zone)
-            zones.take(move.target.zone, 1)
+            if (!move.oldGone) zones.removeTask(move.old.machine.zone)
+            zones.addTasks(move.target.zone, 1)
         }
-        zones.leave(attempt.machine.zone)
+        zones.removeTask(attempt.machine.zone)
         return zones
     }
 
