--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/placement/DeferredJobs.kt
@@ -0,0 +1,64 @@
+package org.chalkhollow.core.placement
+
+import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.fleet.Fleet
+import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.model.Priority
+import java.util.PriorityQueue
+
+/**
+ * Owns which jobs are deferred in a round. When more is asked of a machine type than it can do in time, some job will
+ * be late; those that cost most machine time are deferred, as many as it takes to bring the rest in on time (Moore and
+ * Hodgson's rule, by type and priority). They are not deferred for ever, see [StarvationPrevention]. Called by
+ * [JobOrder].
+ */
+class DeferredJobs(private val jobs: JobTable, private val fleet: Fleet, private val deadlines: Deadlines) {
+    private val deferred = HashSet<OpenJob>()
+
+    /** CPUs by machine type in this round; all under [ALL_TYPES]. */
+    private val cpusByType = HashMap<Int, Double>()
+
+    /** CPUs of all machines in this round. */
+    val capacity: Double get() = cpusOf(ALL_TYPES)
+
+    /** Work that has to share machines: what fits one type only, by priority. */
+    private data class Pool(val type: Int, val priority: Priority)
+
+    private class Load(val job: OpenJob, val seconds: Double)
+
+    operator fun contains(job: OpenJob): Boolean = job in deferred
+
+    fun update() {
+        cpusByType.clear()
+        deferred.clear()
+        val started = jobs.open.filter { it.placeable || !it.live.isEmpty() }
+        for ((pool, jobsOfPool) in started.groupBy { Pool(it.onlyType, it.spec.priority) }) {
+            val cpus = cpusOf(pool.type)
+            if (cpus > 0) deferAmong(jobsOfPool, cpus)
+        }
+    }
+
+    private fun cpusOf(type: Int): Double = cpusByType.getOrPut(type) { fleet.cpus(type) }
+
+    private fun deferAmong(jobs: List<OpenJob>, cpus: Double) {
+        val chosen = PriorityQueue<Load>(compareBy { -it.seconds })
+        var totalSeconds = 0.0
+        val candidates = jobs.filter { deadlines.hasDeadline(it) && !deadlines.isMissed(it) }
+        for (job in candidates.sortedBy { deadlines.dueWall(it) }) {
+            val load = Load(job, secondsLeft(job, cpus))
+            chosen.add(load)
+            totalSeconds += load.seconds
+            if (deadlines.mayEndInTime(job, maxOf(totalSeconds, job.spec.expectedS))) continue
+            val largest = chosen.poll()
+            totalSeconds -= largest.seconds
+            if (largest.job.live.isEmpty()) deferred.add(largest.job)
+        }
+    }
+
+    private fun secondsLeft(job: OpenJob, cpus: Double): Double =
+        (job.spec.tasks - job.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
+
+    private companion object {
+        const val ALL_TYPES = -1
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -10,9 +10,9 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Chooses machines for the tasks of one job: best fit first among a sample of those that fit, all of them if the sample
- * has no room. A job's tasks are alike, so each machine is given as many as it has room for. It takes the room off
- * [Machine.roundRoom]; [PlacementRound] and [Preemption] call it.
+ * Chooses machines for the tasks of one job (bin packing): best fit first among a sample of those that fit, all of them
+ * if the sample has no room. A job's tasks are alike, so each machine is given as many as it has room for. It takes the
+ * room off [Machine.roundRoom]; [PlacementRound] and [Preemption] call it.
  */
 class MachineSelector(
     private val context: CoreContext,
@@ -20,34 +20,34 @@
     private val options: OperatorSettings,
     private val objectives: ServiceLevelObjectives,
     private val starvation: StarvationPrevention,
-    private val scarce: ScarceMachineTypes,
+    private val scarceTypes: ScarceMachineTypes,
     private val replicas: Replicas,
 ) {
-    /** Whether [job] may use [m]; room aside. */
-    fun allowed(job: OpenJob, m: Machine): Boolean =
-        fleet.allows(job, m.type, m.zone, m.spot) && !job.avoids(m.id, context.steady) &&
-            !scarce.sparedFor(job, m.type)
-
-    /** Whether [m] would have to fetch the job's image. */
-    fun fetches(job: OpenJob, m: Machine): Boolean = job.image >= 0 && job.image !in m.images
-
-    /** Places all tasks of a gang, or gives back whatever it had taken. */
-    fun placeGang(job: OpenJob, want: Int, machines: List<Machine>, out: MutableList<Allocation>): Int {
-        val before = machines.map { it.roundRoom }
-        val size = out.size
-        if (place(job, want, machines, out, 0, false) == want) return want
-        for ((i, m) in machines.withIndex()) m.roundRoom = before[i]
-        while (out.size > size) out.removeLast()
+    /** Whether [job] may use [machine]; room aside. */
+    fun allowed(job: OpenJob, machine: Machine): Boolean =
+        fleet.allows(job, machine.type, machine.zone, machine.spot) && !job.avoids(machine.id, context.steady) &&
+            !scarceTypes.reservedFromJob(job, machine.type)
+
+    /** Whether [machine] would have to fetch the job's image. */
+    fun fetches(job: OpenJob, machine: Machine): Boolean = job.image >= 0 && job.image !in machine.images
+
+    /** Places all [wanted] tasks of a gang, or gives back whatever it had taken; returns how many it placed. */
+    fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, out: MutableList<Allocation>): Int {
+        val roomBefore = machines.map { it.roundRoom }
+        val sizeBefore = out.size
+        if (place(job, wanted, machines, out, skip = 0, heldOnly = false) == wanted) return wanted
+        for ((index, machine) in machines.withIndex()) machine.roundRoom = roomBefore[index]
+        while (out.size > sizeBefore) out.removeLast()
         return 0
     }
 
     /**
-     * Places up to [want] tasks, after the [skip] that this round has placed already; [heldOnly]: only where the image
-     * is. Returns how many it placed.
+     * Places up to [wanted] tasks, after the [skip] that this round has placed already; [heldOnly]: only where the
+     * image is. Returns how many it placed.
      */
     fun place(
         job: OpenJob,
-        want: Int,
+        wanted: Int,
         machines: List<Machine>,
         out: MutableList<Allocation>,
         skip: Int,
@@ -55,48 +55,75 @@
     ): Int {
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked) return 0
-        val fits = fitting(job, machines, heldOnly)
-        if (fits.isEmpty()) return 0
-        val ordered = sample(fits, want, job)
-        ordered.sortWith(preference)
-        if (job.spec.together) zones.chooseZone(ordered)
-        var left = want
-        var next = job.ready.nextSetBit(0)
-        repeat(skip) { next = job.ready.nextSetBit(next + 1) }
+        val fitting = fitting(job, machines, heldOnly)
+        if (fitting.isEmpty()) return 0
+        val candidates = sample(fitting, wanted, job)
+        candidates.sortWith(preference)
+        if (job.spec.together) zones.chooseZone(candidates)
+        val assignment = Assignment(job, zones, skip, out)
+        var left = wanted
         // Replicas of one service are spread over machines first, and share machines only for want of others.
-        val passes = if (job.service) 2 else 1
-        for (k in 0 until ordered.size * passes) {
-            if (left == 0) break
-            val m = ordered[k % ordered.size]
-            var n = minOf(left, job.taskResources.countIn(m.roundRoom), zones.roomIn(m.zone))
-            if (job.service && k < ordered.size) n = minOf(n, replicas.mostOn(job) - replicas.on(m, job))
-            if (n <= 0) continue
-            val tasks = IntArray(n)
-            for (i in 0 until n) {
-                tasks[i] = next
-                next = job.ready.nextSetBit(next + 1)
+        if (job.service) left -= assignment.assign(candidates, left, spread = true)
+        left -= assignment.assign(candidates, left, spread = false)
+        return wanted - left
+    }
+
+    /** Hands the ready tasks of one job out to machines, the first [skip] excepted. */
+    private inner class Assignment(
+        private val job: OpenJob,
+        private val zones: ZoneConstraint,
+        skip: Int,
+        private val out: MutableList<Allocation>,
+    ) {
+        private var nextTask = job.ready.nextSetBit(0)
+
+        init {
+            repeat(skip) { nextTask = job.ready.nextSetBit(nextTask + 1) }
+        }
+
+        /** Assigns up to [count] tasks; with [spread] only as many to a machine as a service wants there at most. */
+        fun assign(machines: List<Machine>, count: Int, spread: Boolean): Int {
+            var left = count
+            for (machine in machines) {
+                if (left == 0) break
+                var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.roomIn(machine.zone))
+                if (spread) tasks = minOf(tasks, replicas.maxPerMachine(job) - replicas.countOn(machine, job))
+                if (tasks <= 0) continue
+                assignTo(machine, tasks)
+                left -= tasks
             }
-            out.add(Allocation(job, m, tasks, starvation.goesFirst(job)))
-            zones.addTasks(m.zone, n)
-            m.roundRoom = m.roundRoom.without(job.taskResources, n)
-            if (job.image >= 0) m.images.add(job.image)
-            left -= n
+            return count - left
+        }
+
+        private fun assignTo(machine: Machine, count: Int) {
+            out.add(Allocation(job, machine, nextTasks(count), starvation.goesFirst(job)))
+            zones.addTasks(machine.zone, count)
+            machine.roundRoom = machine.roundRoom.without(job.taskResources, count)
+            if (job.image >= 0) machine.images.add(job.image)
+        }
+
+        private fun nextTasks(count: Int): IntArray {
+            val tasks = IntArray(count)
+            for (position in tasks.indices) {
+                tasks[position] = nextTask
+                nextTask = job.ready.nextSetBit(nextTask + 1)
+            }
+            return tasks
         }
-        return want - left
     }
 
     private fun fitting(job: OpenJob, machines: List<Machine>, heldOnly: Boolean): ArrayList<Machine> {
         val urgent = objectives.startsCount(job)
-        val fits = ArrayList<Machine>()
-        for (m in machines) {
-            if (!job.taskResources.fitsIn(m.roundRoom) || !allowed(job, m)) continue
-            val fetches = fetches(job, m)
+        val fitting = ArrayList<Machine>()
+        for (machine in machines) {
+            if (!job.taskResources.fitsIn(machine.roundRoom) || !allowed(job, machine)) continue
+            val fetches = fetches(job, machine)
             if (heldOnly && fetches) continue
-            m.roundRank =
-                (if (scarce.wantedElsewhere(job, m.type)) WANTED_ELSEWHERE else 0) + fetchRank(fetches, urgent)
-            fits.add(m)
+            val elsewhereRank = if (scarceTypes.wantedElsewhere(job, machine.type)) WANTED_ELSEWHERE else 0
+            machine.roundRank = elsewhereRank + fetchRank(fetches, urgent)
+            fitting.add(machine)
         }
-        return fits
+        return fitting
     }
 
     private fun fetchRank(fetches: Boolean, urgent: Boolean): Int =
@@ -112,13 +139,13 @@
      * image; then the fullest. Cost was tried as a tie-break and did not help, see docs/measurements.md.
      */
     private val preference =
-        Comparator<Machine> { a, b ->
-            var c = (a.roundRank shr 1).compareTo(b.roundRank shr 1)
-            if (c == 0) c = fleet.size(a).compareTo(fleet.size(b))
-            if (c == 0) c = a.roundRank.compareTo(b.roundRank)
-            if (c == 0) c = a.roundRoom.cpus.compareTo(b.roundRoom.cpus)
-            if (c == 0) c = a.id.compareTo(b.id)
-            c
+        Comparator<Machine> { first, second ->
+            var order = (first.roundRank shr 1).compareTo(second.roundRank shr 1)
+            if (order == 0) order = fleet.size(first).compareTo(fleet.size(second))
+            if (order == 0) order = first.roundRank.compareTo(second.roundRank)
+            if (order == 0) order = first.roundRoom.cpus.compareTo(second.roundRoom.cpus)
+            if (order == 0) order = first.id.compareTo(second.id)
+            order
         }
 
     /**
@@ -126,25 +153,24 @@
      * them when the sample has too little room. A sample drawn from all alike would mostly miss the few that hold the
      * image.
      */
-    private fun sample(fits: ArrayList<Machine>, want: Int, job: OpenJob): ArrayList<Machine> {
-        if (fits.size <= options.sampleSize) return fits
-        val (held, others) = fits.partition { !fetches(job, it) }
-        val some = ArrayList<Machine>(options.sampleSize * 2)
+    private fun sample(fitting: ArrayList<Machine>, wanted: Int, job: OpenJob): ArrayList<Machine> {
+        if (fitting.size <= options.sampleSize) return fitting
+        val (holders, others) = fitting.partition { !fetches(job, it) }
+        val sample = ArrayList<Machine>(options.sampleSize * 2)
+        addSample(holders, sample)
+        addSample(others, sample)
         var room = 0
-        for (part in listOf(held, others)) {
-            if (part.isEmpty()) continue
-            val start = context.random.nextInt(part.size)
-            val n = minOf(part.size, options.sampleSize)
-            for (i in 0 until n) {
-                some.add(
-                    part[(start + i) % part.size].also {
-                        room +=
-                            job.taskResources.countIn(it.roundRoom)
-                    },
-                )
-            }
+        for (machine in sample) room += job.taskResources.countIn(machine.roundRoom)
+        return if (room >= wanted) sample else fitting
+    }
+
+    /** Adds up to the size of a sample of [machines] to [sample], from a random one on. */
+    private fun addSample(machines: List<Machine>, sample: MutableList<Machine>) {
+        if (machines.isEmpty()) return
+        val start = context.random.nextInt(machines.size)
+        for (offset in 0 until minOf(machines.size, options.sampleSize)) {
+            sample.add(machines[(start + offset) % machines.size])
         }
-        return if (room >= want) some else fits
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -16,9 +16,9 @@
 
 /**
  * Owns which ready tasks go where, round by round: [JobOrder] says which job is served first, [PlacementRound] how much
- * it is given, [MachineSelector] on which machines, and [Preemption] what gives way to those that found no room. A
- * round gives only what teams' limits and the rules on zones allow, counting every attempt that cannot be disproved.
- * Called by [Controller], which marks what a round gives before it starts any of it.
+ * it is given, [MachineSelector] on which machines, and [Preemption] what is preempted for those that found no room. A
+ * round gives only what teams' quotas and zone constraints allow, counting every attempt that cannot be disproved.
+ * Called by [Controller], which persists the dispatch markers of what a round gives before it starts any of it.
  */
 class Placement(
     private val context: CoreContext,
@@ -31,12 +31,12 @@
 ) {
     private val replicas = Replicas(jobs)
     private val starvation = StarvationPrevention(context, jobs, reconciler, options)
-    private val scarce = ScarceMachineTypes(context, jobs, fleet, objectives)
-    private val reserve = UrgentHeadroom(jobs, objectives, options)
+    private val scarceTypes = ScarceMachineTypes(context, jobs, fleet, objectives)
+    private val urgentHeadroom = UrgentHeadroom(jobs, objectives, options)
     private val order = JobOrder(context, jobs, quotas, fleet, objectives, starvation)
-    private val choice = MachineSelector(context, fleet, options, objectives, starvation, scarce, replicas)
-    private val moves = ReplicaMigration(context, fleet, quotas, replicas, choice::allowed)
-    private val preemption = Preemption(context, quotas, fleet, objectives, order, choice)
+    private val selector = MachineSelector(context, fleet, options, objectives, starvation, scarceTypes, replicas)
+    private val migration = ReplicaMigration(context, fleet, quotas, replicas, selector::allowed)
+    private val preemption = Preemption(context, quotas, fleet, objectives, order, selector)
 
     /** What the last round found no room for, most urgent first. */
     var unplaced: List<UnplacedTasks> = emptyList()
@@ -46,48 +46,55 @@
     val preempted: Set<Machine> get() = preemption.preempted
 
     /** CPUs that work which can wait leaves free for urgent work to come. */
-    fun reserve(): Double = reserve.cpus()
+    fun reserve(): Double = urgentHeadroom.cpus()
 
-    /** Whether [job] may use [m] now; room aside. */
-    fun mayUse(job: OpenJob, m: Machine): Boolean = choice.allowed(job, m)
+    /** Whether [job] may use [machine] now; room aside. */
+    fun mayUse(job: OpenJob, machine: Machine): Boolean = selector.allowed(job, machine)
 
     fun round(): List<Allocation> {
         preemption.begin()
         unplaced = emptyList()
-        if (jobs.open.none { it.placeable } && !moves.pending()) return emptyList()
-        scarce.note()
+        if (jobs.open.none { it.placeable } && !migration.pending()) return emptyList()
+        scarceTypes.update()
         order.begin()
-        reserve.noteSizes()
+        urgentHeadroom.recordSizes()
         starvation.begin(order.capacity)
         val waiting = order.waiting()
         val placeable = fleet.placeable()
-        val room = PlacementRound.Room(withRoom(placeable, waiting), reserve.cpus()) { moves.plan(placeable) }
-        val restarts = moves.start(placeable)
-        val round =
-            PlacementRound(context, quotas, fleet, order, starvation, choice, replicas, room)
-        round.take(restarts)
+        val round = newRound(waiting, placeable)
         serve(waiting, round)
-        round.moveReplicas()
+        round.migrateReplicas()
         preemption.preempted.addAll(round.stoppedOn)
-        unplaced = round.left
-        preemption.makeRoom(round.left, placeable)
-        for (at in round.limited) preemption.makeRoomWithinLimit(at.job, at.count)
-        return round.out
+        unplaced = round.unplaced
+        preemption.preemptFor(round.unplaced, placeable)
+        for (service in round.overQuota) preemption.preemptWithinQuota(service.job, service.count)
+        return round.allocations
     }
 
+    /** A round with the restarts of replicas that migrate, which come before all else. */
+    private fun newRound(waiting: List<OpenJob>, placeable: List<Machine>): PlacementRound {
+        val machines = withRoom(placeable, waiting)
+        val room = PlacementRound.Room(machines, urgentHeadroom.cpus()) { migration.plan(placeable) }
+        val restarts = migration.start(placeable)
+        val round = PlacementRound(context, quotas, fleet, order, starvation, selector, replicas, room)
+        round.addRestarts(restarts)
+        return round
+    }
+
+    /** Serves the jobs in their order, those that are equal in it together. */
     private fun serve(waiting: List<OpenJob>, round: PlacementRound) {
-        var i = 0
-        while (i < waiting.size) {
-            val first = waiting[i]
-            var end = i + 1
-            while (end < waiting.size && order.alike(first, waiting[end])) end++
-            // Among jobs of one standing, a machine goes first to one whose image it holds: fetching costs machine
-            // time.
-            if (end - i > 1 && !objectives.startsCount(first)) {
-                for (k in i until end) round.serve(waiting[k], heldOnly = true)
+        var start = 0
+        while (start < waiting.size) {
+            val first = waiting[start]
+            var end = start + 1
+            while (end < waiting.size && order.areEqual(first, waiting[end])) end++
+            val equal = waiting.subList(start, end)
+            // Among equal jobs, a machine goes first to one whose image it holds: fetching costs machine time.
+            if (equal.size > 1 && !objectives.startsCount(first)) {
+                for (job in equal) round.serve(job, heldOnly = true)
             }
-            for (k in i until end) round.serve(waiting[k], heldOnly = false)
-            i = end
+            for (job in equal) round.serve(job, heldOnly = false)
+            start = end
         }
     }
 
@@ -97,10 +104,10 @@
     private fun withRoom(placeable: List<Machine>, waiting: List<OpenJob>): List<Machine> {
         val cpus = waiting.minOfOrNull { it.taskResources.cpus } ?: 0.0
         val memory = waiting.minOfOrNull { it.taskResources.memoryGb } ?: 0.0
-        val least = Resources(cpus, 0.0, memory)
-        return placeable.filter { m ->
-            m.roundRoom = m.room(fleet.types)
-            least.fitsIn(m.roundRoom)
+        val smallest = Resources(cpus, 0.0, memory)
+        return placeable.filter { machine ->
+            machine.roundRoom = machine.room(fleet.types)
+            smallest.fitsIn(machine.roundRoom)
         }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -10,12 +10,12 @@
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.Resources
 
-/** Replicas of one service that their team's limit keeps from running. */
-class ReplicasAtLimit(val job: OpenJob, val count: Int)
+/** Replicas of one service that their team's quota keeps from running. */
+class ReplicasOverQuota(val job: OpenJob, val count: Int)
 
 /**
- * What one round has given away so far: which tasks go to which of [machines], and what is left over. Teams' limits,
- * the room kept for urgent work and for services, and what jobs are owed hold over all that the round gives. Made and
+ * Owns what one round has given away so far: which tasks go to which machines, and what is left over. Teams' quotas,
+ * the headroom for urgent work and for services, and the credit of jobs hold over all that the round gives. Made and
  * called by [Placement], job by job in their order.
  */
 class PlacementRound(
@@ -24,155 +24,158 @@
     private val fleet: Fleet,
     private val order: JobOrder,
     private val starvation: StarvationPrevention,
-    private val choice: MachineSelector,
+    private val selector: MachineSelector,
     private val replicas: Replicas,
     private val room: Room,
 ) {
     /**
      * The machines with room for any task that waits, CPUs that are to stay free for urgent work, and what finds room
-     * for replicas that have to move.
+     * for replicas that have to migrate.
      */
-    class Room(val machines: List<Machine>, val reserve: Double, val planMoves: () -> ReplicaMigration.Plan)
+    class Room(
+        val machines: List<Machine>,
+        val urgentHeadroomCpus: Double,
+        val planMigrations: () -> ReplicaMigration.Plan,
+    )
 
-    val out = ArrayList<Allocation>()
-    val left = ArrayList<UnplacedTasks>()
-
-    /** Replicas that their team's limit keeps from running. */
-    val limited = ArrayList<ReplicasAtLimit>()
+    val allocations = ArrayList<Allocation>()
+    val unplaced = ArrayList<UnplacedTasks>()
+    val overQuota = ArrayList<ReplicasOverQuota>()
 
     /** Machines on which replicas were told to stop, since room for them was found elsewhere. */
     val stoppedOn = ArrayList<Machine>()
     private val machines get() = room.machines
-    private var free = machines.sumOf { it.roundRoom.cpus }
+    private var freeCpus = machines.sumOf { it.roundRoom.cpus }
     private val capacity = order.capacity
 
     /** CPU seconds of waiting work, this job's and what goes before it. */
     private var backlog = 0.0
-    private val givenCpus = HashMap<Int, Double>() // by team
-    private val givenGpus = HashMap<Int, Double>()
-    private val taken = HashMap<OpenJob, Int>()
+    private val givenCpusByTeam = HashMap<Int, Double>()
+    private val givenGpusByTeam = HashMap<Int, Double>()
+    private val givenTasks = HashMap<OpenJob, Int>()
 
-    /** Whether room for services has been taken off what is left for other work. */
-    private var kept = false
-    private var exceptions = MAX_EXCEPTIONS
+    /** Whether headroom for services has been taken off what is left for other work. */
+    private var headroomReserved = false
+    private var headroomOffersLeft = MAX_HEADROOM_OFFERS
 
     /** Services of which a replica starts on the room held for it; the rest of them waits for the next round. */
-    private val moved = HashSet<OpenJob>()
-    private var movesPlanned = false
+    private val migrated = HashSet<OpenJob>()
+    private var migrationsPlanned = false
 
-    /** Takes in [restarts] of replicas that move, which have their places already. */
-    fun take(restarts: List<Allocation>) {
+    /** Takes in [restarts] of replicas that migrate, which have their places already. */
+    fun addRestarts(restarts: List<Allocation>) {
         for (allocation in restarts) {
-            out.add(allocation)
-            moved.add(allocation.job)
-            note(allocation.job, allocation.tasks.size)
+            allocations.add(allocation)
+            migrated.add(allocation.job)
+            recordPlaced(allocation.job, allocation.tasks.size)
         }
     }
 
-    /** Plans moves of replicas, once in a round: after the starts of services and before any other work. */
-    fun moveReplicas() {
-        if (movesPlanned) return
-        movesPlanned = true
-        val plan = room.planMoves()
+    /** Plans migrations of replicas, once in a round: after the starts of services and before any other work. */
+    fun migrateReplicas() {
+        if (migrationsPlanned) return
+        migrationsPlanned = true
+        val plan = room.planMigrations()
         stoppedOn.addAll(plan.stoppedOn)
-        left.addAll(plan.lacking)
+        unplaced.addAll(plan.unplaced)
     }
 
     /** Gives the job what it may have; with [heldOnly] only on machines that hold its image. */
     fun serve(job: OpenJob, heldOnly: Boolean) {
-        if (job !in moved) give(job, heldOnly)
-    }
-
-    private fun give(job: OpenJob, heldOnly: Boolean) {
-        keepRoomFrom(job)
-        val ready = job.ready.cardinality() - (taken[job] ?: 0)
-        val wanted = minOf(ready, headroom(job))
-        if (job.service && wanted < ready) limited.add(ReplicasAtLimit(job, ready - wanted))
-        // Rules on zones are counted over what one call places, so such jobs are placed in one.
-        val want = if (heldOnly && (job.gang || job.boundToZones)) 0 else wanted(job, wanted, ready)
-        val placed = if (want > 0) placeAlsoWhereKept(job, want, heldOnly) else 0
-        if (placed > 0) note(job, placed)
+        if (job in migrated) return
+        reserveHeadroomBefore(job)
+        val ready = job.ready.cardinality() - (givenTasks[job] ?: 0)
+        val withinQuota = minOf(ready, quotaLeft(job))
+        if (job.service && withinQuota < ready) overQuota.add(ReplicasOverQuota(job, ready - withinQuota))
+        // Zone constraints are counted over what one call places, so such jobs are placed in one.
+        val inOnePass = job.gang || job.boundToZones
+        val wanted = if (heldOnly && inOnePass) 0 else wantedTasks(job, withinQuota, ready)
+        val placed = if (wanted > 0) placeWithHeadroom(job, wanted, heldOnly) else 0
+        if (placed > 0) recordPlaced(job, placed)
         if (placed == ready) job.allPlacedWall = context.now.wall
-        if (heldOnly || placed >= wanted) return
-        if (want > 0) backlog += (wanted - placed) * job.taskResources.cpus * job.spec.expectedS
-        leaveOver(job, wanted - placed, want > 0 && order.pressing(job, backlog / maxOf(1.0, capacity)))
+        if (!heldOnly && placed < withinQuota) recordUnplaced(job, withinQuota - placed, mayPress = wanted > 0)
     }
 
-    /** Before the first job that is neither a service nor owed anything, room is kept for services. */
-    private fun keepRoomFrom(job: OpenJob) {
-        if (kept || job.service || starvation.goesFirst(job)) return
-        kept = true
-        moveReplicas()
-        free -= replicas.keepRoom(machines)
+    /** Before the first job that is neither a service nor has credit, headroom for services is reserved. */
+    private fun reserveHeadroomBefore(job: OpenJob) {
+        if (headroomReserved || job.service || starvation.goesFirst(job)) return
+        headroomReserved = true
+        migrateReplicas()
+        freeCpus -= replicas.reserveHeadroom(machines)
     }
 
-    /** How many of the [most] tasks that the team's limit allows this round should give the job. */
-    private fun wanted(job: OpenJob, most: Int, ready: Int): Int {
-        var want = most
+    /** How many of the [most] tasks that the team's quota allows this round should give the job. */
+    private fun wantedTasks(job: OpenJob, most: Int, ready: Int): Int {
+        var wanted = most
         // A probe, not the whole array.
-        if (job.failures > 0 && job.failsAround(context.steady)) want = minOf(want, 1)
+        if (job.failures > 0 && job.failsAround(context.steady)) wanted = minOf(wanted, 1)
         if (starvation.goesFirst(job) && !job.gang) {
-            want = minOf(want, starvation.most(job))
-        } else if (order.yields(job)) {
-            want = minOf(want, ((free - room.reserve) / job.countedCpus).toInt())
+            wanted = minOf(wanted, starvation.tasksFromCredit(job))
+        } else if (order.leavesHeadroom(job)) {
+            wanted = minOf(wanted, ((freeCpus - room.urgentHeadroomCpus) / job.countedCpus).toInt())
         }
-        if (job.gang && (!job.live.isEmpty() || want < ready)) want = 0 // all at once or not at all
-        return want
+        if (job.gang && (!job.live.isEmpty() || wanted < ready)) wanted = 0 // all at once or not at all
+        return wanted
     }
 
-    private fun placeAlsoWhereKept(job: OpenJob, want: Int, heldOnly: Boolean): Int {
-        val placed = place(job, want, 0, heldOnly)
-        if (heldOnly || placed >= want || !mayUseKeptRoom(job, placed)) return placed
-        replicas.giveBack()
-        val more = place(job, want - placed, placed, false)
-        replicas.keepRoom(machines)
+    /** Places tasks, also on the headroom for services if the job may use that. */
+    private fun placeWithHeadroom(job: OpenJob, wanted: Int, heldOnly: Boolean): Int {
+        val placed = place(job, wanted, 0, heldOnly)
+        if (heldOnly || placed >= wanted || !takeHeadroomOffer(job, placed)) return placed
+        replicas.releaseHeadroom()
+        val more = place(job, wanted - placed, placed, false)
+        replicas.reserveHeadroom(machines)
         return placed + more
     }
 
-    private fun place(job: OpenJob, want: Int, placed: Int, heldOnly: Boolean): Int =
-        if (job.gang) {
-            choice.placeGang(job, want, machines, out)
-        } else {
-            choice.place(job, want, machines, out, (taken[job] ?: 0) + placed, heldOnly)
-        }
+    private fun place(job: OpenJob, wanted: Int, placed: Int, heldOnly: Boolean): Int {
+        if (job.gang) return selector.placeGang(job, wanted, machines, allocations)
+        val skip = (givenTasks[job] ?: 0) + placed
+        return selector.place(job, wanted, machines, allocations, skip, heldOnly)
+    }
 
-    /** Room for services is no longer kept from what waits long, see [OpenJob.waitsLong]. */
-    private fun mayUseKeptRoom(job: OpenJob, placed: Int): Boolean {
-        if (!kept || job.service) return false
+    /** Headroom for services is no longer reserved from what waits long, see [OpenJob.waitsLong]. */
+    private fun takeHeadroomOffer(job: OpenJob, placed: Int): Boolean {
+        if (!headroomReserved || job.service) return false
         if (placed > 0 && job.boundToZones) return false
-        return job.waitsLong(context.now.wall) && exceptions-- > 0
+        return job.waitsLong(context.now.wall) && headroomOffersLeft-- > 0
     }
 
-    private fun headroom(job: OpenJob): Int {
-        val given = Resources(givenCpus[job.team] ?: 0.0, givenGpus[job.team] ?: 0.0, 0.0)
-        return quotas.headroom(job.team, job.taskResources, given)
+    private fun quotaLeft(job: OpenJob): Int {
+        val cpus = givenCpusByTeam[job.team] ?: 0.0
+        val gpus = givenGpusByTeam[job.team] ?: 0.0
+        return quotas.headroom(job.team, job.taskResources, Resources(cpus, gpus, 0.0))
     }
 
-    private fun leaveOver(job: OpenJob, count: Int, pressing: Boolean) {
+    /** Records [count] tasks that found no room; they are pressing only if [mayPress]. */
+    private fun recordUnplaced(job: OpenJob, count: Int, mayPress: Boolean) {
+        if (mayPress) backlog += count * job.taskResources.cpus * job.spec.expectedS
+        val pressing = mayPress && order.isPressing(job, backlog / maxOf(1.0, capacity))
         val zones = if (job.boundToZones) zonesAfter(job) else null
-        left.add(UnplacedTasks(job, count, pressing, zones))
+        unplaced.add(UnplacedTasks(job, count, pressing, zones))
     }
 
-    /** The rule on zones as it stands with what this round has given the job. */
+    /** The zone constraint as it stands with what this round has given the job. */
     private fun zonesAfter(job: OpenJob): ZoneConstraint {
         val zones = ZoneConstraint(job, fleet)
-        for (a in out) if (a.job === job) zones.addTasks(a.machine.zone, a.tasks.size)
+        for (allocation in allocations) {
+            if (allocation.job === job) zones.addTasks(allocation.machine.zone, allocation.tasks.size)
+        }
         return zones
     }
 
-    private fun note(job: OpenJob, placed: Int) {
-        free -= placed * job.taskResources.cpus
-        taken.merge(job, placed, Int::plus)
-        starvation.placed(job, placed)
-        givenCpus.merge(job.team, placed * job.taskResources.cpus, Double::plus)
-        givenGpus.merge(job.team, placed * job.taskResources.gpus, Double::plus)
+    private fun recordPlaced(job: OpenJob, placed: Int) {
+        freeCpus -= placed * job.taskResources.cpus
+        givenTasks.merge(job, placed, Int::plus)
+        starvation.onPlaced(job, placed)
+        givenCpusByTeam.merge(job.team, placed * job.taskResources.cpus, Double::plus)
+        givenGpusByTeam.merge(job.team, placed * job.taskResources.gpus, Double::plus)
     }
 
     private companion object {
         /**
-         * Of the jobs that wait long only the first few are offered the room kept for services: each offer costs a
-         * pass.
+         * Of the jobs that wait long only the first few are offered the headroom for services: each offer costs a pass.
          */
-        const val MAX_EXCEPTIONS = 5
+        const val MAX_HEADROOM_OFFERS = 5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -13,10 +13,10 @@
 import org.chalkhollow.model.Shape
 
 /**
- * Owns which running tasks are stopped to make room for others: for urgent tasks whose start is still in time, work of
- * lower priority; for tasks within a guarantee, what other teams run beyond theirs. Only what makes room for a task on
- * the machine where it runs is stopped, and only what saves its progress or has hardly begun; replicas of services also
- * take the place of other work of lower priority. Called by [Placement] at the end of a round.
+ * Owns which running tasks are preempted for others: for urgent tasks whose start is still in time, work of lower
+ * priority; for tasks within a guarantee, what other teams run beyond theirs. A task is preempted only if that makes
+ * room for another on its machine, and only if it writes checkpoints or has hardly begun; replicas of services also
+ * preempt other work of lower priority. Called by [Placement] at the end of a round.
  */
 class Preemption(
     private val context: CoreContext,
@@ -24,83 +24,93 @@
     private val fleet: Fleet,
     private val objectives: ServiceLevelObjectives,
     private val order: JobOrder,
-    private val choice: MachineSelector,
+    private val selector: MachineSelector,
 ) {
     /** Machines on which this round decided to stop tasks. */
     val preempted = LinkedHashSet<Machine>()
 
     /** Tasks that wait for room, and what entitles them to that of others. */
-    private class Claim(val tasks: UnplacedTasks, val urgent: Boolean, val fromCredit: Boolean) {
+    private class Claim(val tasks: UnplacedTasks, val urgent: Boolean, val withinGuarantee: Boolean) {
         val job: OpenJob get() = tasks.job
     }
 
     fun begin() = preempted.clear()
 
-    /** Makes room for what this round has [left] unplaced. */
-    fun makeRoom(left: List<UnplacedTasks>, placeable: List<Machine>) {
-        var places: List<Machine>? = null
-        for (u in left) {
-            val claim = claimOf(u) ?: continue
-            if (u.job.service) {
-                val some = placeable.filter { m -> m.attempts.any { it.stopping || yieldsTo(it, u.job) } }
-                makeRoom(claim, some)
+    /** Preempts for what this round has left [unplaced]. */
+    fun preemptFor(unplaced: List<UnplacedTasks>, placeable: List<Machine>) {
+        val withVictims by lazy(LazyThreadSafetyMode.NONE) { placeable.filter(::hasVictims) }
+        for (tasks in unplaced) {
+            val claim = claimOf(tasks) ?: continue
+            if (tasks.job.service) {
+                preemptFor(claim, placeable.filter { hasVictimsOfReplica(it, tasks.job) })
                 continue
             }
-            val some =
-                places ?: placeable.filter { m -> m.attempts.any { it.stopping || stoppable(it) } }.also { places = it }
-            if (some.isEmpty()) return
-            makeRoom(claim, some)
+            if (withVictims.isEmpty()) return
+            preemptFor(claim, withVictims)
         }
     }
 
-    private fun claimOf(u: UnplacedTasks): Claim? {
-        val urgent = objectives.startable(u.job, context.now.wall) && u.job.spec.priority <= Priority.HIGH
-        val fromCredit = order.freshGuarantee(u.job)
-        return if (u.job.gang || !urgent && !fromCredit) null else Claim(u, urgent, fromCredit)
+    private fun hasVictims(machine: Machine): Boolean = machine.attempts.any { it.stopping || isPreemptible(it) }
+
+    private fun hasVictimsOfReplica(machine: Machine, service: OpenJob): Boolean =
+        machine.attempts.any { it.stopping || isPreemptibleByReplica(it, service) }
+
+    private fun claimOf(tasks: UnplacedTasks): Claim? {
+        val urgent = objectives.startable(tasks.job, context.now.wall) && tasks.job.spec.priority <= Priority.HIGH
+        val withinGuarantee = order.freshGuarantee(tasks.job)
+        if (tasks.job.gang || !urgent && !withinGuarantee) return null
+        return Claim(tasks, urgent, withinGuarantee)
     }
 
-    /** Work of lower priority of its own team gives way to replicas that the team's limit would keep from running. */
-    fun makeRoomWithinLimit(job: OpenJob, count: Int) {
-        var need = count * job.taskResources.cpus
+    /**
+     * Preempts work of lower priority of its own team for [count] replicas of [job] that the team's quota would keep
+     * from running.
+     */
+    fun preemptWithinQuota(job: OpenJob, count: Int) {
+        var neededCpus = count * job.taskResources.cpus
         val victims = ArrayList<Attempt>()
-        for (m in fleet.machines) {
-            for (a in m.attempts) {
-                if (a.job.team != job.team) continue
-                if (a.stopping && a.onMachine) {
-                    need -= a.job.taskResources.cpus
-                } else if (yieldsTo(a, job)) {
-                    victims.add(a)
+        for (machine in fleet.machines) {
+            for (attempt in machine.attempts) {
+                if (attempt.job.team != job.team) continue
+                if (attempt.stopping && attempt.onMachine) {
+                    neededCpus -= attempt.job.taskResources.cpus
+                } else if (isPreemptibleByReplica(attempt, job)) {
+                    victims.add(attempt)
                 }
             }
         }
         victims.sortWith(cheapestFirst)
-        for (a in victims) {
-            if (need <= Resources.EPSILON) return
-            a.stopping = true
-            need -= a.job.taskResources.cpus
-            preempted.add(a.machine)
+        for (victim in victims) {
+            if (neededCpus <= Resources.EPSILON) return
+            victim.stopping = true
+            neededCpus -= victim.job.taskResources.cpus
+            preempted.add(victim.machine)
         }
     }
 
-    private fun makeRoom(claim: Claim, candidates: List<Machine>) {
+    private fun preemptFor(claim: Claim, candidates: List<Machine>) {
         val job = claim.job
-        val places = candidates.filter { usable(claim, it) }
-        var need = claim.tasks.count - places.sumOf { job.taskResources.countIn(roomAfterStops(it)) }
-        if (need <= 0) return
+        val machines = candidates.filter { isUsable(claim, it) }
+        var needed = claim.tasks.count - machines.sumOf { job.taskResources.countIn(roomAfterStops(it)) }
+        if (needed <= 0) return
         val victims =
-            places
-                .associateWith { m -> m.attempts.filter { mayStop(it, claim) }.sortedWith(cheapestFirst) }
+            machines
+                .associateWith { machine -> victimsOn(machine, claim) }
                 .filterValues { it.isNotEmpty() }
-        val heldFirst = compareBy<Map.Entry<Machine, List<Attempt>>> { if (choice.fetches(job, it.key)) 1 else 0 }
-        for ((m, some) in victims.entries.sortedWith(heldFirst.thenBy(cheapestFirst) { it.value.first() })) {
-            if (need <= 0) return
-            need -= stopOn(m, some, job, need)
+        val heldFirst = compareBy<Map.Entry<Machine, List<Attempt>>> { if (selector.fetches(job, it.key)) 1 else 0 }
+        for ((machine, attempts) in victims.entries.sortedWith(heldFirst.thenBy(cheapestFirst) { it.value.first() })) {
+            if (needed <= 0) return
+            needed -= stopOn(machine, attempts, job, needed)
         }
     }
 
-    private fun usable(claim: Claim, m: Machine): Boolean {
+    private fun victimsOn(machine: Machine, claim: Claim): List<Attempt> =
+        machine.attempts.filter { mayPreempt(claim, it) }.sortedWith(cheapestFirst)
+
+    private fun isUsable(claim: Claim, machine: Machine): Boolean {
         val job = claim.job
-        return (job.service || !choice.fetches(job, m)) && choice.allowed(job, m) && claim.tasks.admits(m.zone)
+        if (!job.service && selector.fetches(job, machine)) return false
+        return selector.allowed(job, machine) && claim.tasks.admits(machine.zone)
     }
 
     private val cheapestFirst =
@@ -112,65 +122,70 @@
         )
 
     /**
-     * Stops as many of [victims] on [m] as make room there for tasks of [job], and none that do not: an earlier version
-     * counted CPUs over all machines, so what was stopped went back to where it had been, since the room was too small
-     * for the other.
+     * Stops as many of [victims] on [machine] as make room there for tasks of [job], at most [wanted], and none that do
+     * not; returns for how many tasks. An earlier version counted CPUs over all machines, so what was stopped went back
+     * to where it had been, since the room was too small for the other.
      */
-    private fun stopOn(m: Machine, victims: List<Attempt>, job: OpenJob, most: Int): Int {
-        var room = roomAfterStops(m)
+    private fun stopOn(machine: Machine, victims: List<Attempt>, job: OpenJob, wanted: Int): Int {
+        var room = roomAfterStops(machine)
         var fitting = job.taskResources.countIn(room)
-        var made = 0
+        var gained = 0
         val pending = ArrayList<Attempt>()
-        for (v in victims) {
-            if (made >= most) break
-            pending.add(v)
-            room += v.job.taskResources
-            val now = job.taskResources.countIn(room)
-            if (now == fitting) continue
-            made += now - fitting
-            fitting = now
-            for (p in pending) p.stopping = true
+        for (victim in victims) {
+            if (gained >= wanted) break
+            pending.add(victim)
+            room += victim.job.taskResources
+            val fittingNow = job.taskResources.countIn(room)
+            if (fittingNow == fitting) continue
+            gained += fittingNow - fitting
+            fitting = fittingNow
+            for (attempt in pending) attempt.stopping = true
             pending.clear()
-            preempted.add(m)
+            preempted.add(machine)
         }
-        return made
+        return gained
     }
 
-    /** The room that this round leaves on [m], and what its tasks that are being stopped will leave. */
-    private fun roomAfterStops(m: Machine): Resources {
-        var room = m.roundRoom
-        for (a in m.attempts) if (a.stopping && a.onMachine) room += a.job.taskResources
+    /** The room that this round leaves on [machine], and what its tasks that are being stopped will leave. */
+    private fun roomAfterStops(machine: Machine): Resources {
+        var room = machine.roundRoom
+        for (attempt in machine.attempts) {
+            if (attempt.stopping && attempt.onMachine) room += attempt.job.taskResources
+        }
         return room
     }
 
-    /** Whether little is lost by stopping [a], whatever for. */
-    private fun stoppable(a: Attempt): Boolean {
-        if (!a.onMachine || a.stopping || a.fromCredit) return false
-        if (a.job.spec.shape != Shape.ARRAY) return false
-        val losesLittle = a.job.spec.checkpointS > 0 || context.steady - a.placedAt < YOUNG_MS
-        return losesLittle && !order.withinGuarantee(a.job)
+    /** Whether little is lost by stopping [attempt], whatever for. */
+    private fun isPreemptible(attempt: Attempt): Boolean {
+        if (!attempt.onMachine || attempt.stopping || attempt.fromCredit) return false
+        if (attempt.job.spec.shape != Shape.ARRAY) return false
+        val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAt < YOUNG_MS
+        return losesLittle && !order.withinGuarantee(attempt.job)
     }
 
     /**
-     * For a replica any task of lower priority gives way, those that lose least first: who asks for a service waits for
+     * A replica may preempt any task of lower priority, those that lose least first: who asks for a service waits for
      * it all along.
      */
-    private fun yieldsTo(a: Attempt, by: OpenJob): Boolean {
-        if (!a.onMachine || a.stopping) return false
-        return !a.job.service && !a.job.gang && a.job.spec.priority > by.spec.priority
+    private fun isPreemptibleByReplica(attempt: Attempt, service: OpenJob): Boolean {
+        if (!attempt.onMachine || attempt.stopping) return false
+        if (attempt.job.service || attempt.job.gang) return false
+        return attempt.job.spec.priority > service.spec.priority
     }
 
-    private fun mayStop(a: Attempt, claim: Claim): Boolean {
-        val by = claim.job
-        if (by.service && yieldsTo(a, by)) return true
-        if (!stoppable(a)) return false
-        val lower = claim.urgent && a.job.spec.priority > by.spec.priority
-        return lower || claim.fromCredit && borrows(a, by)
+    private fun mayPreempt(claim: Claim, attempt: Attempt): Boolean {
+        val job = claim.job
+        if (job.service && isPreemptibleByReplica(attempt, job)) return true
+        if (!isPreemptible(attempt)) return false
+        val isLower = attempt.job.spec.priority > job.spec.priority
+        return claim.urgent && isLower || claim.withinGuarantee && borrowsFrom(job, attempt)
     }
 
-    /** Whether [a] runs on what its team has beyond its guarantee, and [by] is another's and no less urgent. */
-    private fun borrows(a: Attempt, by: OpenJob): Boolean =
-        a.job.team != by.team && a.job.spec.priority >= by.spec.priority && quotas.beyond(a.job.team)
+    /** Whether [attempt] runs on what its team has beyond its guarantee, and [job] is another's and no less urgent. */
+    private fun borrowsFrom(job: OpenJob, attempt: Attempt): Boolean {
+        val team = attempt.job.team
+        return team != job.team && attempt.job.spec.priority >= job.spec.priority && quotas.beyond(team)
+    }
 
     private companion object {
         /** Less is lost by stopping a task that began this short a time ago than by letting others wait. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -8,10 +8,10 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Keeps work from starving: nothing is put off for ever, neither by priority nor for being late or wide. What has been
- * passed over for longer than [OperatorSettings.patienceS] goes before the rest until it has been given something, the
- * kind that was served longest ago first. All such work together has [OperatorSettings.patienceShare] of the machines.
- * Called by [Placement] and the parts of its rounds.
+ * Owns the credit of jobs that would starve: nothing is put off for ever, neither by priority nor for being late or
+ * wide. A job that was passed over for longer than [OperatorSettings.patienceS] gets credit, and goes before the rest
+ * until the credit is used, the kind of job that was served longest ago first. The fair share of all jobs with credit
+ * together is [OperatorSettings.patienceShare] of the machines. Called by [Placement] and the parts of its rounds.
  */
 class StarvationPrevention(
     private val context: CoreContext,
@@ -30,49 +30,54 @@
      */
     private val kindPlacedWall = HashMap<Kind, Long>()
 
-    /** When one was last placed in the common order, without being owed it. */
-    private val kindServedWall = HashMap<Kind, Long>()
+    /** When a task of a kind was last placed in the common order, without credit. */
+    private val kindPlacedInOrderWall = HashMap<Kind, Long>()
 
-    /** CPUs that this round may still give to jobs that are owed something. */
+    /** CPUs that this round may still give to jobs with credit. */
     private var creditLeft = 0.0
 
-    /** Finds what has waited for too long, in a fleet of [capacity] CPUs. */
+    /** Gives credit to what has waited for too long, in a fleet of [capacity] CPUs. */
     fun begin(capacity: Double) {
         val patienceMs = (options.patienceS * MS_PER_S).toLong()
-        val share = options.patienceShare * capacity
+        val fairShareCpus = options.patienceShare * capacity
         for (job in jobs.open) {
-            if (!job.placeable || job.creditCpus > 0 || context.now.wall - job.placedWall < patienceMs) continue
-            if (context.now.wall - (kindServedWall[Kind(job)] ?: 0L) < patienceMs) continue // its like get their turn
-            job.creditCpus = share
+            if (!isStarving(job, patienceMs)) continue
+            job.creditCpus = fairShareCpus
             job.creditSinceWall = job.placedWall + patienceMs
         }
-        creditLeft = share - reconciler.creditCpus
+        creditLeft = fairShareCpus - reconciler.creditCpus
     }
 
-    /** Whether the job goes before all that is not owed anything. */
+    private fun isStarving(job: OpenJob, patienceMs: Long): Boolean {
+        if (!job.placeable || job.creditCpus > 0 || context.now.wall - job.placedWall < patienceMs) return false
+        // While its like are served in the common order, it will be served there too.
+        return context.now.wall - (kindPlacedInOrderWall[Kind(job)] ?: 0L) >= patienceMs
+    }
+
+    /** Whether the job goes before all that have no credit. */
     fun goesFirst(job: OpenJob): Boolean = job.creditCpus > 0 && creditLeft > 0
 
-    /** The lower the sooner it is the turn of the job's kind. */
-    fun turn(job: OpenJob): Long = kindPlacedWall[Kind(job)] ?: 0L
+    /** When a job of the same kind was last served; of jobs that go first, the longest ago is next. */
+    fun lastPlacedWall(job: OpenJob): Long = kindPlacedWall[Kind(job)] ?: 0L
 
-    /** How many tasks of a job that goes first it is owed now; at least one. */
-    fun most(job: OpenJob): Int = maxOf(1, (minOf(job.creditCpus, creditLeft) / job.countedCpus).toInt())
+    /** How many tasks the credit of a job that goes first pays for now; at least one. */
+    fun tasksFromCredit(job: OpenJob): Int = maxOf(1, (minOf(job.creditCpus, creditLeft) / job.countedCpus).toInt())
 
-    fun placed(job: OpenJob, count: Int) {
+    fun onPlaced(job: OpenJob, tasks: Int) {
         val now = context.now.wall
-        val cpus = count * job.taskResources.cpus
+        val cpus = tasks * job.taskResources.cpus
         val kind = Kind(job)
-        if (kindPlacedWall.size > KINDS_KEPT) {
+        if (kindPlacedWall.size > MAX_KINDS) {
             kindPlacedWall.clear()
-            kindServedWall.clear()
+            kindPlacedInOrderWall.clear()
         }
         kindPlacedWall[kind] = now
-        if (goesFirst(job)) creditLeft -= cpus else kindServedWall[kind] = now
+        if (goesFirst(job)) creditLeft -= cpus else kindPlacedInOrderWall[kind] = now
         job.placedWall = now
         job.creditCpus = maxOf(0.0, job.creditCpus - cpus)
     }
 
     private companion object {
-        const val KINDS_KEPT = 10_000
+        const val MAX_KINDS = 10_000
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
@@ -6,9 +6,9 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns how much room work that can wait leaves free for urgent work to come: as much as jobs of urgent classes mostly
- * take, by the last ones seen. Room for services is kept by machine, see [Replicas]. Called by [Placement], once a
- * round, and read by [ScaleIn].
+ * Owns the headroom that work which can wait leaves free for urgent work to come: as much as jobs of urgent classes
+ * mostly take, by the last ones seen. Headroom for services is reserved by machine, see [Replicas]. Called by
+ * [Placement], once a round, and read by [ScaleIn].
  */
 class UrgentHeadroom(
     private val jobs: JobTable,
@@ -17,23 +17,23 @@
 ) {
     /** Sizes in CPUs of the last jobs of classes whose users wait for tasks to start. */
     private val sizes = ArrayDeque<Double>()
-    private var newestSeen = -1
+    private var newestSeenId = -1
 
-    fun noteSizes() {
-        var newest = newestSeen
+    fun recordSizes() {
+        var newestId = newestSeenId
         for (job in jobs.open) {
-            if (job.entry.id <= newestSeen || !objectives.startsCount(job)) continue
-            newest = maxOf(newest, job.entry.id)
+            if (job.entry.id <= newestSeenId || !objectives.startsCount(job)) continue
+            newestId = maxOf(newestId, job.entry.id)
             if (job.service) continue
             sizes.addLast(job.taskResources.cpus * job.spec.tasks)
-            if (sizes.size > SIZES_KEPT) sizes.removeFirst()
+            if (sizes.size > MAX_SIZES) sizes.removeFirst()
         }
-        newestSeen = newest
+        newestSeenId = newestId
     }
 
     fun cpus(): Double = if (sizes.isEmpty()) 0.0 else options.urgentReserve * sizes.average()
 
     private companion object {
-        const val SIZES_KEPT = 50
+        const val MAX_SIZES = 50
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -52,7 +52,7 @@
             val small = MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west"))
             context.reply(Input.Cloud(request.ticket, CloudReply.CatalogIs(listOf(small))))
         }
-    private val moves = ReplicaMigration(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
+    private val migration = ReplicaMigration(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
 
     private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob {
         val taskResources = Resources(2.0, 0.0, 1.0)
@@ -114,15 +114,15 @@
         val full = machine("n-2", cpus = 1.0)
         val replica = running(job, 0, old)
         running(job, 1, full)
-        assertFalse(moves.pending())
+        assertFalse(migration.pending())
         notice(old, 15_000)
-        assertTrue(moves.pending())
-        val plan = moves.plan(listOf(full))
+        assertTrue(migration.pending())
+        val plan = migration.plan(listOf(full))
         assertFalse(replica.stopping)
         assertEquals(emptyList<Machine>(), plan.stoppedOn)
-        assertEquals(listOf(job to 1), plan.lacking.map { it.job to it.count })
+        assertEquals(listOf(job to 1), plan.unplaced.map { it.job to it.count })
         context.now = Now(13_600, 13_600)
-        assertEquals(listOf(old), moves.plan(listOf(full)).stoppedOn, "the notice is nearly over")
+        assertEquals(listOf(old), migration.plan(listOf(full)).stoppedOn, "the notice is nearly over")
         assertTrue(replica.stopping)
     }
 
@@ -133,25 +133,25 @@
         val other = machine("n-2", cpus = 8.0)
         val replicas = List(3) { running(job, it, old) }
         old.availability.drain()
-        assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
+        assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, false, false), replicas.map { it.stopping })
         assertEquals(6.0, other.roundRoom.cpus)
         offer(other, 8.0)
-        assertEquals(emptyList<Allocation>(), moves.start(listOf(other)), "the old attempt is not gone")
+        assertEquals(emptyList<Allocation>(), migration.start(listOf(other)), "the old attempt is not gone")
         assertEquals(6.0, other.roundRoom.cpus, "the room is held in the next round, too")
-        assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "one is under way")
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "one is under way")
 
         replicas[0].phase = Attempt.Phase.EXITED
         job.running--
         quotas.remove(job.team, job.taskResources)
         job.released(0)
         offer(other, 8.0)
-        val started = moves.start(listOf(other)).single()
+        val started = migration.start(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
         assertEquals(6.0, other.roundRoom.cpus)
-        assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "the first does not run again yet")
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "the first does not run again yet")
         running(job, 0, other)
-        assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
+        assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, true, false), replicas.map { it.stopping })
     }
 
@@ -162,18 +162,18 @@
         val other = machine("n-2", cpus = 8.0)
         val replicas = List(3) { running(job, it, old) }
         notice(old, 10_000)
-        moves.plan(listOf(other))
+        migration.plan(listOf(other))
         assertTrue(replicas.all { it.stopping })
         assertEquals(2.0, other.roundRoom.cpus)
         gone(old)
         // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
         offer(other, 8.0)
-        val first = moves.start(listOf(other)).single()
+        val first = migration.start(listOf(other)).single()
         running(job, first.tasks.single(), other)
         offer(other, 6.0)
         assertEquals(
             listOf(1),
-            moves
+            migration
                 .start(listOf(other))
                 .single()
                 .tasks
@@ -190,7 +190,7 @@
         val holder = machine("n-3", cpus = 4.0).also { it.images.add(job.image) }
         running(job, 0, old)
         old.availability.cordon()
-        moves.plan(listOf(fuller, holder))
+        migration.plan(listOf(fuller, holder))
         assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, holder.roundRoom.cpus))
     }
 
@@ -205,10 +205,10 @@
         running(job, 2, otherZone)
         running(job, 3, otherZone)
         old.availability.drain()
-        val plan = moves.plan(listOf(otherZone))
+        val plan = migration.plan(listOf(otherZone))
         assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
-        assertEquals(listOf(true, false), listOf(0, 1).map { plan.lacking.single().admits(it) })
-        assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+        assertEquals(listOf(true, false), listOf(0, 1).map { plan.unplaced.single().admits(it) })
+        assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
         assertEquals(0.0, sameZone.roundRoom.cpus)
     }
 
@@ -221,9 +221,9 @@
         running(job, 0, old)
         running(job, 1, sameZone)
         old.availability.drain()
-        assertEquals(emptyList<Machine>(), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
         offer(sameZone, 2.0)
-        assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+        assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
     }
 
     /** A move whose start would break a rule by now is given up: the replica is placed like any that is ready. */
@@ -238,10 +238,10 @@
             test.running(job, 1, test.machine("n-3", zone = 0))
             test.running(job, 2, test.machine("n-4", zone = 1))
             test.notice(old, 4000)
-            test.moves.plan(listOf(target))
+            test.migration.plan(listOf(target))
             test.gone(old)
             test.change(job, target)
-            return test.moves.start(listOf(target).filter { !it.availability.hasSpotNotice }).size
+            return test.migration.start(listOf(target).filter { !it.availability.hasSpotNotice }).size
         }
         assertEquals(1, startAfter { _, _ -> })
         assertEquals(
@@ -267,10 +267,10 @@
         val other = machine("n-2", cpus = 8.0)
         repeat(3) { running(job, it, old) }
         notice(old, 5000)
-        moves.plan(listOf(other))
+        migration.plan(listOf(other))
         gone(old)
         quotas.add(job.team, job.taskResources, 4)
-        assertEquals(emptyList<Allocation>(), moves.start(listOf(other)))
+        assertEquals(emptyList<Allocation>(), migration.start(listOf(other)))
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -70,12 +70,12 @@
         val holder = machine("n-3", 0, 2.0).also { it.images.add(job.image) }
         val otherZone = machine("n-4", 1, 8.0)
         val machines = listOf(fullest, fuller, holder, otherZone)
-        assertEquals(6.0, replicas.keepRoom(machines))
+        assertEquals(6.0, replicas.reserveHeadroom(machines))
         assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.roundRoom.cpus })
-        replicas.giveBack()
+        replicas.releaseHeadroom()
         assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.roundRoom.cpus })
         val spot = machine("n-5", 0, 1.0).also { it.describe(it.type, it.zone, isSpot = true) }
-        replicas.keepRoom(listOf(spot))
+        replicas.reserveHeadroom(listOf(spot))
         assertEquals(1.0, spot.roundRoom.cpus, "its services may not use spot machines")
     }
 }
