--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -48,7 +48,7 @@
         catalogBusy = true
         cloud.send(CloudOp.Catalog) { reply ->
             catalogBusy = false
-            if (reply is CloudReply.CatalogIs) onCatalog(reply.types)
+            if (reply is CloudReply.Catalog) onCatalog(reply.types)
         }
     }
 
@@ -75,7 +75,7 @@
         listBusy = true
         cloud.sendInTerm(CloudOp.Machines(after)) { reply ->
             listBusy = false
-            if (reply is CloudReply.MachinesAre) {
+            if (reply is CloudReply.Machines) {
                 onPage(reply.page, found)
             } else {
                 listAt = context.steady - LIST_MS / 2
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudRequests.kt
@@ -29,12 +29,12 @@
     fun trySpend(): Boolean = budget.trySpend()
 
     /** Sends a request whose reply is of use in any term. */
-    fun send(op: CloudOp, onReply: (CloudReply) -> Unit) = context.cloud(op, onReply)
+    fun send(op: CloudOp, onReply: (CloudReply) -> Unit) = context.callCloud(op, onReply)
 
     /** Sends a request whose reply is of use in this term only. */
     fun sendInTerm(op: CloudOp, onReply: (CloudReply) -> Unit) {
         val tokenThen = fencingToken
-        context.cloud(op) { reply ->
+        context.callCloud(op) { reply ->
             if (tokenThen == fencingToken) onReply(reply) else context.dropped.count(DroppedInput.REPLY_LATE)
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -25,12 +25,13 @@
     options: OperatorSettings,
     label: String,
     staticMachines: StaticMachines,
+    private val events: MachineEvents = MachineEvents.None,
 ) {
     private val leaseMs = settings.leaseMs
-    private val table = MachineTable(context, names, leaseMs)
+    private val table = MachineTable(context, names, leaseMs, events)
     private val cloud = CloudRequests(context, settings.cloudRps)
     private val reachability = MachineReachability(context, settings.heartbeatIntervalS, settings.leaseS)
-    private val leaseExpiry = LeaseExpiry(context, table, leaseMs)
+    private val leaseExpiry = LeaseExpiry(context, table, events, leaseMs)
     private val spotNotices = SpotNotices(context)
     private val inventory = CloudInventory(context, names, table, cloud, staticMachines, settings.listLagS)
     private val scaleOut = ScaleOut(context, names, table, cloud, reachability, settings, options, label)
@@ -44,23 +45,6 @@
     /** Whether the fleet may have to be scaled out further at once. */
     val moreNow: Boolean get() = scaleOut.moreNow
 
-    /** Set by the controller: everything on the machine is certainly gone. */
-    var onGone: (Machine) -> Unit
-        get() = table.onGone
-        set(value) {
-            table.onGone = value
-        }
-
-    /** Set by the controller: the machine is in a new epoch, and whether it had shown our fencing token before. */
-    var newEpochListener: (Machine, Boolean) -> Unit = { _, _ -> }
-
-    /** Set by the controller: CPUs that are to stay free for urgent work. */
-    var reserve: () -> Double
-        get() = scaleIn.reserve
-        set(value) {
-            scaleIn.reserve = value
-        }
-
     fun start(newFencingToken: Long) {
         table.start(newFencingToken)
         leaseExpiry.start()
@@ -133,7 +117,7 @@
     private fun hasShownOurFencingToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
 
     private fun beginEpoch(machine: Machine, epoch: Long) {
-        if (machine.lease.epoch > 0) newEpochListener(machine, hasShownOurFencingToken(machine))
+        if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasShownOurFencingToken(machine))
         machine.lease.beginEpoch(epoch)
         machine.availability.endQuarantine()
         machine.reconciled = null
@@ -155,15 +139,16 @@
 
     /**
      * Reads from the cloud what is due, and scales the fleet by at most one request. Only a leader scales, and a
-     * request without a reply is repeated before anything else is scaled.
+     * request without a reply is repeated before anything else is scaled. [headroomCpus] are to stay free for
+     * urgent work.
      */
-    fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayRent: Boolean) {
+    fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayRent: Boolean, headroomCpus: Double = 0.0) {
         cloud.refill()
         scaleOut.moreNow = false
         inventory.readCatalogIfDue(leading)
         if (!leading || !catalogKnown) return
         inventory.readListIfDue()
-        scaleIn.cordonOverpriced(tasksWait = unplaced.isNotEmpty())
+        scaleIn.cordonOverpriced(tasksWait = unplaced.isNotEmpty(), headroomCpus)
         if (cloud.isScaling) return
         if (scaleOut.isPending) return scaleOut.retry()
         if (scaleIn.deleteUnneeded(unplaced)) return
--- a/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
@@ -7,7 +7,12 @@
  * Owns when workers' leases have certainly expired. Only then does what was on a machine that has fallen silent count
  * as gone, so the moment has to be late by any drift of clocks, never early. Called by [Fleet].
  */
-class LeaseExpiry(private val context: CoreContext, private val table: MachineTable, leaseMs: Long) {
+class LeaseExpiry(
+    private val context: CoreContext,
+    private val table: MachineTable,
+    private val events: MachineEvents,
+    leaseMs: Long,
+) {
     /** After this long without an answered heartbeat a lease has certainly expired. */
     private val expiresAfterMs = leaseMs + leaseMs / DRIFT_OF + MARGIN_MS
 
@@ -42,7 +47,7 @@
             context.info("the lease of ${machine.name} has expired")
             machine.markLost(since = context.steady)
         }
-        table.onGone(machine)
+        events.onMachineGone(machine)
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OverpricedMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OverpricedMachines.kt
@@ -12,7 +12,6 @@
     private val context: CoreContext,
     private val table: MachineTable,
     private val staticMachines: StaticMachines,
-    private val headroomCpus: () -> Double,
 ) {
     private var tasksWaitedAt = Machine.NEVER
     private var cordonedAt = Machine.NEVER
@@ -24,8 +23,8 @@
         for (machine in table.all) machine.availability.uncordon()
     }
 
-    /** Cordons a few machines, if no task has waited for a while and enough room is left without them. */
-    fun cordonSome() {
+    /** Cordons a few machines, if no task has waited for a while and [headroomCpus] and more stay free without them. */
+    fun cordonSome(headroomCpus: Double) {
         val now = context.steady
         if (now - tasksWaitedAt < CALM_MS || now - cordonedAt < CORDON_EVERY_MS) return
         val overpriced = find()
@@ -33,7 +32,7 @@
         var freeCpus = table.placeable().sumOf(::freeCpus)
         for (candidate in overpriced.take(maxOf(1, overpriced.size / CORDONED_PART))) {
             freeCpus -= candidate.freeCpus
-            if (freeCpus < headroomCpus() * HEADROOMS_KEPT) return
+            if (freeCpus < headroomCpus * HEADROOMS_KEPT) return
             candidate.machine.availability.cordon()
             cordonedAt = now
         }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -22,19 +22,16 @@
     options: OperatorSettings,
     private val leaseMs: Long,
 ) {
-    /** CPUs that are to stay free for urgent work. */
-    var reserve: () -> Double = { 0.0 }
-
     private val silentMachines = SilentMachines(context, table, reachability, leaseMs)
     private val idleMachines = IdleMachines(context, table, staticMachines, options)
-    private val overpricedMachines = OverpricedMachines(context, table, staticMachines) { reserve() }
+    private val overpricedMachines = OverpricedMachines(context, table, staticMachines)
 
     /** A machine that sends heartbeats but receives nothing for this long is deleted: it can run nothing, and costs. */
     private val unreachableMs = maxOf(leaseMs * UNREACHABLE_LEASES, UNREACHABLE_MIN_MS)
 
-    /** Cordons a few machines that cost too much; none while tasks wait. */
-    fun cordonOverpriced(tasksWait: Boolean) {
-        if (tasksWait) overpricedMachines.uncordonAll() else overpricedMachines.cordonSome()
+    /** Cordons a few machines that cost too much, and none while tasks wait; [headroomCpus] stay free. */
+    fun cordonOverpriced(tasksWait: Boolean, headroomCpus: Double) {
+        if (tasksWait) overpricedMachines.uncordonAll() else overpricedMachines.cordonSome(headroomCpus)
     }
 
     /** Deletes what is of no use any more; true if a request was sent. */
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -1,12 +1,12 @@
 package org.chalkhollow.core.common
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.leadership.CandidateSnapshot
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.core.operations.ControllerGauges
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
@@ -151,7 +151,7 @@
     @Test
     fun `a reply to a call that has had one is counted`() {
         var replies = 0
-        context.state(StateOp.Read("x")) { replies++ }
+        context.callStateService(StateOp.Read("x")) { replies++ }
         val call = context.drain().filterIsInstance<Effect.State>().single()
         repeat(3) { context.reply(Input.State(call.ticket, StateReply.Missing)) }
         context.reply(Input.Cloud(77, CloudReply.Deleted))
@@ -162,10 +162,9 @@
 
     @Test
     fun `a reply to a write of a term that is over is counted`() {
-        val log = StateWriter(context, limits, options, leadership(0))
         var durable = false
         val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
-        log.source { write }
+        val log = StateWriter(context, limits, options, leadership(0), listOf(StateWriter.Source { write }))
         context.now = Now(1000, 1000)
         log.start(LeadershipRecord("m", 77, 1, 0), 1)
         context.now = Now(2000, 2000)
@@ -196,12 +195,12 @@
         context.now = Now(1000, 1000)
         fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
         val catalog = context.drain().filterIsInstance<Effect.Cloud>().single()
-        context.reply(Input.Cloud(catalog.ticket, CloudReply.CatalogIs(emptyList())))
+        context.reply(Input.Cloud(catalog.ticket, CloudReply.Catalog(emptyList())))
         context.now = Now(2000, 2000)
         fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
         val list = context.drain().filterIsInstance<Effect.Cloud>().single { it.op is CloudOp.Machines }
         fleet.start(2)
-        context.reply(Input.Cloud(list.ticket, CloudReply.MachinesAre(ListedPage(emptyList(), false))))
+        context.reply(Input.Cloud(list.ticket, CloudReply.Machines(ListedPage(emptyList(), false))))
         assertEquals(false, fleet.heardFromListed())
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
@@ -223,5 +222,5 @@
     }
 
     private fun lines(meters: Meters, dropped: Map<DroppedInput, Long>): List<String> =
-        meters.text(Controller.View(false, 0, 0, 0, 0, dropped = dropped)).lines()
+        meters.text(ControllerGauges(false, 0, 0, 0, 0, dropped = dropped)).lines()
 }
