--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -68,7 +68,7 @@
 
     override fun onMarkersDurable(machine: Machine) = targets.commands.send(machine)
 
-    override fun onAttemptBegun(machine: Machine) = targets.fleet.reached(machine)
+    override fun onAttemptBegun(machine: Machine) = targets.fleet.confirmReachable(machine)
 
     override fun onJobDone(job: OpenJob) = targets.requests.finished(job)
 
--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -25,7 +25,7 @@
     fun tick() {
         val leading = leadership.role == Leadership.Role.LEADER && term.loaded
         if (leading && leadership.entitled()) fleet.expireLeases()
-        if (context.steady >= nextAt || leading && fleet.moreNow) lookAfterFleet(leading)
+        if (context.steady >= nextAt || leading && fleet.mayScaleOutMore) lookAfterFleet(leading)
     }
 
     private fun lookAfterFleet(leading: Boolean) {
@@ -35,7 +35,7 @@
             commands.askDoubtful()
         }
         // Whether it is entitled is asked anew: advancing the fencing token ends the term.
-        fleet.tick(leading && leadership.entitled(), placement.unplaced, mayScaleOut(), placement.reserve())
+        fleet.tick(leading && leadership.entitled(), placement.unplaced, mayScaleOut(), placement.urgentHeadroomCpus())
     }
 
     /**
@@ -46,7 +46,7 @@
     private fun mayScaleOut(): Boolean {
         if (!staticMachines.known) return false
         val listenedLongEnough = context.steady - term.startedAt > listenMs
-        return listenedLongEnough || staticMachines.first && fleet.heardFromListed()
+        return listenedLongEnough || staticMachines.isFirstLeader && fleet.heardFromAllListed()
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -46,7 +46,7 @@
         if (attempt.fromCredit) creditCpus += job.taskResources.cpus
         attempt.since = context.steady
         attempt.placedAt = context.steady
-        attempt.cached = job.image in machine.held
+        attempt.cached = job.image in machine.cachedImages
         machine.attempts.add(attempt)
         machine.usage.occupy(job.taskResources)
         job.taken(index)
@@ -172,7 +172,7 @@
         if (a.phase == Attempt.Phase.SENT && !a.inherited) events.onAttemptBegun(a.machine)
         val ran = a.onMachine && a.phase != Attempt.Phase.FETCHING
         a.phase = phase
-        if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.held.add(a.job.image)
+        if (phase == Attempt.Phase.RUNNING && a.job.image >= 0) a.machine.cachedImages.add(a.job.image)
         val runs = phase != Attempt.Phase.FETCHING
         if (runs && !ran) begun(a)
         if (!runs && ran) a.job.running--
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -146,7 +146,7 @@
         for (item in f.list("a")) {
             val parts = item as? List<*> ?: throw Malformed("${row.key} is not a marker")
             val job = jobs.marked(parts[0].toString()) ?: continue
-            val machine = fleet.known(parts[1].toString())
+            val machine = fleet.getOrAdd(parts[1].toString())
             for (index in indices(parts[2].toString())) {
                 if (index >= job.spec.tasks || job.done.get(index)) continue
                 val attempt = reconciler.reserve(job, index, marker.number, machine, marker)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -58,7 +58,7 @@
             a.directPending = true
             a.sentDirectly = true
         }
-        m.directBusy = true
+        m.commandInFlight = true
         m.reachability.recordProbe(context.steady)
         val epoch = m.lease.epoch
         val commands = stops.map(commandPlanner::stop) + starts.map(commandPlanner::start)
@@ -68,7 +68,7 @@
     private fun mayStart(a: Attempt): Boolean = a.phase == Attempt.Phase.MARKED && !a.job.cancelling && !a.job.cancelled
 
     private fun reachableNow(m: Machine): Boolean {
-        if (m.directBusy || m.address.isEmpty() || m.lease.epoch == 0L) return false
+        if (m.commandInFlight || m.address.isEmpty() || m.lease.epoch == 0L) return false
         return m.reachability.reachable && context.steady - m.lease.heartbeatAt <= freshMs
     }
 
@@ -87,7 +87,7 @@
             left--
             val epoch = m.lease.epoch
             call(m, emptyList()) { reply ->
-                if (m.lease.epoch == epoch && reply is CommandReply.Executed) fleet.reached(m)
+                if (m.lease.epoch == epoch && reply is CommandReply.Executed) fleet.confirmReachable(m)
             }
         }
     }
@@ -103,7 +103,7 @@
     }
 
     private fun onReply(m: Machine, epoch: Long, starts: List<Attempt>, reply: CommandReply) {
-        m.directBusy = false
+        m.commandInFlight = false
         if (reply is CommandReply.NoResponse) return // it may still be executed: see [advanceFencingTokenIfNeeded]
         for (a in starts) a.directPending = false
         if (reply is CommandReply.Executed) {
@@ -115,7 +115,7 @@
 
     private fun onExecuted(m: Machine, epoch: Long, heartbeat: WorkerHeartbeat) {
         val sameSession = heartbeat.epoch == epoch && m.lease.epoch == epoch
-        if (sameSession) fleet.reached(m)
+        if (sameSession) fleet.confirmReachable(m)
         if (!sameSession || heartbeat.machine != m.name) {
             context.dropped.count(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         } else if (!m.lease.advanceStatus(heartbeat.seq)) {
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -49,10 +49,10 @@
     val images = IntOpenHashSet()
 
     /** Images that some task here has run with; a worker keeps its cache when its lease expires. */
-    val held = IntOpenHashSet()
+    val cachedImages = IntOpenHashSet()
 
     /** Whether a direct command has no reply yet. */
-    var directBusy = false
+    var commandInFlight = false
 
     /** The task list that was last reconciled; an equal one is the same instance, see `HeartbeatReader`. */
     var reconciled: List<TaskStatus>? = null
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -97,7 +97,7 @@
 
     private fun onListed(listed: ListedMachine) {
         if (table.isGone(listed.name)) return
-        val machine = table.known(listed.name)
+        val machine = table.getOrAdd(listed.name)
         if (machine.state == Machine.State.DELETING) return
         machine.cloud.recordListed(listed.status, context.steady)
         if (!machine.isTypeKnown) {
@@ -123,7 +123,7 @@
     }
 
     /** Whether every machine that the cloud lists as up has sent a heartbeat; never before a list was read. */
-    fun heardFromListed(): Boolean =
+    fun heardFromAllListed(): Boolean =
         listAt != Machine.NEVER && table.all.none { it.cloud.isListedUp && it.state == Machine.State.BOOTING }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -43,7 +43,7 @@
     val catalogKnown: Boolean get() = inventory.catalogKnown
 
     /** Whether the fleet may have to be scaled out further at once. */
-    val moreNow: Boolean get() = scaleOut.moreNow
+    val mayScaleOutMore: Boolean get() = scaleOut.mayScaleOutMore
 
     fun start(newFencingToken: Long) {
         table.start(newFencingToken)
@@ -53,20 +53,20 @@
         scaleOut.start()
     }
 
-    fun known(name: String): Machine = table.known(name)
+    fun getOrAdd(name: String): Machine = table.getOrAdd(name)
 
     fun find(name: String): Machine? = table.find(name)
 
     /** CPUs of the machines of one type that are up or on their way; of all if [type] is negative. */
     fun cpus(type: Int): Double = table.cpus(type)
 
-    fun size(m: Machine): Double = table.cpusOf(m)
+    fun cpusOf(machine: Machine): Double = table.cpusOf(machine)
 
     /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
     fun leastBootMs(): Long = inventory.leastBootMs
 
     /** Whether every machine that the cloud lists as up has reported; never before a list was read. */
-    fun heardFromListed(): Boolean = inventory.heardFromListed()
+    fun heardFromAllListed(): Boolean = inventory.heardFromAllListed()
 
     /** Machines that take new tasks, see [MachineTable.placeable]. */
     fun placeable(): List<Machine> = table.placeable()
@@ -80,7 +80,7 @@
      */
     fun observe(heartbeat: WorkerHeartbeat): Machine? {
         if (table.isGone(heartbeat.machine)) return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
-        val machine = table.known(heartbeat.machine)
+        val machine = table.getOrAdd(heartbeat.machine)
         val lease = machine.lease
         if (lease.hasEnded(heartbeat.epoch) || machine.state == Machine.State.DELETING) {
             return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
@@ -122,11 +122,11 @@
         machine.availability.endQuarantine()
         machine.reconciled = null
         machine.images.clear()
-        machine.images.addAll(machine.held) // its cache outlives the epoch; what it was fetching does not
+        machine.images.addAll(machine.cachedImages) // its cache outlives the epoch; what it was fetching does not
     }
 
     /** The machine carried out a direct command: our messages reach it. */
-    fun reached(machine: Machine) = reachability.onProof(machine)
+    fun confirmReachable(machine: Machine) = reachability.onProof(machine)
 
     /** Whether it is in doubt that our messages reach [machine], so that it is to be probed; true once in a while. */
     fun shouldProbe(machine: Machine): Boolean {
@@ -142,9 +142,9 @@
      * request without a reply is repeated before anything else is scaled. [headroomCpus] are to stay free for
      * urgent work.
      */
-    fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayRent: Boolean, headroomCpus: Double = 0.0) {
+    fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayScaleOut: Boolean, headroomCpus: Double = 0.0) {
         cloud.refill()
-        scaleOut.moreNow = false
+        scaleOut.beginTick()
         inventory.readCatalogIfDue(leading)
         if (!leading || !catalogKnown) return
         inventory.readListIfDue()
@@ -152,6 +152,6 @@
         if (cloud.isScaling) return
         if (scaleOut.isPending) return scaleOut.retry()
         if (scaleIn.deleteUnneeded(unplaced)) return
-        if (mayRent) scaleOut.rentFor(unplaced)
+        if (mayScaleOut) scaleOut.rentFor(unplaced)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
@@ -61,7 +61,7 @@
         for (image in remembered.remove(machine.name) ?: return) {
             val index = names.images.intern(image)
             machine.images.add(index)
-            machine.held.add(index)
+            machine.cachedImages.add(index)
         }
     }
 
@@ -91,7 +91,7 @@
         val builder = PageBuilder()
         for (id in page * pageSize until minOf((page + 1) * pageSize, names.machines.size)) {
             val machine = fleet.find(names.machines.name(id)) ?: continue
-            if (machine.held.isEmpty() || machine.state != Machine.State.UP) continue
+            if (machine.cachedImages.isEmpty() || machine.state != Machine.State.UP) continue
             if (!builder.add(machine)) break
         }
         return builder.value()
@@ -105,11 +105,11 @@
 
         /** False if there is no room for [machine]. */
         fun add(machine: Machine): Boolean {
-            val newImages = machine.held.filter { it !in images }
+            val newImages = machine.cachedImages.filter { it !in images }
             val newBytes = newImages.sumOf { EncodedSize.of(names.images.name(it)) + 1 }
-            size += EncodedSize.of(machine.name) + ROW_BYTES + machine.held.size * INDEX_BYTES + newBytes
+            size += EncodedSize.of(machine.name) + ROW_BYTES + machine.cachedImages.size * INDEX_BYTES + newBytes
             if (size > limits.valueBytes) return false
-            val indices = machine.held.map { image -> images.getOrPut(image) { images.size }.toLong() }
+            val indices = machine.cachedImages.map { image -> images.getOrPut(image) { images.size }.toLong() }
             held[machine.name] = listOf(machine.lease.epoch) + indices
             return true
         }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -49,7 +49,7 @@
 
     /** Whether to probe [machine] now with a direct command; if so, the probe is taken as sent. */
     fun startProbe(machine: Machine): Boolean {
-        if (machine.directBusy || !isDoubtful(machine)) return false
+        if (machine.commandInFlight || !isDoubtful(machine)) return false
         val now = context.steady
         if (now - machine.reachability.probedAt < PROBE_EVERY_MS) return false
         machine.reachability.recordProbe(now)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -39,7 +39,7 @@
     }
 
     /** The machine of this [name]; one that is not known yet is taken in. */
-    fun known(name: String): Machine =
+    fun getOrAdd(name: String): Machine =
         byName.getOrPut(name) {
             Machine(names.machines.intern(name), name, context.steady).also {
                 it.lease.assumeAnsweredUntil(takenOverAt) // by an earlier leader
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
@@ -35,7 +35,8 @@
      * The outcome of a request is known, and there may be more to rent: much is asked for at once at a start and after
      * mass failures.
      */
-    var moreNow = false
+    var mayScaleOutMore = false
+        private set
 
     fun start() {
         requests = 0
@@ -43,6 +44,10 @@
         backoff.start()
     }
 
+    fun beginTick() {
+        mayScaleOutMore = false
+    }
+
     /** Whether a request waits for its reply or for being repeated. */
     val isPending: Boolean get() = pending != null
 
@@ -81,12 +86,12 @@
             is CloudReply.Rented -> {
                 pending = null
                 onRented(rental, reply.names)
-                moreNow = true
+                mayScaleOutMore = true
             }
             CloudReply.NoCapacity -> {
                 pending = null
                 backoff.onRefused(rental.offer, context.steady)
-                moreNow = true
+                mayScaleOutMore = true
             }
             is CloudReply.Rejected -> {
                 context.warn("the cloud rejects a rental: ${reply.why}")
@@ -114,7 +119,7 @@
     }
 
     private fun addMachine(name: String, offer: Offer) {
-        val machine = table.known(name)
+        val machine = table.getOrAdd(name)
         if (machine.isTypeKnown) return
         machine.describe(offer.type, offer.zone, offer.spot)
         machine.cloud.recordCreated(context.steady)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -20,7 +20,7 @@
     private var recorded = false
 
     /** Whether this leader is the first of all, before whom nothing was rented. */
-    var first = false
+    var isFirstLeader = false
         private set
     private var pendingWrite: Write? = null
 
@@ -28,7 +28,7 @@
         names = emptySet()
         recorded = false
         pendingWrite = null
-        first = fencingToken == 1L
+        isFirstLeader = fencingToken == 1L
     }
 
     fun load(row: KeyValue) {
@@ -40,7 +40,7 @@
 
     /** The first whole list of machines in the first leader's term, read before anything was rented. */
     fun onList(found: Set<String>) {
-        if (!first || recorded) return
+        if (!isFirstLeader || recorded) return
         recorded = true
         names = HashSet(found)
         pendingWrite = write(found.sorted())
@@ -79,7 +79,7 @@
     }
 
     /** Whether the machines are known, so that renting may begin: what is listed later might be rented. */
-    val known: Boolean get() = recorded || !first
+    val known: Boolean get() = recorded || !isFirstLeader
 
     /** The write that is due, if [room] has a place for it. */
     fun next(room: StateWriter.Room): Write? {
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -141,7 +141,7 @@
     private val preference =
         Comparator<Machine> { first, second ->
             var order = (first.roundRank shr 1).compareTo(second.roundRank shr 1)
-            if (order == 0) order = fleet.size(first).compareTo(fleet.size(second))
+            if (order == 0) order = fleet.cpusOf(first).compareTo(fleet.cpusOf(second))
             if (order == 0) order = first.roundRank.compareTo(second.roundRank)
             if (order == 0) order = first.roundRoom.cpus.compareTo(second.roundRoom.cpus)
             if (order == 0) order = first.id.compareTo(second.id)
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -46,7 +46,7 @@
     val preempted: Set<Machine> get() = preemption.preempted
 
     /** CPUs that work which can wait leaves free for urgent work to come. */
-    fun reserve(): Double = urgentHeadroom.cpus()
+    fun urgentHeadroomCpus(): Double = urgentHeadroom.cpus()
 
     /** Whether [job] may use [machine] now; room aside. */
     fun mayUse(job: OpenJob, machine: Machine): Boolean = selector.allowed(job, machine)
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -193,15 +193,15 @@
             Fleet(context, Interners(), Simulation(1).settings, options, "a", StaticMachines(context, limits))
         fleet.start(1)
         context.now = Now(1000, 1000)
-        fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
+        fleet.tick(leading = true, unplaced = emptyList(), mayScaleOut = false)
         val catalog = context.drain().filterIsInstance<Effect.Cloud>().single()
         context.reply(Input.Cloud(catalog.ticket, CloudReply.Catalog(emptyList())))
         context.now = Now(2000, 2000)
-        fleet.tick(leading = true, unplaced = emptyList(), mayRent = false)
+        fleet.tick(leading = true, unplaced = emptyList(), mayScaleOut = false)
         val list = context.drain().filterIsInstance<Effect.Cloud>().single { it.op is CloudOp.Machines }
         fleet.start(2)
         context.reply(Input.Cloud(list.ticket, CloudReply.Machines(ListedPage(emptyList(), false))))
-        assertEquals(false, fleet.heardFromListed())
+        assertEquals(false, fleet.heardFromAllListed())
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
@@ -41,10 +41,10 @@
         val m = heartbeat(epoch = 1)
         m.images.add(7)
         m.images.add(8)
-        m.held.add(7)
+        m.cachedImages.add(7)
         assertEquals(m, heartbeat(epoch = 2))
         assertEquals(setOf(7), m.images)
-        assertEquals(setOf(7), m.held)
+        assertEquals(setOf(7), m.cachedImages)
     }
 
     @Test
@@ -58,7 +58,7 @@
         val m = heartbeat(epoch = 4)
         memory.recall(m)
         assertTrue(names.images.intern("k") in m.images)
-        assertTrue(names.images.intern("k") in m.held)
+        assertTrue(names.images.intern("k") in m.cachedImages)
         assertFalse(names.images.intern("i") in m.images)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -47,7 +47,7 @@
             "a",
             StaticMachines(context, settings.stateLimits),
         ).also { fleet ->
-            fleet.tick(leading = false, unplaced = emptyList(), mayRent = false)
+            fleet.tick(leading = false, unplaced = emptyList(), mayScaleOut = false)
             val request = context.drain().filterIsInstance<Effect.Cloud>().single { it.op == CloudOp.Catalog }
             val small = MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west"))
             context.reply(Input.Cloud(request.ticket, CloudReply.Catalog(listOf(small))))
@@ -83,7 +83,7 @@
     }
 
     private fun machine(name: String, zone: Int = 0, cpus: Double = 0.0): Machine =
-        fleet.known(name).also {
+        fleet.getOrAdd(name).also {
             it.markUp()
             it.describe(0, zone, isSpot = false)
             offer(it, cpus)
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -56,7 +56,7 @@
     }
 
     private fun machine(name: String, zone: Int, cpus: Double): Machine =
-        fleet.known(name).also {
+        fleet.getOrAdd(name).also {
             it.describe(Machine.UNKNOWN, zone, isSpot = false)
             it.roundRoom = Resources(cpus, 0.0, 64.0)
         }
