--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/MachineTest.kt
@@ -0,0 +1,67 @@
+package org.chalkhollow.core.cluster
+
+import org.chalkhollow.model.Resources
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class MachineTest {
+    private val machine = Machine(0, "n-1")
+
+    @Test
+    fun `the epoch of a lost machine has ended`() {
+        machine.lease.beginEpoch(2)
+        machine.markUp()
+        machine.markLost(since = 500)
+        assertEquals(Machine.State.LOST to 500L, machine.state to machine.lostAt)
+        assertTrue(machine.lease.hasEnded(2))
+    }
+
+    @Test
+    fun `an empty machine has exactly its capacity, whatever was added and taken off before`() {
+        val capacity = Resources(4.0, 0.0, 16.0)
+        val odd = Resources(0.1, 0.0, 0.7)
+        repeat(3) { machine.usage.occupy(odd) }
+        assertTrue(machine.busy)
+        repeat(3) { machine.usage.vacate(odd) }
+        assertFalse(machine.busy)
+        machine.usage.occupy(Resources(1.0, 0.0, 1.0))
+        assertEquals(Resources(3.0, 0.0, 15.0), machine.usage.leftOf(capacity))
+    }
+
+    @Test
+    fun `a machine idles since it first did, and is unreachable since it first was`() {
+        machine.availability.recordIdle(idle = true, now = 10)
+        machine.availability.recordIdle(idle = true, now = 20)
+        assertEquals(10, machine.availability.idleSince)
+        machine.availability.recordIdle(idle = false, now = 30)
+        assertEquals(Machine.NEVER, machine.availability.idleSince)
+
+        assertFalse(machine.reachability.update(isReachable = false, now = 10))
+        assertFalse(machine.reachability.update(isReachable = false, now = 20))
+        assertEquals(10, machine.reachability.unreachableSince)
+        assertTrue(machine.reachability.update(isReachable = true, now = 30))
+        assertEquals(Machine.NEVER, machine.reachability.unreachableSince)
+    }
+
+    @Test
+    fun `a machine that is cordoned, drained, quarantined or reclaimed takes no tasks`() {
+        fun acceptsAfter(change: Availability.() -> Unit) = Availability().apply(change).acceptsTasks
+        assertTrue(acceptsAfter { })
+        assertFalse(acceptsAfter { cordon() })
+        assertFalse(acceptsAfter { drain() })
+        assertFalse(acceptsAfter { quarantine() })
+        assertFalse(acceptsAfter { recordSpotNotice(1000) })
+        assertTrue(
+            acceptsAfter {
+                cordon()
+                quarantine()
+                recordSpotNotice(1000)
+                uncordon()
+                endQuarantine()
+                withdrawSpotNotice()
+            },
+        )
+    }
+}
--- a/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A worker keeps its cache when its lease lapses, so what it holds is known in its next session, too. */
+/** A worker keeps its cache when its lease expires, so what it holds is known in its next epoch, too. */
 class ImageLocationsTest {
     private val context = CoreContext(1).also { it.now = Now(10_000, 10_000) }
     private val settings = Simulation(1).settings
@@ -37,7 +37,7 @@
         )
 
     @Test
-    fun `images that ran stay known in the next session, those on their way do not`() {
+    fun `images that ran stay known in the next epoch, those on their way do not`() {
         val m = heartbeat(epoch = 1)
         m.images.add(7)
         m.images.add(8)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `a new leader knows what a machine held in an earlier session`() {
+    fun `a new leader knows what a machine held in an earlier epoch`() {
         val value =
             mapOf(
                 "images" to listOf("i", "k"),
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -108,7 +108,7 @@
     }
 
     @Test
-    fun `nothing is stopped while there is no room elsewhere, and room is asked for`() {
+    fun `nothing is stopped while there is no room elsewhere, and room is requested`() {
         val job = service(2)
         val old = machine("n-1")
         val full = machine("n-2", cpus = 1.0)
@@ -127,7 +127,7 @@
     }
 
     @Test
-    fun `replicas of a service move one at a time, and the room of each is held until it starts`() {
+    fun `replicas of a service migrate one at a time, and the room of each is held until it starts`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
@@ -156,7 +156,7 @@
     }
 
     @Test
-    fun `replicas move at once when the notice is too short for one after the other`() {
+    fun `replicas migrate at once when the notice is too short for one after the other`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
@@ -195,7 +195,7 @@
     }
 
     @Test
-    fun `spread holds for the place to move to, the old attempt left out`() {
+    fun `spread holds for the target, the old attempt left out`() {
         val job = service(4) { it.copy(spread = true) }
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 2.0)
@@ -213,7 +213,7 @@
     }
 
     @Test
-    fun `together holds for the place to move to`() {
+    fun `together holds for the target`() {
         val job = service(2) { it.copy(together = true) }
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 1.0)
@@ -261,7 +261,7 @@
     }
 
     @Test
-    fun `moves do not take a team beyond its limit`() {
+    fun `migrations do not take a team beyond its quota`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Where room is kept free for services. */
+/** Where headroom is reserved for services. */
 class ReplicasTest {
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val settings = Simulation(1).settings
@@ -62,7 +62,7 @@
         }
 
     @Test
-    fun `room is kept in every zone, on machines that hold the image first, then on the fullest`() {
+    fun `headroom is reserved in every zone, on machines that hold the image first, then on the fullest`() {
         val job = service("j-1", 6)
         service("j-2", 4)
         val fullest = machine("n-1", 0, 2.0)
