--- a/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
@@ -2,12 +2,15 @@
 
 import org.chalkhollow.core.attempts.AttemptReconciler
 import org.chalkhollow.core.attempts.DispatchLog
+import org.chalkhollow.core.attempts.DispatchMarkerRecord
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.ImageLocations
 import org.chalkhollow.core.fleet.StaticMachines
+import org.chalkhollow.core.jobs.JobRecord
 import org.chalkhollow.core.jobs.JobTable
+import org.chalkhollow.core.jobs.ProgressPageRecord
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.wire.Malformed
@@ -49,8 +52,8 @@
 
     private fun loadByKey(row: KeyValue) =
         when {
-            row.key.startsWith(JobTable.JOB) -> jobs.loadJob(row)
-            row.key.startsWith(JobTable.PROGRESS) -> jobs.loadPage(row)
+            row.key.startsWith(JobRecord.KEY_PREFIX) -> jobs.loadJob(row)
+            row.key.startsWith(ProgressPageRecord.KEY_PREFIX) -> jobs.loadPage(row)
             row.key == StaticMachines.KEY -> staticMachines.load(row)
             row.key.startsWith(ImageLocations.KEY) -> images.load(row)
             else -> dispatch.load(row, jobs)
@@ -58,13 +61,19 @@
 
     /** Every record is loaded. */
     fun complete() {
-        jobs.afterLoad()
+        jobs.finishLoading()
         val inDoubt = fleet.machines.sumOf { it.attempts.size }
         context.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), $inDoubt attempts in doubt")
     }
 
     companion object {
         /** Key prefixes of what a candidate reads before it may lead; jobs come first, the others refer to them. */
-        val PREFIXES = listOf(JobTable.JOB, JobTable.PROGRESS, DispatchLog.MARK, StaticMachines.PREFIX)
+        val PREFIXES =
+            listOf(
+                JobRecord.KEY_PREFIX,
+                ProgressPageRecord.KEY_PREFIX,
+                DispatchMarkerRecord.PREFIX,
+                StaticMachines.PREFIX,
+            )
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -77,7 +77,7 @@
     val busy: Boolean get() = !usage.isEmpty
 
     /** Whether nothing of its past is left to be seen to; what is over and merely not forgotten yet does not count. */
-    val vacant: Boolean get() = attempts.all { it.phase == Attempt.Phase.EXITED && it.forgettable }
+    val vacant: Boolean get() = attempts.all { it.finished }
 
     fun describe(machineType: Int, inZone: Int, isSpot: Boolean) {
         type = machineType
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -105,7 +105,7 @@
     private fun couldTake(machine: Machine, job: OpenJob): Boolean {
         val type = table.types.getOrNull(machine.type) ?: return false
         return table.allows(job, machine.type, machine.zone, machine.spot) && job.fitsType(machine.type, type) &&
-            !job.avoids(machine.id, context.steady)
+            !job.backoff.avoids(machine.id, context.steady)
     }
 
     private fun delete(machines: List<Machine>) {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/SpotNotices.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/SpotNotices.kt
@@ -27,9 +27,9 @@
     private fun evict(machine: Machine) {
         val leftS = (machine.availability.reclaimAt - context.steady) / MS_PER_S
         for (attempt in machine.attempts) {
-            if (!attempt.onMachine || attempt.stopping) continue
+            if (!attempt.onMachine || attempt.stopRequested) continue
             if (attempt.job.service) continue // replicas are moved by [ReplicaMigration]
-            if (savesCheckpoint(attempt) || !endsWithin(attempt, leftS)) attempt.stopping = true
+            if (savesCheckpoint(attempt) || !endsWithin(attempt, leftS)) attempt.requestStop()
         }
     }
 
@@ -37,5 +37,5 @@
         attempt.job.spec.checkpointS > 0 && attempt.phase == Attempt.Phase.RUNNING
 
     private fun endsWithin(attempt: Attempt, seconds: Double): Boolean =
-        attempt.inherited || attempt.leastLeftS(context.steady) <= seconds
+        attempt.inherited || attempt.minRemainingS(context.steady) <= seconds
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
@@ -21,7 +21,7 @@
      * in time goes first: running what is late anyway would only make the rest late too.
      */
     fun isMissed(job: OpenJob): Boolean {
-        if (objectives.startable(job, context.now.wall)) return false
+        if (objectives.canStartInTime(job, context.now.wall)) return false
         val due = dueWall(job)
         return due != Long.MAX_VALUE && context.now.wall + optimisticMs(job.spec.expectedS) > due
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/DeferredJobs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/DeferredJobs.kt
@@ -31,7 +31,7 @@
     fun update() {
         cpusByType.clear()
         deferred.clear()
-        val started = jobs.open.filter { it.placeable || !it.live.isEmpty() }
+        val started = jobs.open.filter { it.placeable || !it.tasks.noneLive }
         for ((pool, jobsOfPool) in started.groupBy { Pool(it.onlyType, it.spec.priority) }) {
             val cpus = cpusOf(pool.type)
             if (cpus > 0) deferAmong(jobsOfPool, cpus)
@@ -51,12 +51,12 @@
             if (deadlines.mayEndInTime(job, maxOf(totalSeconds, job.spec.expectedS))) continue
             val largest = chosen.poll()
             totalSeconds -= largest.seconds
-            if (largest.job.live.isEmpty()) deferred.add(largest.job)
+            if (largest.job.tasks.noneLive) deferred.add(largest.job)
         }
     }
 
     private fun secondsLeft(job: OpenJob, cpus: Double): Double =
-        (job.spec.tasks - job.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
+        (job.spec.tasks - job.progress.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
 
     private companion object {
         const val ALL_TYPES = -1
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -44,20 +44,20 @@
             val tasks = job.spec.tasks
             val cpus = cpusByTeam.merge(job.team, job.taskResources.cpus * tasks, Double::plus) ?: 0.0
             val gpus = gpusByTeam.merge(job.team, job.taskResources.gpus * tasks, Double::plus) ?: 0.0
-            if (quotas.guarantees(job.team, cpus, gpus)) guaranteed.add(job)
+            if (quotas.withinGuarantee(job.team, cpus, gpus)) guaranteed.add(job)
         }
     }
 
     /** Jobs with ready tasks, most urgent first. */
     fun waiting(): List<OpenJob> {
-        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.notBefore <= context.steady }
+        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
         return waiting.sortedWith(
             compareBy(
                 { if (starvation.goesFirst(it)) -1 else it.spec.priority.ordinal },
                 { if (starvation.goesFirst(it)) 0 else urgency(it).ordinal },
                 { if (starvation.goesFirst(it)) starvation.lastPlacedWall(it) else deadlines.dueWall(it) },
-                { if (starvation.goesFirst(it)) it.creditSinceWall else it.acceptedWall },
-                { it.entry.id },
+                { if (starvation.goesFirst(it)) it.credit.sinceWall else it.acceptedWall },
+                { it.entry.index },
             ),
         )
     }
@@ -66,7 +66,7 @@
     fun areEqual(first: OpenJob, second: OpenJob): Boolean {
         if (starvation.goesFirst(first) || starvation.goesFirst(second)) return false
         if (first.spec.priority != second.spec.priority) return false
-        if (objectives.startsCount(first) != objectives.startsCount(second)) return false
+        if (objectives.awaitsPromptStart(first) != objectives.awaitsPromptStart(second)) return false
         val urgency = urgency(first)
         return urgency == urgency(second) && (deadlines.hasSlack(first) || urgency == Urgency.LATE)
     }
@@ -74,17 +74,18 @@
     fun withinGuarantee(job: OpenJob): Boolean = job in guaranteed
 
     /** Whether the job is within its team's guarantee, and users would still see it start in time. */
-    fun freshGuarantee(job: OpenJob): Boolean = withinGuarantee(job) && objectives.freshGuarantee(job, context.now.wall)
+    fun freshGuarantee(job: OpenJob): Boolean =
+        withinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
 
     /** Whether the job leaves the headroom free that is reserved for urgent work to come. */
     fun leavesHeadroom(job: OpenJob): Boolean {
-        if (job.spec.priority < Priority.STANDARD || objectives.startsCount(job)) return false
-        return !withinGuarantee(job) && !isPressing(job, 0.0) && !job.waitsLong(context.now.wall)
+        if (job.spec.priority < Priority.STANDARD || objectives.awaitsPromptStart(job)) return false
+        return !withinGuarantee(job) && !isPressing(job, 0.0) && !job.credit.waitsLong(context.now.wall)
     }
 
     /** Whether a job that waits for [waitS] more seconds would start or end too late. */
     fun isPressing(job: OpenJob, waitS: Double): Boolean {
-        if (objectives.startsCount(job) || withinGuarantee(job)) return true
+        if (objectives.awaitsPromptStart(job) || withinGuarantee(job)) return true
         return deadlines.isAtRisk(job, waitS)
     }
 
@@ -97,9 +98,9 @@
      */
     private fun urgency(job: OpenJob): Urgency =
         when {
-            objectives.startable(job, context.now.wall) -> Urgency.IN_TIME_TO_START
+            objectives.canStartInTime(job, context.now.wall) -> Urgency.IN_TIME_TO_START
             freshGuarantee(job) -> Urgency.IN_TIME_TO_START
-            objectives.mustStart(job, context.now.wall) -> Urgency.IN_TIME_TO_START
+            objectives.startDeadlineNear(job, context.now.wall) -> Urgency.IN_TIME_TO_START
             deadlines.isMissed(job) || job in deferred -> Urgency.LATE
             withinGuarantee(job) -> Urgency.GUARANTEED
             else -> Urgency.COMMON
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -25,7 +25,12 @@
 ) {
     /** Whether [job] may use [machine]; room aside. */
     fun allowed(job: OpenJob, machine: Machine): Boolean =
-        fleet.allows(job, machine.type, machine.zone, machine.spot) && !job.avoids(machine.id, context.steady) &&
+        fleet.allows(
+            job,
+            machine.type,
+            machine.zone,
+            machine.spot,
+        ) && !job.backoff.avoids(machine.id, context.steady) &&
             !scarceTypes.reservedFromJob(job, machine.type)
 
     /** Whether [machine] would have to fetch the job's image. */
@@ -75,10 +80,10 @@
         skip: Int,
         private val out: MutableList<Allocation>,
     ) {
-        private var nextTask = job.ready.nextSetBit(0)
+        private var nextTask = job.tasks.nextReady(0)
 
         init {
-            repeat(skip) { nextTask = job.ready.nextSetBit(nextTask + 1) }
+            repeat(skip) { nextTask = job.tasks.nextReady(nextTask + 1) }
         }
 
         /** Assigns up to [count] tasks; with [spread] only as many to a machine as a service wants there at most. */
@@ -106,14 +111,14 @@
             val tasks = IntArray(count)
             for (position in tasks.indices) {
                 tasks[position] = nextTask
-                nextTask = job.ready.nextSetBit(nextTask + 1)
+                nextTask = job.tasks.nextReady(nextTask + 1)
             }
             return tasks
         }
     }
 
     private fun fitting(job: OpenJob, machines: List<Machine>, heldOnly: Boolean): ArrayList<Machine> {
-        val urgent = objectives.startsCount(job)
+        val urgent = objectives.awaitsPromptStart(job)
         val fitting = ArrayList<Machine>()
         for (machine in machines) {
             if (!job.taskResources.fitsIn(machine.roundRoom) || !allowed(job, machine)) continue
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -90,7 +90,7 @@
             while (end < waiting.size && order.areEqual(first, waiting[end])) end++
             val equal = waiting.subList(start, end)
             // Among equal jobs, a machine goes first to one whose image it holds: fetching costs machine time.
-            if (equal.size > 1 && !objectives.startsCount(first)) {
+            if (equal.size > 1 && !objectives.awaitsPromptStart(first)) {
                 for (job in equal) round.serve(job, heldOnly = true)
             }
             for (job in equal) round.serve(job, heldOnly = false)
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -1,6 +1,7 @@
 package org.chalkhollow.core.placement
 
 import org.chalkhollow.core.attempts.Allocation
+import org.chalkhollow.core.cluster.FairShareCredit
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
@@ -84,7 +85,7 @@
     fun serve(job: OpenJob, heldOnly: Boolean) {
         if (job in migrated) return
         reserveHeadroomBefore(job)
-        val ready = job.ready.cardinality() - (givenTasks[job] ?: 0)
+        val ready = job.tasks.readyCount - (givenTasks[job] ?: 0)
         val withinQuota = minOf(ready, quotaLeft(job))
         if (job.service && withinQuota < ready) overQuota.add(ReplicasOverQuota(job, ready - withinQuota))
         // Zone constraints are counted over what one call places, so such jobs are placed in one.
@@ -92,7 +93,7 @@
         val wanted = if (heldOnly && inOnePass) 0 else wantedTasks(job, withinQuota, ready)
         val placed = if (wanted > 0) placeWithHeadroom(job, wanted, heldOnly) else 0
         if (placed > 0) recordPlaced(job, placed)
-        if (placed == ready) job.allPlacedWall = context.now.wall
+        if (placed == ready) job.credit.allPlaced(context.now.wall)
         if (!heldOnly && placed < withinQuota) recordUnplaced(job, withinQuota - placed, mayPress = wanted > 0)
     }
 
@@ -108,13 +109,13 @@
     private fun wantedTasks(job: OpenJob, most: Int, ready: Int): Int {
         var wanted = most
         // A probe, not the whole array.
-        if (job.failures > 0 && job.failsAround(context.steady)) wanted = minOf(wanted, 1)
+        if (job.backoff.failures > 0 && job.backoff.failsOnSeveralMachines(context.steady)) wanted = minOf(wanted, 1)
         if (starvation.goesFirst(job) && !job.gang) {
             wanted = minOf(wanted, starvation.tasksFromCredit(job))
         } else if (order.leavesHeadroom(job)) {
             wanted = minOf(wanted, ((freeCpus - room.urgentHeadroomCpus) / job.countedCpus).toInt())
         }
-        if (job.gang && (!job.live.isEmpty() || wanted < ready)) wanted = 0 // all at once or not at all
+        if (job.gang && (!job.tasks.noneLive || wanted < ready)) wanted = 0 // all at once or not at all
         return wanted
     }
 
@@ -134,11 +135,11 @@
         return selector.place(job, wanted, machines, allocations, skip, heldOnly)
     }
 
-    /** Headroom for services is no longer reserved from what waits long, see [OpenJob.waitsLong]. */
+    /** Headroom for services is no longer reserved from what waits long, see [FairShareCredit.waitsLong]. */
     private fun takeHeadroomOffer(job: OpenJob, placed: Int): Boolean {
         if (!headroomReserved || job.service) return false
         if (placed > 0 && job.boundToZones) return false
-        return job.waitsLong(context.now.wall) && headroomOffersLeft-- > 0
+        return job.credit.waitsLong(context.now.wall) && headroomOffersLeft-- > 0
     }
 
     private fun quotaLeft(job: OpenJob): Int {
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -50,13 +50,13 @@
         }
     }
 
-    private fun hasVictims(machine: Machine): Boolean = machine.attempts.any { it.stopping || isPreemptible(it) }
+    private fun hasVictims(machine: Machine): Boolean = machine.attempts.any { it.stopRequested || isPreemptible(it) }
 
     private fun hasVictimsOfReplica(machine: Machine, service: OpenJob): Boolean =
-        machine.attempts.any { it.stopping || isPreemptibleByReplica(it, service) }
+        machine.attempts.any { it.stopRequested || isPreemptibleByReplica(it, service) }
 
     private fun claimOf(tasks: UnplacedTasks): Claim? {
-        val urgent = objectives.startable(tasks.job, context.now.wall) && tasks.job.spec.priority <= Priority.HIGH
+        val urgent = objectives.canStartInTime(tasks.job, context.now.wall) && tasks.job.spec.priority <= Priority.HIGH
         val withinGuarantee = order.freshGuarantee(tasks.job)
         if (tasks.job.gang || !urgent && !withinGuarantee) return null
         return Claim(tasks, urgent, withinGuarantee)
@@ -72,7 +72,7 @@
         for (machine in fleet.machines) {
             for (attempt in machine.attempts) {
                 if (attempt.job.team != job.team) continue
-                if (attempt.stopping && attempt.onMachine) {
+                if (attempt.stopRequested && attempt.onMachine) {
                     neededCpus -= attempt.job.taskResources.cpus
                 } else if (isPreemptibleByReplica(attempt, job)) {
                     victims.add(attempt)
@@ -82,7 +82,7 @@
         victims.sortWith(cheapestFirst)
         for (victim in victims) {
             if (neededCpus <= Resources.EPSILON) return
-            victim.stopping = true
+            victim.requestStop()
             neededCpus -= victim.job.taskResources.cpus
             preempted.add(victim.machine)
         }
@@ -139,7 +139,7 @@
             if (fittingNow == fitting) continue
             gained += fittingNow - fitting
             fitting = fittingNow
-            for (attempt in pending) attempt.stopping = true
+            for (attempt in pending) attempt.requestStop()
             pending.clear()
             preempted.add(machine)
         }
@@ -150,14 +150,14 @@
     private fun roomAfterStops(machine: Machine): Resources {
         var room = machine.roundRoom
         for (attempt in machine.attempts) {
-            if (attempt.stopping && attempt.onMachine) room += attempt.job.taskResources
+            if (attempt.stopRequested && attempt.onMachine) room += attempt.job.taskResources
         }
         return room
     }
 
     /** Whether little is lost by stopping [attempt], whatever for. */
     private fun isPreemptible(attempt: Attempt): Boolean {
-        if (!attempt.onMachine || attempt.stopping || attempt.fromCredit) return false
+        if (!attempt.onMachine || attempt.stopRequested || attempt.fromCredit) return false
         if (attempt.job.spec.shape != Shape.ARRAY) return false
         val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAt < YOUNG_MS
         return losesLittle && !order.withinGuarantee(attempt.job)
@@ -168,7 +168,7 @@
      * it all along.
      */
     private fun isPreemptibleByReplica(attempt: Attempt, service: OpenJob): Boolean {
-        if (!attempt.onMachine || attempt.stopping) return false
+        if (!attempt.onMachine || attempt.stopRequested) return false
         if (attempt.job.service || attempt.job.gang) return false
         return attempt.job.spec.priority > service.spec.priority
     }
@@ -184,7 +184,7 @@
     /** Whether [attempt] runs on what its team has beyond its guarantee, and [job] is another's and no less urgent. */
     private fun borrowsFrom(job: OpenJob, attempt: Attempt): Boolean {
         val team = attempt.job.team
-        return team != job.team && attempt.job.spec.priority >= job.spec.priority && quotas.beyond(team)
+        return team != job.team && attempt.job.spec.priority >= job.spec.priority && quotas.exceedsGuarantee(team)
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -30,7 +30,7 @@
     /** A replica whose [old] attempt is being stopped, and the machine that holds room for it. */
     private class Migration(val old: Attempt, val target: Machine) {
         val job: OpenJob get() = old.job
-        val oldGone: Boolean get() = old.settled || old.phase == Attempt.Phase.EXITED
+        val oldGone: Boolean get() = old.resolved || old.phase == Attempt.Phase.EXITED
     }
 
     private val migrations = ArrayList<Migration>()
@@ -55,7 +55,7 @@
             migrations.remove(migration)
             if (!mayStart(migration, placeable, allocations)) continue // it is placed like any other task that is ready
             holdRoom(migration)
-            val task = migration.job.ready.nextSetBit(0)
+            val task = migration.job.tasks.nextReady(0)
             allocations.add(Allocation(migration.job, migration.target, intArrayOf(task), fromCredit = false))
         }
         return allocations
@@ -92,7 +92,7 @@
                 return
             }
             if (target != null) begin(Migration(attempt, target))
-            attempt.stopping = true
+            attempt.requestStop()
             stoppedOn.add(attempt.machine)
         }
     }
@@ -106,7 +106,7 @@
         machine.state == Machine.State.UP && machine.availability.isBeingEmptied
 
     private fun mustMigrate(attempt: Attempt): Boolean =
-        attempt.job.service && isWanted(attempt.job) && attempt.onMachine && !attempt.stopping
+        attempt.job.service && isWanted(attempt.job) && attempt.onMachine && !attempt.stopRequested
 
     private fun isWanted(job: OpenJob): Boolean = !job.cancelling && job.entry.state == JobState.OPEN
 
@@ -120,7 +120,7 @@
     private fun mayStart(migration: Migration, placeable: List<Machine>, given: List<Allocation>): Boolean {
         val job = migration.job
         val target = migration.target
-        if (!job.placeable || job.notBefore > context.steady || target !in placeable) return false
+        if (!job.placeable || job.backoff.notBefore > context.steady || target !in placeable) return false
         if (!job.taskResources.fitsIn(target.roundRoom) || !mayUse(job, target)) return false
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked || !zones.admits(target.zone)) return false
@@ -145,9 +145,9 @@
     /** Whether a replica of the same service other than [attempt] is down, or was told to stop. */
     private fun othersDown(attempt: Attempt): Boolean {
         val job = attempt.job
-        val stopping = migrations.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.settled }
+        val stopping = migrations.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.resolved }
         val itself = if (attempt.phase == Attempt.Phase.RUNNING) 0 else 1
-        return job.spec.tasks - job.running + stopping - itself > 0
+        return job.spec.tasks - job.tasks.running + stopping - itself > 0
     }
 
     /** Whether [count] replicas of the service can still migrate one after the other before the machine is gone. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -42,26 +42,29 @@
         val fairShareCpus = options.patienceShare * capacity
         for (job in jobs.open) {
             if (!isStarving(job, patienceMs)) continue
-            job.creditCpus = fairShareCpus
-            job.creditSinceWall = job.placedWall + patienceMs
+            job.credit.grant(fairShareCpus, job.credit.lastPlacedWall + patienceMs)
         }
         creditLeft = fairShareCpus - reconciler.creditCpus
     }
 
     private fun isStarving(job: OpenJob, patienceMs: Long): Boolean {
-        if (!job.placeable || job.creditCpus > 0 || context.now.wall - job.placedWall < patienceMs) return false
+        if (!job.placeable || job.credit.cpus > 0 ||
+            context.now.wall - job.credit.lastPlacedWall < patienceMs
+        ) {
+            return false
+        }
         // While its like are served in the common order, it will be served there too.
         return context.now.wall - (kindPlacedInOrderWall[Kind(job)] ?: 0L) >= patienceMs
     }
 
     /** Whether the job goes before all that have no credit. */
-    fun goesFirst(job: OpenJob): Boolean = job.creditCpus > 0 && creditLeft > 0
+    fun goesFirst(job: OpenJob): Boolean = job.credit.cpus > 0 && creditLeft > 0
 
     /** When a job of the same kind was last served; of jobs that go first, the longest ago is next. */
     fun lastPlacedWall(job: OpenJob): Long = kindPlacedWall[Kind(job)] ?: 0L
 
     /** How many tasks the credit of a job that goes first pays for now; at least one. */
-    fun tasksFromCredit(job: OpenJob): Int = maxOf(1, (minOf(job.creditCpus, creditLeft) / job.countedCpus).toInt())
+    fun tasksFromCredit(job: OpenJob): Int = maxOf(1, (minOf(job.credit.cpus, creditLeft) / job.countedCpus).toInt())
 
     fun onPlaced(job: OpenJob, tasks: Int) {
         val now = context.now.wall
@@ -73,8 +76,7 @@
         }
         kindPlacedWall[kind] = now
         if (goesFirst(job)) creditLeft -= cpus else kindPlacedInOrderWall[kind] = now
-        job.placedWall = now
-        job.creditCpus = maxOf(0.0, job.creditCpus - cpus)
+        job.credit.placed(cpus, now)
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
@@ -22,8 +22,8 @@
     fun recordSizes() {
         var newestId = newestSeenId
         for (job in jobs.open) {
-            if (job.entry.id <= newestSeenId || !objectives.startsCount(job)) continue
-            newestId = maxOf(newestId, job.entry.id)
+            if (job.entry.index <= newestSeenId || !objectives.awaitsPromptStart(job)) continue
+            newestId = maxOf(newestId, job.entry.index)
             if (job.service) continue
             sizes.addLast(job.taskResources.cpus * job.spec.tasks)
             if (sizes.size > MAX_SIZES) sizes.removeFirst()
