--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -42,7 +42,7 @@
 
     private fun firstStart(attempt: Attempt, startsAllowed: Boolean): Command? {
         val machine = attempt.machine
-        if (isUnwanted(attempt) || machine.draining || machine.noticeAt != Machine.NEVER) {
+        if (isUnwanted(attempt) || machine.availability.draining || machine.availability.hasSpotNotice) {
             reconciler.withdraw(attempt)
             return null
         }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -113,7 +113,7 @@
         marker.hold() // until the whole marker is read
         for (row in DispatchMarkerRecord.rows(stored)) {
             val job = jobs.findForMarker(row.jobId) ?: continue
-            val machine = fleet.known(row.machineName)
+            val machine = fleet.getOrAdd(row.machineName)
             for (index in IndexRanges.decode(row.ranges)) {
                 if (index >= job.spec.tasks || job.progress.isDone(index)) continue
                 reconciler.reserveInherited(job, index, marker.number, machine, marker)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -35,28 +35,16 @@
         leadership.heartbeatTraffic.note(context.steady)
         if (!leadership.entitled()) return redirect(call)
         val machine = fleet.observe(heartbeat)
-        if (machine == null || machine.quarantined) return context.respond(call, HttpStatus.UNAVAILABLE)
-        renewLease(machine, heartbeat)
-        val isNewest = heartbeat.seq > machine.seq
+        if (machine == null || machine.availability.quarantined) return context.respond(call, HttpStatus.UNAVAILABLE)
+        machine.lease.renew(heartbeat.seq, context.steady)
+        val isNewest = machine.lease.advanceStatus(heartbeat.seq)
         if (isNewest) {
-            machine.seq = heartbeat.seq
             images.recall(machine)
             reconciler.reconcile(machine, heartbeat, fromHeartbeat = true)
         }
         respond(call, machine, startsAllowed = isNewest)
     }
 
-    /**
-     * The worker's lease runs from when it sent this heartbeat, which is not after now. One that is no newer than
-     * another that we answered was sent before it and renews nothing: late copies must not keep a dead machine alive.
-     * The reply to a direct command does not count here, since a heartbeat sent after it may come before it.
-     */
-    private fun renewLease(machine: Machine, heartbeat: WorkerHeartbeat) {
-        if (heartbeat.seq <= machine.answeredSeq) return
-        machine.answeredSeq = heartbeat.seq
-        machine.answeredAt = context.steady
-    }
-
     private fun respond(call: Int, machine: Machine, startsAllowed: Boolean) {
         val commands = commandPlanner.inResponse(machine, startsAllowed)
         if (commands.isEmpty()) return context.respond(call, HttpStatus.OK, emptyResponse())
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -55,9 +55,9 @@
         if (starts.isEmpty() && stops.isEmpty()) return
         for (attempt in stops) attempt.stopSentDirectly() // once; responses to heartbeats repeat it
         for (attempt in starts) attempt.startSentDirectly()
-        machine.directBusy = true
-        machine.askedAt = context.steady
-        val epoch = machine.epoch
+        machine.commandInFlight = true
+        machine.reachability.recordProbe(context.steady)
+        val epoch = machine.lease.epoch
         val commands = stops.map(commandPlanner::stop) + starts.map(commandPlanner::start)
         call(machine, commands) { reply -> onReply(machine, epoch, starts, reply) }
     }
@@ -69,8 +69,8 @@
         (attempt.stopRequested || attempt.job.cancelled) && attempt.onMachine && !attempt.directStopSent
 
     private fun canSendTo(machine: Machine): Boolean {
-        if (machine.directBusy || machine.address.isEmpty() || machine.epoch == 0L) return false
-        return machine.reachable && context.steady - machine.heartbeatAt <= freshMs
+        if (machine.commandInFlight || machine.address.isEmpty() || machine.lease.epoch == 0L) return false
+        return machine.reachability.reachable && context.steady - machine.lease.heartbeatAt <= freshMs
     }
 
     /**
@@ -87,22 +87,22 @@
         var callsLeft = MAX_CALLS
         for (machine in fleet.machines) {
             if (callsLeft == 0) return
-            if (machine.address.isEmpty() || !fleet.toBeAsked(machine)) continue
+            if (machine.address.isEmpty() || !fleet.shouldProbe(machine)) continue
             callsLeft--
             probe(machine)
         }
     }
 
     private fun probe(machine: Machine) {
-        val epoch = machine.epoch
+        val epoch = machine.lease.epoch
         call(machine, emptyList()) { reply ->
-            if (machine.epoch == epoch && reply is CommandReply.Executed) fleet.reached(machine)
+            if (machine.lease.epoch == epoch && reply is CommandReply.Executed) fleet.confirmReachable(machine)
         }
     }
 
     private fun call(machine: Machine, commands: List<Command>, onReply: (CommandReply) -> Unit) {
         val termOfCall = term
-        val epoch = machine.epoch
+        val epoch = machine.lease.epoch
         val effect = { ticket: Int ->
             Effect.WorkerCommand(ticket, machine.address, leadership.fencingToken, epoch, commands)
         }
@@ -112,7 +112,7 @@
     }
 
     private fun onReply(machine: Machine, epoch: Long, starts: List<Attempt>, reply: CommandReply) {
-        machine.directBusy = false
+        machine.commandInFlight = false
         if (reply is CommandReply.NoResponse) return // it may still be executed: see [advanceFencingTokenIfNeeded]
         for (attempt in starts) attempt.directStartConcluded()
         if (reply is CommandReply.Executed) {
@@ -129,14 +129,13 @@
     }
 
     private fun onExecuted(machine: Machine, epoch: Long, heartbeat: WorkerHeartbeat) {
-        val sameEpoch = heartbeat.epoch == epoch && machine.epoch == epoch
-        if (sameEpoch) fleet.reached(machine)
+        val sameEpoch = heartbeat.epoch == epoch && machine.lease.epoch == epoch
+        if (sameEpoch) fleet.confirmReachable(machine)
         if (!sameEpoch || heartbeat.machine != machine.name) {
             context.dropped.count(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
-        } else if (heartbeat.seq <= machine.seq) {
+        } else if (!machine.lease.advanceStatus(heartbeat.seq)) {
             context.dropped.count(DroppedInput.HEARTBEAT_LATE)
         } else {
-            machine.seq = heartbeat.seq
             reconciler.reconcile(machine, heartbeat, fromHeartbeat = false)
         }
         if (machine.attempts.any { it.phase == Attempt.Phase.MARKER_PERSISTED }) send(machine)
@@ -176,10 +175,10 @@
      */
     private fun quarantineStuck() {
         for (machine in fleet.machines) {
-            if (machine.quarantined || machine.state != Machine.State.UP) continue
+            if (machine.availability.quarantined || machine.state != Machine.State.UP) continue
             if (machine.attempts.none { outcomeUnknownForLong(it) && mayYetRunCancelled(it) }) continue
             context.info("${machine.name} is quarantined until its lease expires: it may yet start what was cancelled")
-            machine.quarantined = true
+            machine.availability.quarantine()
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
@@ -24,9 +24,9 @@
     private fun state(machine: Machine): String =
         when {
             machine.state != Machine.State.UP -> machine.state.name.lowercase()
-            !machine.reachable -> "deaf"
-            machine.noticeAt != Machine.NEVER -> "noticed"
-            machine.draining || machine.cordoned -> "draining"
+            !machine.reachability.reachable -> "deaf"
+            machine.availability.hasSpotNotice -> "noticed"
+            machine.availability.draining || machine.availability.cordoned -> "draining"
             machine.vacant -> "idle"
             else -> "busy"
         }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
@@ -28,7 +28,7 @@
             job.tasks.runStarted()
         }
 
-    private fun machine(id: Int) = Machine(id, "n-$id").also { it.state = Machine.State.UP }
+    private fun machine(id: Int) = Machine(id, "n-$id").also { it.markUp() }
 
     private fun openedJob(shape: Shape = Shape.ARRAY) =
         openJob("j-1", shape = shape, tasks = 2).also { it.entry.accepted() }
