--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -29,6 +29,7 @@
 import org.chalkhollow.core.placement.Placement
 import org.chalkhollow.core.requests.RequestHandler
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.peer.PeerMessage
@@ -53,7 +54,7 @@
     private val peerLabels = settings.peers.map { it.label }
     private val leadership =
         Leadership(context, settings.label, peerLabels, incarnation, options, start.steady, begunAt, this)
-    private val snapshot = CandidateSnapshot(context, READ_BEFORE_LEADING) { leadership.onPrepared() }
+    private val snapshot = CandidateSnapshot(context, READ_BEFORE_LEADING) { leadership.onSnapshotComplete() }
     private val log = StateWriter(context, settings.stateLimits, options, leadership)
     private val jobs = JobTable(context, names, settings.stateLimits)
     private val quotas = Quotas(settings.teams)
@@ -87,13 +88,13 @@
             reconciler.recorded(job, job.done)
             if (!job.live.isEmpty()) direct.stopAll(job)
         }
-        log.source(jobs::nextUrgent)
-        log.source(::place)
-        log.source { room -> jobs.nextCompletion(room, reconciler::recorded) }
-        log.source(staticMachines::next)
-        log.source(images::next)
-        log.source(dispatch::nextTrash)
-        log.source(jobs::nextTrash)
+        log.addProducer(jobs::nextUrgent)
+        log.addProducer(::place)
+        log.addProducer { room -> jobs.nextCompletion(room, reconciler::recorded) }
+        log.addProducer(staticMachines::next)
+        log.addProducer(images::next)
+        log.addProducer(dispatch::nextTrash)
+        log.addProducer(jobs::nextTrash)
     }
 
     private val versions = ControllerVersions(settings.label, peerLabels)
@@ -178,7 +179,7 @@
             is Input.WorkerReply -> context.reply(input)
             is Input.Peer -> onPeer(input)
         }
-        if (leadership.role == Leadership.Role.LEADER && mayBringWrites(input)) log.pump()
+        if (leadership.role == Leadership.Role.LEADER && mayBringWrites(input)) log.flush()
         ledAtStep = leadership.entitled()
         return context.drain()
     }
@@ -264,13 +265,13 @@
 
     private var leadAt = 0L
 
-    override fun prepare(revision: Long) = snapshot.begin(revision)
+    override fun requestSnapshot(revision: Long) = snapshot.begin(revision)
 
-    override fun prepared(revision: Long): Boolean = snapshot.complete(revision)
+    override fun snapshotComplete(revision: Long): Boolean = snapshot.isComplete(revision)
 
-    override fun unprepare() = snapshot.drop()
+    override fun discardSnapshot() = snapshot.discard()
 
-    override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) {
+    override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) {
         direct.newTerm()
         leadAt = context.steady
         jobs.clear()
@@ -282,7 +283,7 @@
         dispatch.start(fencingToken)
         log.start(LeadershipRecord(settings.label, incarnationId, fencingToken, writes), revision)
         context.emit(Effect.Timing("takeover", snapshot.ageMs))
-        snapshot.take(basis).forEach(::take)
+        snapshot.take(snapshotRevision).forEach(::take)
         jobs.afterLoad()
         loaded = true
         leadership.ready = true
@@ -291,7 +292,7 @@
         context.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), $inDoubt attempts in doubt")
     }
 
-    override fun onDeposed() {
+    override fun onSteppedDown() {
         direct.newTerm()
         loaded = false
         log.stop()
@@ -307,14 +308,14 @@
                 row.key.startsWith(ImageLocations.KEY) -> images.load(row)
                 else -> dispatch.load(row, jobs)
             }
-            log.seen(row.key, row.revision)
+            log.rememberRevision(row.key, row.revision)
         } catch (e: Malformed) {
             context.emit(Effect.LogEvent(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
         }
     }
 
     /** One placement round as part of the next transaction: its marker is written before any start is sent. */
-    private fun place(room: StateWriter.Room): Write? {
+    private fun place(room: TransactionBudget): Write? {
         if (!loaded || room.ops < 1) return null
         if (context.steady < roundAt || log.stalled()) return null
         // Rounds cost processor time, of which there is little: without a change they wait for the clock.
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -7,7 +7,7 @@
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
@@ -45,9 +45,9 @@
     }
 
     /**
-     * The markers of a round: at most [StateWriter.Room.ops] values; what does not fit stays ready for the next round.
+     * The markers of a round: at most [TransactionBudget.ops] values; what does not fit stays ready for the next round.
      */
-    fun mark(allocations: List<Allocation>, room: StateWriter.Room): Write? {
+    fun mark(allocations: List<Allocation>, room: TransactionBudget): Write? {
         val changes = ArrayList<Change>()
         val attempts = ArrayList<Attempt>()
         val markers = ArrayList<DispatchMarker>()
@@ -131,7 +131,7 @@
         if (--marker.outstanding == 0) trash.add(marker.key)
     }
 
-    fun nextTrash(room: StateWriter.Room): Write? {
+    fun nextTrash(room: TransactionBudget): Write? {
         if (room.ops < 1) return null
         val key = trash.removeFirstOrNull() ?: return null
         return Write(listOf(Change(key, null)), onRefused = { trash.add(key) }) {}
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -31,7 +31,7 @@
     private var nothingFor = -1L
 
     fun onHeartbeat(call: Int, heartbeat: WorkerHeartbeat) {
-        leadership.heartbeatTraffic.note(context.steady)
+        leadership.heartbeatTraffic.received(context.steady)
         if (!leadership.entitled()) return redirect(call)
         val m = fleet.observe(heartbeat)
         if (m == null || m.quarantined) return context.answer(call, HttpStatus.UNAVAILABLE)
@@ -56,7 +56,7 @@
 
     /** A report that was not read: it came while this controller did not lead. */
     fun onUnread(call: Int) {
-        leadership.heartbeatTraffic.note(context.steady)
+        leadership.heartbeatTraffic.received(context.steady)
         redirect(call)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -131,11 +131,11 @@
      */
     fun advanceFencingTokenIfNeeded() {
         val t = context.steady
-        if (dispatch.exhausted) return leadership.depose("attempt numbers are used up")
+        if (dispatch.exhausted) return leadership.stepDown("attempt numbers are used up")
         if (log.slow() || t - fencingTokenAdvancedAt < RAISE_MS) return quarantineStuck(t)
         if (fleet.machines.none { stuck(it, t) || keepsTooMany(it) }) return
         fencingTokenAdvancedAt = t
-        leadership.depose("raising the generation to settle direct starts without an answer")
+        leadership.stepDown("raising the generation to settle direct starts without an answer")
     }
 
     private fun keepsTooMany(m: Machine): Boolean = m.attempts.size > MAX_KEPT && m.attempts.count(::isOver) > MAX_KEPT
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
@@ -68,7 +68,7 @@
     }
 
     /** One page at a time, in turn, when it has changed: this must not take the place of what users wait for. */
-    fun next(room: StateWriter.Room): Write? {
+    fun next(room: TransactionBudget): Write? {
         if (room.ops < 1 || room.bytes < limits.valueBytes) return null
         val pages = (names.machines.size + pageSize - 1) / pageSize
         if (pages == 0 || context.steady - writtenAt < maxOf(PAGE_MS, EVERY_MS / pages)) return null
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
@@ -83,7 +83,7 @@
     /** Whether renting may begin: what is listed later might be ours. */
     val known: Boolean get() = recorded || !first
 
-    fun next(room: StateWriter.Room): Write? {
+    fun next(room: TransactionBudget): Write? {
         val write = due ?: return null
         if (room.ops < 1 || room.bytes < limits.valueBytes) return null
         due = null
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -6,7 +6,7 @@
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.Interner
@@ -152,14 +152,14 @@
     }
 
     /** Accepted and cancelled jobs come first. */
-    fun nextUrgent(room: StateWriter.Room): Write? {
+    fun nextUrgent(room: TransactionBudget): Write? {
         while (refused.isNotEmpty() && context.steady >= refused.first().first) urgent.add(refused.removeFirst().second)
         val write = urgent.firstOrNull() ?: return null
         return if (write.fits(room)) urgent.removeFirst() else null
     }
 
     /** Then completions: jobs that are over at once, others gathered for a while, since writes are few. */
-    fun nextCompletion(room: StateWriter.Room, attemptsRecorded: (OpenJob, BitSet) -> Unit): Write? {
+    fun nextCompletion(room: TransactionBudget, attemptsRecorded: (OpenJob, BitSet) -> Unit): Write? {
         if (room.ops < 1) return null
         // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
         var waiting: OpenJob? = null
@@ -190,7 +190,7 @@
     /** Called when a job is durably done. */
     var onDone: (OpenJob) -> Unit = {}
 
-    private fun page(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit, room: StateWriter.Room): Write? {
+    private fun page(job: OpenJob, recorded: (OpenJob, BitSet) -> Unit, room: TransactionBudget): Write? {
         val page = nextPage(job)
         if (page < 0) return null
         val from = page * pageTasks
@@ -232,12 +232,12 @@
         return page
     }
 
-    fun nextTrash(room: StateWriter.Room): Write? {
+    fun nextTrash(room: TransactionBudget): Write? {
         val write = trash.firstOrNull() ?: return null
         return if (write.fits(room)) trash.removeFirst() else null
     }
 
-    private fun Write.fits(room: StateWriter.Room): Boolean =
+    private fun Write.fits(room: TransactionBudget): Boolean =
         changes.size <= room.ops && changes.sumOf { EncodedSize.of(it) } <= room.bytes
 
     private fun pageKey(job: OpenJob, from: Int): String = PROGRESS + job.spec.id + "/" + from
--- a/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
@@ -36,18 +36,18 @@
     }
 
     /** Whether all was read, from a moment on at which the leadership record had [revision]. */
-    fun complete(revision: Long): Boolean = reading.let { it != null && it.revision == revision && it.done }
+    fun isComplete(revision: Long): Boolean = reading.let { it != null && it.revision == revision && it.done }
 
     /** Hands over what was read for [revision]. */
     fun take(revision: Long): List<KeyValue> {
-        check(complete(revision)) { "took over without having read what was written" }
+        check(isComplete(revision)) { "took over without having read what was written" }
         val rows = reading?.rows.orEmpty()
         reading = null
         return rows
     }
 
     /** What was read is of no use any more. */
-    fun drop() {
+    fun discard() {
         reading = null
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
@@ -14,7 +14,7 @@
     private val toldAt = LongArray(peers) { Machine.NEVER }
 
     /** A worker's report has come in here. */
-    fun note(t: Long) {
+    fun received(t: Long) {
         val slot = t / SLOT_MS
         val i = (slot % SLOTS).toInt()
         if (slots[i] != slot) {
@@ -25,7 +25,7 @@
     }
 
     /** How many reports came in here within [WINDOW_MS]. */
-    fun here(t: Long): Int {
+    fun receivedWithinWindow(t: Long): Int {
         val slot = t / SLOT_MS
         var n = 0
         for (i in 0 until SLOTS) if (slots[i] > slot - SLOTS) n += counts[i]
@@ -33,16 +33,16 @@
     }
 
     /** A peer says how many came in there. */
-    fun told(peer: Int, heartbeats: Int, t: Long) {
+    fun receivedByPeer(peer: Int, heartbeats: Int, t: Long) {
         elsewhere[peer] = heartbeats
         toldAt[peer] = t
     }
 
     /** Whether workers ask at the peers and hardly any here. */
-    fun lost(t: Long): Boolean {
+    fun workersReachOnlyPeers(t: Long): Boolean {
         var others = 0
         for (p in elsewhere.indices) if (t - toldAt[p] < TOLD_MS) others += elsewhere[p]
-        return others >= LEAST && here(t) * FEW < others
+        return others >= LEAST && receivedWithinWindow(t) * FEW < others
     }
 
     companion object {
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -41,18 +41,18 @@
          * raises the record, so if it still has that stamp when this controller takes over, what was read is all there
          * is.
          */
-        fun prepare(revision: Long)
+        fun requestSnapshot(revision: Long)
 
         /** Whether all was read since the record had [revision]. */
-        fun prepared(revision: Long): Boolean
+        fun snapshotComplete(revision: Long): Boolean
 
         /** What was read is out of date. */
-        fun unprepare()
+        fun discardSnapshot()
 
         /** This controller leads; nothing was written since the record had [basis], for which it is prepared. */
-        fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long)
+        fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long)
 
-        fun onDeposed()
+        fun onSteppedDown()
     }
 
     enum class Role { FOLLOWER, CANDIDATE, LEADER }
@@ -146,9 +146,9 @@
         val released = watch.released(record, candidacyOffset)
         val stale = watch.staleMs()
         if (!released && stale < options.leaderLeaseMs - PREPARE_AHEAD_MS) return
-        events.prepare(watch.revision)
+        events.requestSnapshot(watch.revision)
         val free = released || stale >= plusClockDrift(options.leaderLeaseMs) + candidacyOffset
-        if (free && !given.bind && events.prepared(watch.revision)) seekLead(record, stale, t)
+        if (free && !given.bind && events.snapshotComplete(watch.revision)) seekLead(record, stale, t)
     }
 
     private fun seekLead(record: LeadershipRecord, stale: Long, t: Long) {
@@ -165,14 +165,14 @@
      */
     private fun claimed(why: String) {
         claim = why
-        events.prepare(watch.revision)
-        if (!events.prepared(watch.revision)) return
+        events.requestSnapshot(watch.revision)
+        if (!events.snapshotComplete(watch.revision)) return
         candidacy.useNone()
         stand(why)
     }
 
-    /** What [Events.prepare] asked for was read. */
-    fun onPrepared() {
+    /** What [Events.requestSnapshot] asked for was read. */
+    fun onSnapshotComplete() {
         if (role == Role.FOLLOWER) follow(context.steady)
     }
 
@@ -200,7 +200,7 @@
     private fun onRecord(record: LeadershipRecord, revision: Long) {
         if (watch.saw(record, revision)) {
             claim = null
-            events.unprepare()
+            events.discardSnapshot()
             given.recordChanged(record, revision)
         }
         if (record.fencingToken > fencingToken) fencingToken = record.fencingToken
@@ -252,7 +252,7 @@
         }
     }
 
-    private fun becomeLeader(record: LeadershipRecord, revision: Long, at: Long, basis: Long) {
+    private fun becomeLeader(record: LeadershipRecord, revision: Long, at: Long, snapshotRevision: Long) {
         role = Role.LEADER
         fencingToken = record.fencingToken
         ledFencingToken = fencingToken
@@ -263,7 +263,7 @@
         makesWaySince = NEVER
         held.start()
         context.info("leading generation $fencingToken")
-        events.onElected(fencingToken, revision, record.writes, basis)
+        events.onElected(fencingToken, revision, record.writes, snapshotRevision)
         lead(context.steady)
     }
 
@@ -281,7 +281,7 @@
         } else {
             makesWaySince = NEVER
         }
-        if (t - electedAt > HeartbeatTraffic.WINDOW_MS && heartbeatTraffic.lost(t)) {
+        if (t - electedAt > HeartbeatTraffic.WINDOW_MS && heartbeatTraffic.workersReachOnlyPeers(t)) {
             yieldsUntil = t + YIELD_MS
             return makeWay("workers reach other controllers but not this one")
         }
@@ -299,7 +299,7 @@
     private fun makeWay(why: String) {
         // No longer entitled from here on, so the promises given to us bind nobody any more.
         for (p in peers.indices) context.emit(Effect.Send(p, PeerMessage.LeadershipRelease(fencingToken)))
-        depose(why)
+        stepDown(why)
     }
 
     /** A write that was sent at [sentAt] was confirmed: the lease runs from then. */
@@ -315,14 +315,14 @@
     }
 
     /** Someone else's record stands where ours should: stop at once. */
-    fun depose(why: String) {
+    fun stepDown(why: String) {
         if (role != Role.LEADER) return
         context.info("no longer leading generation $fencingToken: $why")
         role = Role.FOLLOWER
         ready = false
         claim = null
         watch.forget()
-        events.onDeposed()
+        events.onSteppedDown()
     }
 
     // Peers' messages
@@ -357,8 +357,8 @@
             leaderReady = ask.ready
         }
         val served = watch.servedMsAgo < servedMs
-        val heartbeats = heartbeatTraffic.here(context.steady)
-        val prepared = events.prepared(watch.revision)
+        val heartbeats = heartbeatTraffic.receivedWithinWindow(context.steady)
+        val prepared = events.snapshotComplete(watch.revision)
         context.emit(
             Effect.Send(
                 from,
@@ -371,7 +371,7 @@
         if (role != Role.LEADER || promise.fencingToken != fencingToken || !held.take(from, promise)) {
             return context.dropped.count(DroppedInput.MESSAGE_LATE)
         }
-        heartbeatTraffic.told(from, promise.heartbeats, context.steady)
+        heartbeatTraffic.receivedByPeer(from, promise.heartbeats, context.steady)
     }
 
     private fun onVoteAsk(from: Int, ask: PeerMessage.VoteRequest) {
@@ -390,7 +390,7 @@
         if (!vote.granted || given.bind) return
         val record = watch.record ?: return
         if (vote.fencingToken != record.fencingToken + 1) return context.dropped.count(DroppedInput.MESSAGE_LATE)
-        if (candidacy.take(from) < majority || !events.prepared(watch.revision)) return
+        if (candidacy.take(from) < majority || !events.snapshotComplete(watch.revision)) return
         if (watch.released(record, 0) || watch.staleMs() >= plusClockDrift(options.leaderLeaseMs)) {
             candidacy.useVotes()
             stand("elected by peers")
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -21,6 +21,14 @@
  */
 class Write(val changes: List<Change>, val onRefused: () -> Unit, val onDurable: () -> Unit)
 
+/** Gives writes when asked, most urgent producers first; at most [TransactionBudget] worth. */
+fun interface WriteProducer {
+    fun next(room: TransactionBudget): Write?
+}
+
+/** What is left in the transaction being put together. */
+class TransactionBudget(var ops: Int, var bytes: Int)
+
 /**
  * The leader's only way to write: one transaction at a time, each conditional on the stamp of the leadership record,
  * which it raises, and on the stamps of the keys it changes. So a deposed leader's late writes fail, every write renews
@@ -34,21 +42,13 @@
     private val options: OperatorSettings,
     private val leadership: Leadership,
 ) {
-    /** Gives writes when asked, most urgent sources first; at most [Room] worth. */
-    fun interface Source {
-        fun next(room: Room): Write?
-    }
-
-    /** What is left in the transaction being put together. */
-    class Room(var ops: Int, var bytes: Int)
-
-    private val sources = ArrayList<Source>()
+    private val producers = ArrayList<WriteProducer>()
     private val revisions = Object2LongOpenHashMap<String>()
     private var record = LeadershipRecord("", 0, 0, 0)
     private var recordRevision = 0L
     private var term = 0
     private var active = false
-    private var batch: Batch? = null
+    private var inFlight: Transaction? = null
     private var tokens = 0.0
     private var refilledAt = 0L
     private var lastSentAt = 0L
@@ -64,15 +64,15 @@
     private var retryPartsAt = 0L
     private var complainedAt = Long.MIN_VALUE / 2
 
-    private class Batch(val writes: List<Write>, val op: StateOp.Commit, val firstSentAt: Long) {
+    private class Transaction(val writes: List<Write>, val op: StateOp.Commit, val firstSentAt: Long) {
         var uncertain = false
 
         /** How often in a row it was not executed for want of service or rate. */
         var unavailable = 0
     }
 
-    fun source(source: Source) {
-        sources.add(source)
+    fun addProducer(producer: WriteProducer) {
+        producers.add(producer)
     }
 
     fun start(lead: LeadershipRecord, revision: Long) {
@@ -88,7 +88,7 @@
     fun stop() {
         term++
         active = false
-        batch = null
+        inFlight = null
         parts.clear()
         retryPartsAt = 0
         learnedOps = Int.MAX_VALUE
@@ -99,15 +99,10 @@
     }
 
     /** Notes the stamp of a key that was read. */
-    fun seen(key: String, revision: Long) {
+    fun rememberRevision(key: String, revision: Long) {
         revisions.put(key, revision)
     }
 
-    /** Drops the stamp of a key that will never be written again. */
-    fun retire(key: String) {
-        revisions.removeLong(key)
-    }
-
     /** Whether writes have failed for long enough that new requests should be turned away at once. */
     fun stalled(): Boolean = failingSince >= 0 && context.steady - failingSince > STALL_MS
 
@@ -116,14 +111,14 @@
      * again.
      */
     fun slow(): Boolean =
-        failingSince >= 0 || batch.let { it != null && context.steady - it.firstSentAt > SLOW_MS } ||
+        failingSince >= 0 || inFlight.let { it != null && context.steady - it.firstSentAt > SLOW_MS } ||
             lastTookMs > SLOW_MS
 
     /** Puts the next transaction together and sends it, when none is in flight and the budget allows. */
-    fun pump() {
+    fun flush() {
         if (!active) return
         refill()
-        val waiting = batch
+        val waiting = inFlight
         if (waiting != null) return sendAgainIfDue(waiting)
         val renewalDue = context.steady - lastSentAt >= options.leaderRenewMs
         if (tokens < if (renewalDue) 1.0 else 2.0) return
@@ -136,7 +131,7 @@
         send(compose(writes))
     }
 
-    private fun sendAgainIfDue(waiting: Batch) {
+    private fun sendAgainIfDue(waiting: Transaction) {
         if (retryAt <= 0 || context.steady < retryAt) return
         retryAt = 0
         send(waiting)
@@ -152,13 +147,13 @@
         }
     }
 
-    /** What the sources give for one transaction. */
+    /** What the producers give for one transaction. */
     private fun gather(): List<Write> {
-        val room = Room(minOf(limits.txnOps - 1, tokens.toInt() - 1, learnedOps), TXN_BYTES)
+        val room = TransactionBudget(minOf(limits.txnOps - 1, tokens.toInt() - 1, learnedOps), TXN_BYTES)
         val writes = ArrayList<Write>()
-        for (source in sources) {
+        for (producer in producers) {
             while (room.ops > 0) {
-                val write = source.next(room) ?: break
+                val write = producer.next(room) ?: break
                 writes.add(write)
                 room.ops -= write.changes.size
                 room.bytes -= write.changes.sumOf { EncodedSize.of(it) }
@@ -171,7 +166,7 @@
      * Every transaction counts one more in the record, also in place of a refused one: a late copy of that is told from
      * it.
      */
-    private fun compose(writes: List<Write>): Batch {
+    private fun compose(writes: List<Write>): Transaction {
         record = record.copy(writes = record.writes + 1)
         val conditions = ArrayList<Condition>()
         val changes = ArrayList<Change>()
@@ -184,10 +179,10 @@
             }
         }
         tokens -= changes.size
-        return Batch(writes, StateOp.Commit(conditions, changes), context.steady).also { batch = it }
+        return Transaction(writes, StateOp.Commit(conditions, changes), context.steady).also { inFlight = it }
     }
 
-    private fun send(b: Batch) {
+    private fun send(b: Transaction) {
         lastSentAt = context.steady
         val sentAt = context.steady
         val inTerm = term
@@ -196,7 +191,7 @@
         }
     }
 
-    private fun onReply(b: Batch, reply: StateReply, sentAt: Long) {
+    private fun onReply(b: Transaction, reply: StateReply, sentAt: Long) {
         when (reply) {
             is StateReply.Committed -> committed(b, reply.revision, if (b.uncertain) b.firstSentAt else sentAt)
             is StateReply.Conflict -> lookAtRecord(b)
@@ -210,10 +205,10 @@
                 failed()
                 b.unavailable++
                 when {
-                    b.writes.size < 2 || b.unavailable % TAKE_APART_AFTER != 0 ->
-                        again(b, if (b.unavailable > TAKE_APART_AFTER) RETRY_MS * 2 else RETRY_MS)
-                    !b.uncertain -> thin(b)
-                    else -> lookAtRecord(b) { thin(b) }
+                    b.writes.size < 2 || b.unavailable % SPLIT_AFTER != 0 ->
+                        again(b, if (b.unavailable > SPLIT_AFTER) RETRY_MS * 2 else RETRY_MS)
+                    !b.uncertain -> splitForRate(b)
+                    else -> lookAtRecord(b) { splitForRate(b) }
                 }
             }
         }
@@ -223,7 +218,7 @@
      * Refused for what it is. An earlier sending without an answer may have been taken all the same, which the record
      * tells.
      */
-    private fun rejected(b: Batch, why: String) {
+    private fun rejected(b: Transaction, why: String) {
         if (context.steady - complainedAt >= COMPLAIN_MS) {
             complainedAt = context.steady
             val keys =
@@ -244,28 +239,28 @@
             return again(b, REFUSED_RETRY_MS)
         }
         if (b.writes.size > 1 || b.op.changes.size > 2) learnedOps = maxOf(1, (b.op.changes.size - 1) / 2)
-        if (b.writes.size > 1) return takeApart(b, (b.writes.size + 1) / 2)
-        batch = null
+        if (b.writes.size > 1) return split(b, (b.writes.size + 1) / 2)
+        inFlight = null
         b.writes.single().onRefused()
-        pump()
+        flush()
     }
 
     /** Not executed again and again: it may ask for more at once than the service's rate allows in a burst. */
-    private fun thin(b: Batch) {
+    private fun splitForRate(b: Transaction) {
         retryPartsAt = context.steady + RETRY_MS
-        takeApart(b, maxOf(1, b.writes.size / THINNED_TO))
+        split(b, maxOf(1, b.writes.size / RATE_SPLIT_PARTS))
     }
 
-    private fun takeApart(b: Batch, size: Int) {
-        batch = null
+    private fun split(b: Transaction, size: Int) {
+        inFlight = null
         for (part in b.writes.chunked(size).asReversed()) parts.addFirst(part)
-        pump()
+        flush()
     }
 
-    private fun again(b: Batch, afterMs: Long) {
+    private fun again(b: Transaction, afterMs: Long) {
         retryAt = context.steady + afterMs
         tokens = maxOf(0.0, tokens - b.op.changes.size) // a failing transaction counts as well
-        if (afterMs == 0L) pump()
+        if (afterMs == 0L) flush()
     }
 
     private fun failed(since: Long = context.steady) {
@@ -279,7 +274,7 @@
      * be carried out yet, the conditions of the next transaction fail, its count in the record is another, and the term
      * ends.
      */
-    private fun lookAtRecord(b: Batch, unchanged: (() -> Unit)? = null) {
+    private fun lookAtRecord(b: Transaction, unchanged: (() -> Unit)? = null) {
         val inTerm = term
         context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
             if (term != inTerm) return@state context.dropped.count(DroppedInput.REPLY_LATE)
@@ -292,10 +287,10 @@
                         b.uncertain = false
                         unchanged()
                     } else {
-                        leadership.depose("generation ${stands.fencingToken} of ${stands.owner} stands")
+                        leadership.stepDown("generation ${stands.fencingToken} of ${stands.owner} stands")
                     }
                 }
-                StateReply.Missing -> leadership.depose("the leadership record is gone")
+                StateReply.Missing -> leadership.stepDown("the leadership record is gone")
                 else -> {
                     failed()
                     again(b, RETRY_MS)
@@ -304,8 +299,8 @@
         }
     }
 
-    private fun committed(b: Batch, revision: Long, sentAt: Long) {
-        batch = null
+    private fun committed(b: Transaction, revision: Long, sentAt: Long) {
+        inFlight = null
         lastTookMs = context.steady - b.firstSentAt
         retryAt = 0
         failingSince = -1
@@ -316,7 +311,7 @@
         }
         leadership.renewed(sentAt)
         for (write in b.writes) write.onDurable()
-        pump()
+        flush()
     }
 
     private fun refill() {
@@ -338,13 +333,13 @@
         const val STALL_MS = 1000L
         const val SLOW_MS = 400L
         const val TXN_BYTES = 40 * 1024
-        const val TAKE_APART_AFTER = 3
+        const val SPLIT_AFTER = 3
         const val COMPLAIN_MS = 10_000L
 
         /** How many keys a log line names. */
         const val KEYS_NAMED = 3
 
         /** Into how many parts a transaction goes that was not executed again and again. */
-        const val THINNED_TO = 4
+        const val RATE_SPLIT_PARTS = 4
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -55,25 +55,25 @@
         val leadership = Leadership(context, "m", List(peers) { "p$it" }, 77, options, 0, begunAt, this)
 
         /** The stamp of the record for which all was read, as far as the test lets it be. */
-        var preparedFor: Long? = null
+        var snapshotOf: Long? = null
         var reads = true
 
-        override fun prepare(revision: Long) {
-            if (reads) preparedFor = revision
+        override fun requestSnapshot(revision: Long) {
+            if (reads) snapshotOf = revision
         }
 
-        override fun prepared(revision: Long) = preparedFor == revision
+        override fun snapshotComplete(revision: Long) = snapshotOf == revision
 
-        override fun unprepare() {
-            preparedFor = null
+        override fun discardSnapshot() {
+            snapshotOf = null
         }
 
-        override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) {
-            assertEquals(preparedFor, basis)
+        override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) {
+            assertEquals(snapshotOf, snapshotRevision)
             elected = fencingToken
         }
 
-        override fun onDeposed() {
+        override fun onSteppedDown() {
             deposed = true
         }
 
@@ -343,10 +343,10 @@
         answer("x/1", more = true)
         snapshot.begin(8)
         answer("x/1", "x/2")
-        assertFalse(snapshot.complete(8))
+        assertFalse(snapshot.isComplete(8))
         answer("y/1")
-        assertTrue(snapshot.complete(8))
-        assertFalse(snapshot.complete(7))
+        assertTrue(snapshot.isComplete(8))
+        assertFalse(snapshot.isComplete(7))
         assertEquals(listOf("x/1", "x/2", "y/1"), snapshot.take(8).map { it.key })
         assertEquals(1, completed)
     }
--- a/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/ProgressPagesTest.kt
@@ -6,7 +6,7 @@
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.common.Now
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
@@ -73,7 +73,7 @@
         fun next(): Write? {
             t += 2000
             context.now = Now(t, t)
-            val room = StateWriter.Room(11, 40 * 1024)
+            val room = TransactionBudget(11, 40 * 1024)
             return jobs.nextUrgent(room) ?: jobs.nextCompletion(room) { _, _ -> } ?: jobs.nextTrash(room)
         }
 
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.core.common.Now
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
@@ -50,7 +50,7 @@
                 null,
             )
         jobs.accept(spec, refused = {}) {}
-        jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
+        jobs.nextUrgent(TransactionBudget(10, 10_000))?.onDurable?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -29,15 +29,15 @@
 /** What comes late, repeated or from another life changes nothing, and is counted. */
 class DroppedInputsTest {
     private class Events : Leadership.Events {
-        override fun prepare(revision: Long) = Unit
+        override fun requestSnapshot(revision: Long) = Unit
 
-        override fun prepared(revision: Long) = true
+        override fun snapshotComplete(revision: Long) = true
 
-        override fun unprepare() = Unit
+        override fun discardSnapshot() = Unit
 
-        override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) = Unit
+        override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) = Unit
 
-        override fun onDeposed() = Unit
+        override fun onSteppedDown() = Unit
     }
 
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
@@ -165,11 +165,11 @@
         val log = StateWriter(context, limits, options, leadership(0))
         var durable = false
         val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
-        log.source { write }
+        log.addProducer { write }
         context.now = Now(1000, 1000)
         log.start(LeadershipRecord("m", 77, 1, 0), 1)
         context.now = Now(2000, 2000)
-        log.pump()
+        log.flush()
         val call = context.drain().filterIsInstance<Effect.State>().single()
         log.stop()
         context.reply(Input.State(call.ticket, StateReply.Committed(2)))
@@ -184,7 +184,7 @@
         val call = context.drain().filterIsInstance<Effect.State>().single()
         snapshot.begin(8)
         context.reply(Input.State(call.ticket, StateReply.Page(KeyValuePage(emptyList(), false))))
-        assertEquals(false, snapshot.complete(7))
+        assertEquals(false, snapshot.isComplete(7))
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/fleet/StaticMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/StaticMachinesTest.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
@@ -27,8 +27,8 @@
         first.start(1)
         first.onList(found)
         assertEquals(found, first.names)
-        val change = checkNotNull(first.next(StateWriter.Room(11, 40 * 1024))).changes.single()
-        assertNull(first.next(StateWriter.Room(11, 40 * 1024)))
+        val change = checkNotNull(first.next(TransactionBudget(11, 40 * 1024))).changes.single()
+        assertNull(first.next(TransactionBudget(11, 40 * 1024)))
         assertTrue(EncodedSize.of(change) <= limits.valueBytes, "it takes ${EncodedSize.of(change)} bytes")
         return change
     }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -16,7 +16,7 @@
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Priority
@@ -78,7 +78,7 @@
                 dueS = null,
             )
         jobs.accept(change(spec), refused = {}) {}
-        jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
+        jobs.nextUrgent(TransactionBudget(10, 10_000))?.onDurable?.invoke()
         return checkNotNull(jobs.find("j-1")?.open)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
@@ -51,7 +51,7 @@
                 dueS = null,
             )
         jobs.accept(spec, refused = {}) {}
-        jobs.nextUrgent(StateWriter.Room(10, 10_000))?.onDurable?.invoke()
+        jobs.nextUrgent(TransactionBudget(10, 10_000))?.onDurable?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
@@ -37,7 +37,7 @@
         var rule: (StateOp.Commit) -> StateReply = { StateReply.Committed(++revision) }
 
         init {
-            log.source { room ->
+            log.addProducer { room ->
                 val write = queue.firstOrNull()
                 if (write == null || room.ops < 1 ||
                     write.changes.sumOf { EncodedSize.of(it) } > room.bytes
@@ -50,16 +50,16 @@
             play(0, 0)
         }
 
-        override fun prepare(revision: Long) = Unit
+        override fun requestSnapshot(revision: Long) = Unit
 
-        override fun prepared(revision: Long) = true
+        override fun snapshotComplete(revision: Long) = true
 
-        override fun unprepare() = Unit
+        override fun discardSnapshot() = Unit
 
-        override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) =
+        override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) =
             log.start(LeadershipRecord("m", 77, fencingToken, writes), revision)
 
-        override fun onDeposed() {
+        override fun onSteppedDown() {
             deposed = true
             log.stop()
         }
@@ -88,7 +88,7 @@
             for (t in from..to step 20) {
                 context.now = Now(t, t)
                 if (!deposed) leadership.tick()
-                log.pump()
+                log.flush()
                 while (true) {
                     val out = context.drain().ifEmpty { break }
                     notes.addAll(out.filterIsInstance<Effect.LogEvent>())
