--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -21,7 +21,7 @@
  * promises: while a majority (the leader counted) has promised not to stand, the leader stays entitled although the
  * state service serves nobody, because a candidate needs the votes of a majority, and no vote is given against a
  * promise. A candidate without votes has to wait out [OperatorSettings.outageLimitMs], beyond which no leader acts on
- * promises. Its parts are [LeadershipRecordWatch], [GrantedFollowerLease], [FollowerLeases] and [Candidacy];
+ * promises. Its parts are [LeadershipRecordWatch], [GrantedFollowerLease], [FollowerLeases] and [VoteCollector];
  * [Controller] calls it.
  */
 class Leadership(
@@ -73,7 +73,7 @@
     private val watch = LeadershipRecordWatch(context, options, startedAt)
     private val given = GrantedFollowerLease(context, options, begunAt)
     private val held = FollowerLeases(context, peers.size, options.followerLeaseMs)
-    private val candidacy = Candidacy(context, peers.size, options.followerLeaseMs)
+    private val votes = VoteCollector(context, peers.size, options.followerLeaseMs)
 
     /** Why this controller may take over the record that it last saw without anybody's vote, or null. */
     private var claim: String? = null
@@ -153,10 +153,10 @@
 
     private fun seekLead(record: LeadershipRecord, stale: Long, t: Long) {
         if (stale > plusClockDrift(options.outageLimitMs) || majority == 1) {
-            candidacy.useNone()
+            votes.relyOnNoVotes()
             return stand(if (majority == 1) "alone" else "record unchanged for $stale ms")
         }
-        if (!given.earlierLifeMayBind && t >= yieldsUntil) candidacy.askVotes(record, watch.revision)
+        if (!given.earlierLifeMayBind && t >= yieldsUntil) votes.requestVotes(record, watch.revision)
     }
 
     /**
@@ -167,7 +167,7 @@
         claim = why
         events.requestSnapshot(watch.revision)
         if (!events.snapshotComplete(watch.revision)) return
-        candidacy.useNone()
+        votes.relyOnNoVotes()
         stand(why)
     }
 
@@ -232,11 +232,11 @@
         val commit = StateOp.Commit(listOf(condition), listOf(Change(LeadershipRecord.KEY, record.value())))
         context.state(commit) { reply ->
             role = Role.FOLLOWER
-            candidacy.end()
+            votes.campaignEnded()
             if (reply is StateReply.Committed) {
                 watch.served()
                 // Too late, the voters may have restarted and forgotten.
-                if (candidacy.votesHold) {
+                if (votes.stillBind) {
                     becomeLeader(
                         record,
                         reply.revision,
@@ -382,17 +382,17 @@
     }
 
     private fun onVote(from: Int, vote: PeerMessage.VoteResponse) {
-        if (!candidacy.isOurs(vote)) return context.dropped.count(DroppedInput.MESSAGE_OTHER_INCARNATION)
-        if (!candidacy.isCurrent(vote)) candidacy.cameLate()
-        if (role != Role.FOLLOWER || !candidacy.isCurrent(vote)) {
+        if (!votes.answersThisIncarnation(vote)) return context.dropped.count(DroppedInput.MESSAGE_OTHER_INCARNATION)
+        if (!votes.answersLastRequest(vote)) votes.onLateAnswer()
+        if (role != Role.FOLLOWER || !votes.answersLastRequest(vote)) {
             return context.dropped.count(DroppedInput.MESSAGE_LATE)
         }
         if (!vote.granted || given.bind) return
         val record = watch.record ?: return
         if (vote.fencingToken != record.fencingToken + 1) return context.dropped.count(DroppedInput.MESSAGE_LATE)
-        if (candidacy.take(from) < majority || !events.snapshotComplete(watch.revision)) return
+        if (votes.add(from) < majority || !events.snapshotComplete(watch.revision)) return
         if (watch.released(record, 0) || watch.staleMs() >= plusClockDrift(options.leaderLeaseMs)) {
-            candidacy.useVotes()
+            votes.relyOnVotes()
             stand("elected by peers")
         }
     }
