--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -11,6 +11,7 @@
 import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.leadership.StepDownReason
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.Command
 import org.chalkhollow.model.WorkerHeartbeat
@@ -131,11 +132,11 @@
      */
     fun advanceFencingTokenIfNeeded() {
         val t = context.steady
-        if (dispatch.exhausted) return leadership.stepDown("attempt numbers are used up")
+        if (dispatch.exhausted) return leadership.stepDown(StepDownReason.Own.ATTEMPT_NUMBERS_EXHAUSTED)
         if (log.slow() || t - fencingTokenAdvancedAt < RAISE_MS) return quarantineStuck(t)
         if (fleet.machines.none { stuck(it, t) || keepsTooMany(it) }) return
         fencingTokenAdvancedAt = t
-        leadership.stepDown("raising the generation to settle direct starts without an answer")
+        leadership.stepDown(StepDownReason.Own.UNANSWERED_COMMANDS)
     }
 
     private fun keepsTooMany(m: Machine): Boolean = m.attempts.size > MAX_KEPT && m.attempts.count(::isOver) > MAX_KEPT
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
@@ -4,19 +4,26 @@
 import org.chalkhollow.wire.Fields
 
 /**
- * The leadership record: who leads, in which life of that process, under which generation, after how many writes. It is
- * stored under [KEY]; every write of a leader raises it.
+ * The leadership record: who leads, in which incarnation of that process, under which fencing token, after how many
+ * writes. It is stored under [KEY]; every write of a leader raises it.
  */
 data class LeadershipRecord(val owner: String, val incarnation: Long, val fencingToken: Long, val writes: Long) {
+    /** The stored form; its names are fixed. */
     fun value(): Map<String, Any?> =
         mapOf("owner" to owner, "life" to incarnation, "generation" to fencingToken, "writes" to writes)
 
     companion object {
         const val KEY = "ch/lead"
 
+        /** The record in [row], or an exception of the wire package if it is malformed. */
         fun of(row: KeyValue): LeadershipRecord {
-            val f = Fields.of(row.value, "leadership record")
-            return LeadershipRecord(f.text("owner"), f.long("life"), f.long("generation"), f.long("writes"))
+            val fields = Fields.of(row.value, "leadership record")
+            return LeadershipRecord(
+                fields.text("owner"),
+                fields.long("life"),
+                fields.long("generation"),
+                fields.long("writes"),
+            )
         }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/VoteCollector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/VoteCollector.kt
@@ -9,7 +9,7 @@
 
 /**
  * Owns the votes that this controller has requested. They count for one request only, from when that was sent, so they
- * end here before those who gave them may grant another leader a follower lease. Called by [Leadership].
+ * end here before those who gave them may grant another leader a follower lease. Called by [Election].
  */
 class VoteCollector(private val context: CoreContext, private val peerCount: Int, private val followerLeaseMs: Long) {
     /** Begins at a random number: votes for an earlier incarnation must not count. */
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -10,6 +10,7 @@
 import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.core.leadership.StepDownReason
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.Condition
 import org.chalkhollow.settings.OperatorSettings
@@ -287,10 +288,10 @@
                         b.uncertain = false
                         unchanged()
                     } else {
-                        leadership.stepDown("generation ${stands.fencingToken} of ${stands.owner} stands")
+                        leadership.stepDown(StepDownReason.Superseded(stands))
                     }
                 }
-                StateReply.Missing -> leadership.stepDown("the leadership record is gone")
+                StateReply.Missing -> leadership.stepDown(StepDownReason.Own.RECORD_MISSING)
                 else -> {
                     failed()
                     again(b, RETRY_MS)
