--- a/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
@@ -12,7 +12,7 @@
  * before it ends at the peer that granted it. Called by [LeaderTerm].
  */
 class FollowerLeases(private val context: CoreContext, private val peerCount: Int, private val followerLeaseMs: Long) {
-    private val majority = (peerCount + 1) / 2 + 1
+    private val majority = majorityWith(peerCount)
     private var seq = 0L
     private var requestedAt = NEVER
 
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -1,41 +1,26 @@
 package org.chalkhollow.core.storage
 
-import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.DroppedInput
 import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.EncodedSize
-import org.chalkhollow.core.common.MS_PER_S
+import org.chalkhollow.core.common.NEVER
 import org.chalkhollow.core.common.StateOp
 import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.leadership.LeadershipRecord
 import org.chalkhollow.core.leadership.StepDownReason
-import org.chalkhollow.model.Change
-import org.chalkhollow.model.Condition
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
 
 /**
- * Changes that belong into one transaction, and what to do once they are durable, or once the state service has refused
- * them although they came alone: a hint is dropped, and what must not be lost is given again later by its source.
- */
-class Write(val changes: List<Change>, val onRefused: () -> Unit, val onDurable: () -> Unit)
-
-/** Gives writes when asked, most urgent producers first; at most [TransactionBudget] worth. */
-fun interface WriteProducer {
-    fun next(room: TransactionBudget): Write?
-}
-
-/** What is left in the transaction being put together. */
-class TransactionBudget(var ops: Int, var bytes: Int)
-
-/**
- * The leader's only way to write: one transaction at a time, each conditional on the stamp of the leadership record,
- * which it raises, and on the stamps of the keys it changes. So a deposed leader's late writes fail, every write renews
- * the lease, and a lost reply is resolved by looking whether the record counts one write more. A transaction that the
- * service refuses for its size, or again and again for its rate, is taken apart, down to one write each, so that no
+ * The leader's only way to write: one transaction at a time, each conditional on the revision of the leadership record,
+ * which it raises, and on the revisions of the keys it changes. So a deposed leader's late writes fail, every write
+ * renews the lease, and a lost reply is resolved by looking whether the record counts one write more. A transaction
+ * that the service refuses for its size, or again and again for its rate, is split, down to one write each, so that no
  * write can hold up the others.
+ *
+ * Owns the transaction in flight and its retries; its parts are [TransactionComposer], [WriteRateLimiter] and
+ * [RefusedTransactions]. The controller starts and stops it with each term, and flushes it after each input.
  */
 class StateWriter(
     private val context: CoreContext,
@@ -43,175 +28,138 @@
     private val options: OperatorSettings,
     private val leadership: Leadership,
 ) {
-    private val producers = ArrayList<WriteProducer>()
-    private val revisions = Object2LongOpenHashMap<String>()
-    private var record = LeadershipRecord("", 0, 0, 0)
-    private var recordRevision = 0L
+    private val composer = TransactionComposer(context)
+    private val rateLimiter = WriteRateLimiter(context, limits.writeRps)
+    private val refused = RefusedTransactions(context, limits.txnOps)
+
+    /** Grows with every term, so that replies to an earlier one are known. */
     private var term = 0
     private var active = false
     private var inFlight: Transaction? = null
-    private var tokens = 0.0
-    private var refilledAt = 0L
     private var lastSentAt = 0L
-    private var retryAt = 0L
-    private var failingSince = -1L
-    private var lastTookMs = 0L
-
-    /** What refused transactions were taken apart into; sent in this order before anything new. */
-    private val parts = ArrayDeque<List<Write>>()
-
-    /** Most changes beside the record, as far as refusals tell; grows again with every transaction that is taken. */
-    private var learnedOps = Int.MAX_VALUE
-    private var retryPartsAt = 0L
-    private var complainedAt = Long.MIN_VALUE / 2
-
-    private class Transaction(val writes: List<Write>, val op: StateOp.Commit, val firstSentAt: Long) {
-        var uncertain = false
 
-        /** How often in a row it was not executed for want of service or rate. */
-        var unavailable = 0
-    }
+    /** When to send the transaction in flight again; [NEVER] while its answer is awaited. */
+    private var retryAt = NEVER
+    private var failingSince = NEVER
+    private var lastTookMs = 0L
+    private var refusalLoggedAt = NEVER
 
-    fun addProducer(producer: WriteProducer) {
-        producers.add(producer)
-    }
+    /** Adds a producer that is asked after all that were added before. */
+    fun addProducer(producer: WriteProducer) = composer.addProducer(producer)
 
-    fun start(lead: LeadershipRecord, revision: Long) {
+    /** A term begins: the record is [newRecord], and has [revision]. */
+    fun start(newRecord: LeadershipRecord, revision: Long) {
         stop()
-        record = lead
-        recordRevision = revision
+        composer.start(newRecord, revision)
+        rateLimiter.start()
         active = true
-        tokens = budget() / 2 // the one before us may have spent from this second's budget
-        refilledAt = context.steady
         lastSentAt = 0
     }
 
+    /** The term ends; what is in flight may yet be applied, but its outcome counts no more. */
     fun stop() {
         term++
         active = false
         inFlight = null
-        parts.clear()
-        retryPartsAt = 0
-        learnedOps = Int.MAX_VALUE
-        revisions.clear()
-        failingSince = -1
+        composer.clear()
+        refused.clear()
+        failingSince = NEVER
         lastTookMs = 0
-        retryAt = 0
+        retryAt = NEVER
     }
 
-    /** Notes the stamp of a key that was read. */
-    fun rememberRevision(key: String, revision: Long) {
-        revisions.put(key, revision)
-    }
+    /** Notes the revision of a key that was read. */
+    fun rememberRevision(key: String, revision: Long) = composer.rememberRevision(key, revision)
 
     /** Whether writes have failed for long enough that new requests should be turned away at once. */
-    fun stalled(): Boolean = failingSince >= 0 && context.steady - failingSince > STALL_MS
+    fun stalled(): Boolean = failingSince != NEVER && context.steady - failingSince > STALL_MS
 
     /**
-     * Whether the last transaction took long, or the one under way does: no time to give up the lead and ask for it
+     * Whether the last transaction took long, or the one under way does: no time to give up leadership and ask for it
      * again.
      */
     fun slow(): Boolean =
-        failingSince >= 0 || inFlight.let { it != null && context.steady - it.firstSentAt > SLOW_MS } ||
-            lastTookMs > SLOW_MS
+        failingSince != NEVER || lastTookMs > SLOW_MS ||
+            inFlight.let { it != null && context.steady - it.firstSentAt > SLOW_MS }
 
-    /** Puts the next transaction together and sends it, when none is in flight and the budget allows. */
+    /** Puts the next transaction together and sends it, when none is in flight and the rate allows. */
     fun flush() {
         if (!active) return
-        refill()
+        rateLimiter.refill()
         val waiting = inFlight
         if (waiting != null) return sendAgainIfDue(waiting)
         val renewalDue = context.steady - lastSentAt >= options.leaderRenewMs
-        if (tokens < if (renewalDue) 1.0 else 2.0) return
+        if (rateLimiter.available < if (renewalDue) RENEWAL_CHANGES else MIN_CHANGES) return
         // Each transaction costs a write for the record. When writes are scarce, a few are gathered for each.
-        if (!renewalDue && tokens < budget() / 2 && context.steady - lastSentAt < SPACING_MS) return
-        val part = parts.firstOrNull()
+        if (!renewalDue && rateLimiter.isScarce && context.steady - lastSentAt < SPACING_MS) return
+        val part = refused.nextPart
         if (part != null) return sendPart(part, renewalDue)
-        val writes = gather()
-        if (writes.isEmpty() && !renewalDue) return
-        send(compose(writes))
+        val maxOps = minOf(limits.txnOps - 1, rateLimiter.available.toInt() - 1, refused.learnedMaxOps)
+        val writes = composer.collectWrites(maxOps)
+        if (writes.isNotEmpty() || renewalDue) sendNew(writes)
     }
 
-    private fun sendAgainIfDue(waiting: Transaction) {
-        if (retryAt <= 0 || context.steady < retryAt) return
-        retryAt = 0
-        send(waiting)
+    private fun sendAgainIfDue(transaction: Transaction) {
+        if (retryAt == NEVER || context.steady < retryAt) return
+        retryAt = NEVER
+        send(transaction)
     }
 
     private fun sendPart(part: List<Write>, renewalDue: Boolean) {
-        if (context.steady < retryPartsAt) return
+        if (!refused.mayRetry) return
         // Its changes were paid for once; a renewal must not wait until they are paid for again.
-        if (tokens >= part.sumOf { it.changes.size } + 1) {
-            send(compose(parts.removeFirst()))
+        if (rateLimiter.available >= part.sumOf { it.changes.size } + RENEWAL_CHANGES) {
+            sendNew(refused.removeNextPart())
         } else if (renewalDue) {
-            send(compose(emptyList()))
+            sendNew(emptyList())
         }
     }
 
-    /** What the producers give for one transaction. */
-    private fun gather(): List<Write> {
-        val room = TransactionBudget(minOf(limits.txnOps - 1, tokens.toInt() - 1, learnedOps), TXN_BYTES)
-        val writes = ArrayList<Write>()
-        for (producer in producers) {
-            while (room.ops > 0) {
-                val write = producer.next(room) ?: break
-                writes.add(write)
-                room.ops -= write.changes.size
-                room.bytes -= write.changes.sumOf { EncodedSize.of(it) }
-            }
-        }
-        return writes
-    }
-
-    /**
-     * Every transaction counts one more in the record, also in place of a refused one: a late copy of that is told from
-     * it.
-     */
-    private fun compose(writes: List<Write>): Transaction {
-        record = record.copy(writes = record.writes + 1)
-        val conditions = ArrayList<Condition>()
-        val changes = ArrayList<Change>()
-        conditions.add(Condition(LeadershipRecord.KEY, recordRevision))
-        changes.add(Change(LeadershipRecord.KEY, record.value()))
-        for (write in writes) {
-            for (change in write.changes) {
-                conditions.add(Condition(change.key, revisions.getLong(change.key)))
-                changes.add(change)
-            }
-        }
-        tokens -= changes.size
-        return Transaction(writes, StateOp.Commit(conditions, changes), context.steady).also { inFlight = it }
+    private fun sendNew(writes: List<Write>) {
+        val transaction = composer.compose(writes)
+        rateLimiter.spend(transaction.size)
+        inFlight = transaction
+        send(transaction)
     }
 
-    private fun send(b: Transaction) {
-        lastSentAt = context.steady
+    private fun send(transaction: Transaction) {
         val sentAt = context.steady
-        val inTerm = term
-        context.state(b.op) { reply ->
-            if (term == inTerm) onReply(b, reply, sentAt) else context.dropped.count(DroppedInput.REPLY_LATE)
+        lastSentAt = sentAt
+        val sentInTerm = term
+        context.state(transaction.commit) { reply ->
+            if (term ==
+                sentInTerm
+            ) {
+                onReply(transaction, reply, sentAt)
+            } else {
+                context.dropped.count(DroppedInput.REPLY_LATE)
+            }
         }
     }
 
-    private fun onReply(b: Transaction, reply: StateReply, sentAt: Long) {
+    private fun onReply(transaction: Transaction, reply: StateReply, sentAt: Long) {
         when (reply) {
-            is StateReply.Committed -> committed(b, reply.revision, if (b.uncertain) b.firstSentAt else sentAt)
-            is StateReply.Conflict -> lookAtRecord(b)
+            is StateReply.Committed ->
+                onCommitted(transaction, reply.revision, if (transaction.uncertain) transaction.firstSentAt else sentAt)
+            is StateReply.Conflict -> resolveByRecord(transaction)
             StateReply.NoResponse -> {
-                b.uncertain = true
-                failed(sentAt)
-                again(b, 0)
-            }
-            is StateReply.Rejected -> rejected(b, reply.why)
-            else -> {
-                failed()
-                b.unavailable++
-                when {
-                    b.writes.size < 2 || b.unavailable % SPLIT_AFTER != 0 ->
-                        again(b, if (b.unavailable > SPLIT_AFTER) RETRY_MS * 2 else RETRY_MS)
-                    !b.uncertain -> splitForRate(b)
-                    else -> lookAtRecord(b) { splitForRate(b) }
-                }
+                transaction.uncertain = true
+                noteFailure(sentAt)
+                retryAfter(transaction, 0)
             }
+            is StateReply.Rejected -> onRejected(transaction, reply.why)
+            else -> onUnavailable(transaction)
+        }
+    }
+
+    private fun onUnavailable(transaction: Transaction) {
+        noteFailure(context.steady)
+        transaction.unavailableCount++
+        when {
+            transaction.writes.size < 2 || transaction.unavailableCount % SPLIT_AFTER != 0 ->
+                retryAfter(transaction, if (transaction.unavailableCount > SPLIT_AFTER) RETRY_MS * 2 else RETRY_MS)
+            !transaction.uncertain -> splitForRate(transaction)
+            else -> resolveByRecord(transaction) { splitForRate(transaction) }
         }
     }
 
@@ -219,128 +167,116 @@
      * Refused for what it is. An earlier sending without an answer may have been taken all the same, which the record
      * tells.
      */
-    private fun rejected(b: Transaction, why: String) {
-        if (context.steady - complainedAt >= COMPLAIN_MS) {
-            complainedAt = context.steady
-            val keys =
-                b.writes
-                    .flatMap { it.changes }
-                    .take(KEYS_NAMED)
-                    .joinToString { it.key }
-            context.emit(
-                Effect.LogEvent(
-                    Effect.Level.ERROR,
-                    "the state service refuses a transaction of ${b.op.changes.size} changes ($keys): $why",
-                ),
-            )
-        }
-        if (b.uncertain) return lookAtRecord(b) { rejected(b, why) }
-        if (b.writes.isEmpty()) {
-            failed()
-            return again(b, REFUSED_RETRY_MS)
+    private fun onRejected(transaction: Transaction, why: String) {
+        logRejection(transaction, why)
+        when {
+            transaction.uncertain -> resolveByRecord(transaction) { onRejected(transaction, why) }
+            transaction.writes.isEmpty() -> {
+                noteFailure(context.steady)
+                retryAfter(transaction, REJECTED_RENEWAL_RETRY_MS)
+            }
+            else -> dropOrSplit(transaction)
         }
-        if (b.writes.size > 1 || b.op.changes.size > 2) learnedOps = maxOf(1, (b.op.changes.size - 1) / 2)
-        if (b.writes.size > 1) return split(b, (b.writes.size + 1) / 2)
-        inFlight = null
-        b.writes.single().onRefused()
-        flush()
     }
 
-    /** Not executed again and again: it may ask for more at once than the service's rate allows in a burst. */
-    private fun splitForRate(b: Transaction) {
-        retryPartsAt = context.steady + RETRY_MS
-        split(b, maxOf(1, b.writes.size / RATE_SPLIT_PARTS))
+    private fun dropOrSplit(transaction: Transaction) {
+        refused.learnFromRefusal(transaction)
+        inFlight = null
+        if (transaction.writes.size > 1) refused.splitForSize(transaction) else transaction.writes.single().onRefused()
+        flush()
     }
 
-    private fun split(b: Transaction, size: Int) {
+    private fun splitForRate(transaction: Transaction) {
         inFlight = null
-        for (part in b.writes.chunked(size).asReversed()) parts.addFirst(part)
+        refused.splitForRate(transaction, RETRY_MS)
         flush()
     }
 
-    private fun again(b: Transaction, afterMs: Long) {
-        retryAt = context.steady + afterMs
-        tokens = maxOf(0.0, tokens - b.op.changes.size) // a failing transaction counts as well
-        if (afterMs == 0L) flush()
+    private fun retryAfter(transaction: Transaction, delayMs: Long) {
+        retryAt = context.steady + delayMs
+        rateLimiter.spendOnRetry(transaction.size)
+        if (delayMs == 0L) flush()
     }
 
-    private fun failed(since: Long = context.steady) {
-        if (failingSince < 0) failingSince = since
+    private fun noteFailure(since: Long) {
+        if (failingSince == NEVER) failingSince = since
         leadership.writeFailed(since)
     }
 
     /**
      * The conditions did not hold: either an earlier sending of the same transaction was applied, or someone else
-     * leads. When they were not looked at, neither may be so, and [unchanged] says what then: should an earlier sending
-     * be carried out yet, the conditions of the next transaction fail, its count in the record is another, and the term
-     * ends.
+     * leads. When they were not looked at, neither may be so, and [ifUnchanged] says what then: should an earlier
+     * sending be carried out yet, the conditions of the next transaction fail, its count in the record is another, and
+     * the term ends.
      */
-    private fun lookAtRecord(b: Transaction, unchanged: (() -> Unit)? = null) {
-        val inTerm = term
+    private fun resolveByRecord(transaction: Transaction, ifUnchanged: (() -> Unit)? = null) {
+        val sentInTerm = term
         context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
-            if (term != inTerm) return@state context.dropped.count(DroppedInput.REPLY_LATE)
+            if (term != sentInTerm) return@state context.dropped.count(DroppedInput.REPLY_LATE)
             when (reply) {
-                is StateReply.Found -> {
-                    val stands = LeadershipRecord.of(reply.row)
-                    if (stands == record) {
-                        committed(b, reply.row.revision, b.firstSentAt)
-                    } else if (unchanged != null && reply.row.revision == recordRevision) {
-                        b.uncertain = false
-                        unchanged()
-                    } else {
-                        leadership.stepDown(StepDownReason.Superseded(stands))
-                    }
-                }
+                is StateReply.Found -> onRecordFound(transaction, reply, ifUnchanged)
                 StateReply.Missing -> leadership.stepDown(StepDownReason.Own.RECORD_MISSING)
                 else -> {
-                    failed()
-                    again(b, RETRY_MS)
+                    noteFailure(context.steady)
+                    retryAfter(transaction, RETRY_MS)
                 }
             }
         }
     }
 
-    private fun committed(b: Transaction, revision: Long, sentAt: Long) {
-        inFlight = null
-        lastTookMs = context.steady - b.firstSentAt
-        retryAt = 0
-        failingSince = -1
-        if (learnedOps < limits.txnOps) learnedOps++
-        recordRevision = revision
-        for (change in b.op.changes) {
-            if (change.value == null) revisions.removeLong(change.key) else revisions.put(change.key, revision)
+    private fun onRecordFound(transaction: Transaction, reply: StateReply.Found, ifUnchanged: (() -> Unit)?) {
+        val found = LeadershipRecord.of(reply.row)
+        if (found == composer.record) {
+            onCommitted(transaction, reply.row.revision, transaction.firstSentAt)
+        } else if (ifUnchanged != null && reply.row.revision == composer.recordRevision) {
+            transaction.uncertain = false
+            ifUnchanged()
+        } else {
+            leadership.stepDown(StepDownReason.Superseded(found))
         }
+    }
+
+    /** [transaction] is durable at [revision]; its lease counts from [sentAt]. */
+    private fun onCommitted(transaction: Transaction, revision: Long, sentAt: Long) {
+        inFlight = null
+        lastTookMs = context.steady - transaction.firstSentAt
+        retryAt = NEVER
+        failingSince = NEVER
+        refused.onCommitted()
+        composer.onCommitted(transaction, revision)
         leadership.renewed(sentAt)
-        for (write in b.writes) write.onDurable()
+        for (write in transaction.writes) write.onDurable()
         flush()
     }
 
-    private fun refill() {
-        val t = context.steady
-        tokens = minOf(budget(), tokens + (t - refilledAt) * budget() / MS_PER_S)
-        refilledAt = t
+    private fun logRejection(transaction: Transaction, why: String) {
+        if (context.steady - refusalLoggedAt < REFUSAL_LOG_MS) return
+        refusalLoggedAt = context.steady
+        val changes = transaction.writes.flatMap { it.changes }
+        val keys = changes.take(KEYS_NAMED).joinToString { it.key }
+        val text = "the state service refuses a transaction of ${transaction.size} changes ($keys): $why"
+        context.emit(Effect.LogEvent(Effect.Level.ERROR, text))
     }
 
-    private fun budget(): Double = limits.writeRps * BUDGET_SHARE
-
     private companion object {
-        /** Below the rate that the service allows, since requests that were held up on their way arrive together. */
-        const val BUDGET_SHARE = 0.9
+        /** What a transaction without writes costs: the change of the record. */
+        const val RENEWAL_CHANGES = 1.0
+
+        /** What a transaction with one change costs. */
+        const val MIN_CHANGES = 2.0
         const val RETRY_MS = 250L
 
         /** A renewal alone that is refused is a fault of the service, or the record is unlike what we think. */
-        const val REFUSED_RETRY_MS = 1000L
+        const val REJECTED_RENEWAL_RETRY_MS = 1000L
         const val SPACING_MS = 120L
         const val STALL_MS = 1000L
         const val SLOW_MS = 400L
-        const val TXN_BYTES = 40 * 1024
+
+        /** After so many times in a row without execution a transaction is split. */
         const val SPLIT_AFTER = 3
-        const val COMPLAIN_MS = 10_000L
+        const val REFUSAL_LOG_MS = 10_000L
 
         /** How many keys a log line names. */
         const val KEYS_NAMED = 3
-
-        /** Into how many parts a transaction goes that was not executed again and again. */
-        const val RATE_SPLIT_PARTS = 4
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/core/storage/TransactionComposer.kt
@@ -0,0 +1,89 @@
+package org.chalkhollow.core.storage
+
+import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.common.StateOp
+import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.Condition
+
+/**
+ * Puts transactions together. Owns the producers of writes, and what a transaction is conditional on: the leadership
+ * record as this leader wrote it last, and the revisions of all keys that it knows. Each transaction is a
+ * compare-and-swap on those of the record and of every key that it changes. Called by [StateWriter].
+ */
+internal class TransactionComposer(private val context: CoreContext) {
+    private val producers = ArrayList<WriteProducer>()
+    private val revisions = Object2LongOpenHashMap<String>()
+
+    /** The record as the transaction composed last leaves it. */
+    var record = LeadershipRecord("", 0, 0, 0)
+        private set
+
+    /** The record's revision before that transaction. */
+    var recordRevision = 0L
+        private set
+
+    fun start(newRecord: LeadershipRecord, newRevision: Long) {
+        record = newRecord
+        recordRevision = newRevision
+    }
+
+    fun clear() = revisions.clear()
+
+    /** Notes the revision of a key that was read. */
+    fun rememberRevision(key: String, revision: Long) {
+        revisions.put(key, revision)
+    }
+
+    fun addProducer(producer: WriteProducer) {
+        producers.add(producer)
+    }
+
+    /** What the producers give for one transaction of at most [maxOps] changes beside the record. */
+    fun collectWrites(maxOps: Int): List<Write> {
+        val budget = TransactionBudget(maxOps, MAX_TRANSACTION_BYTES)
+        val writes = ArrayList<Write>()
+        for (producer in producers) {
+            while (budget.ops > 0) {
+                val write = producer.next(budget) ?: break
+                writes.add(write)
+                budget.ops -= write.changes.size
+                budget.bytes -= write.changes.sumOf { EncodedSize.of(it) }
+            }
+        }
+        return writes
+    }
+
+    /**
+     * Every transaction counts one more in the record, also in place of a refused one: a late copy of that is told from
+     * it.
+     */
+    fun compose(writes: List<Write>): Transaction {
+        record = record.copy(writes = record.writes + 1)
+        val conditions = ArrayList<Condition>()
+        val changes = ArrayList<Change>()
+        conditions.add(Condition(LeadershipRecord.KEY, recordRevision))
+        changes.add(Change(LeadershipRecord.KEY, record.value()))
+        for (write in writes) {
+            for (change in write.changes) {
+                conditions.add(Condition(change.key, revisions.getLong(change.key)))
+                changes.add(change)
+            }
+        }
+        return Transaction(writes, StateOp.Commit(conditions, changes), context.steady)
+    }
+
+    /** All that [transaction] changed has [revision] now. */
+    fun onCommitted(transaction: Transaction, revision: Long) {
+        recordRevision = revision
+        for (change in transaction.commit.changes) {
+            if (change.value == null) revisions.removeLong(change.key) else revisions.put(change.key, revision)
+        }
+    }
+
+    private companion object {
+        const val MAX_TRANSACTION_BYTES = 40 * 1024
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/storage/TransactionComposerTest.kt
@@ -0,0 +1,60 @@
+package org.chalkhollow.core.storage
+
+import org.chalkhollow.core.common.CoreContext
+import org.chalkhollow.core.leadership.LeadershipRecord
+import org.chalkhollow.model.Change
+import org.chalkhollow.model.Condition
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+class TransactionComposerTest {
+    private val record = LeadershipRecord("m", 77, 5, 0)
+    private val composer = TransactionComposer(CoreContext(1)).also { it.start(record, newRevision = 10) }
+
+    private fun write(vararg changes: Change) = Write(changes.toList(), onRefused = {}) {}
+
+    @Test
+    fun `each transaction is conditional on the record and on what it changes, and raises the record`() {
+        composer.rememberRevision("known", 4)
+        val changes = arrayOf(Change("known", mapOf("x" to 1)), Change("new", mapOf("x" to 2)))
+        val transaction = composer.compose(listOf(write(*changes)))
+        val revisions = listOf(LeadershipRecord.KEY to 10L, "known" to 4L, "new" to 0L)
+        assertEquals(revisions, transaction.commit.conditions.map { it.key to it.revision })
+        assertEquals(
+            record.copy(writes = 1).value(),
+            transaction.commit.changes
+                .first()
+                .value,
+        )
+        assertEquals(3, transaction.size)
+    }
+
+    @Test
+    fun `a transaction in place of a refused one counts one more in the record, on the same revision`() {
+        composer.compose(emptyList())
+        val second = composer.compose(emptyList())
+        assertEquals(2, composer.record.writes)
+        assertEquals(listOf(Condition(LeadershipRecord.KEY, 10)), second.commit.conditions)
+    }
+
+    @Test
+    fun `after a commit its keys have the new revision, and deleted ones none`() {
+        composer.rememberRevision("gone", 4)
+        val first = composer.compose(listOf(write(Change("kept", mapOf("x" to 1)), Change("gone", null))))
+        composer.onCommitted(first, 11)
+        val next = composer.compose(listOf(write(Change("kept", null), Change("gone", mapOf("x" to 1)))))
+        assertEquals(listOf(11L, 11L, 0L), next.commit.conditions.map { it.revision })
+    }
+
+    @Test
+    fun `producers are asked in order until the changes are used up`() {
+        val first = ArrayDeque(listOf("a", "b"))
+        for (keys in listOf(first, ArrayDeque(listOf("c", "d")))) {
+            composer.addProducer { budget ->
+                if (budget.ops < 1) null else keys.removeFirstOrNull()?.let { write(Change(it, null)) }
+            }
+        }
+        assertEquals(listOf("a", "b", "c"), composer.collectWrites(maxOps = 3).map { it.changes.single().key })
+        assertEquals(emptyList<Write>(), composer.collectWrites(maxOps = 0))
+    }
+}
