--- a/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
@@ -67,7 +67,7 @@
 
     /** Reads one page: the keys after [after] under the prefix with the index [prefix]. */
     private fun read(current: Reading, prefix: Int, after: String?) {
-        context.state(StateOp.List(prefixes[prefix], after)) { reply ->
+        context.callStateService(StateOp.List(prefixes[prefix], after)) { reply ->
             when {
                 reading !== current -> context.dropped.count(DroppedInput.REPLY_LATE)
                 reply is StateReply.Page -> onPage(current, prefix, reply)
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
@@ -155,7 +155,7 @@
         val sentAt = context.steady
         val condition = Condition(LeadershipRecord.KEY, snapshotRevision)
         val change = Change(LeadershipRecord.KEY, record.value())
-        context.state(StateOp.Commit(listOf(condition), listOf(change))) { reply ->
+        context.callStateService(StateOp.Commit(listOf(condition), listOf(change))) { reply ->
             onCampaignReply(record, snapshotRevision, sentAt, reply)
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
@@ -6,7 +6,7 @@
  * Owns which controllers the workers reach. A leader that none of them reaches any more, while they ask at its peers,
  * keeps their leases from being renewed by anyone: it has to step down. A worker without an answer turns to another
  * controller after about 5 s, so within [WINDOW_MS] all of them have asked somewhere. Whoever takes a heartbeat counts
- * it here; [LeaderTerm] asks.
+ * it here; [LeaderLease] asks.
  */
 class HeartbeatTraffic(peerCount: Int) {
     /** Heartbeats by second, as a ring over the window; [countedSlot] tells which second a count is of. */
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeaderTerm.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeaderLease.kt
@@ -12,7 +12,7 @@
  * have granted, and whether to transfer leadership. Its answers hold only while this controller leads; [Leadership]
  * checks the role and calls it.
  */
-class LeaderTerm(
+class LeaderLease(
     private val context: CoreContext,
     private val options: OperatorSettings,
     peerCount: Int,
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -18,7 +18,7 @@
  * acts on follower leases.
  *
  * This class owns the transitions between the roles. Its parts are [LeadershipState], [LeadershipRecordWatch],
- * [GrantedFollowerLease], [Election] (the way to leadership), [LeaderTerm] (the leader's lease) and
+ * [GrantedFollowerLease], [Election] (the way to leadership), [LeaderLease] (the leader's lease) and
  * [PeerRequestHandler]. Called by [Controller] and, for the outcome of writes, by the state writer.
  */
 class Leadership(
@@ -68,7 +68,7 @@
     private val state = LeadershipState(context, startedAt)
     private val recordWatch = LeadershipRecordWatch(context, options, startedAt)
     private val grantedLease = GrantedFollowerLease(context, options, processStartedAt)
-    private val term = LeaderTerm(context, options, peers.size, heartbeatTraffic)
+    private val lease = LeaderLease(context, options, peers.size, heartbeatTraffic)
     private val election = Election(context, options, self, state, recordWatch, grantedLease, events, ::onElectionWon)
     private val peerRequests =
         PeerRequestHandler(context, state, recordWatch, grantedLease, heartbeatTraffic, events)
@@ -80,7 +80,7 @@
     val fencingToken: Long get() = state.fencingToken
 
     /** Whether this controller may act for all at this moment. */
-    fun entitled(): Boolean = role == Role.LEADER && term.entitled()
+    fun entitled(): Boolean = role == Role.LEADER && lease.entitled()
 
     /** The peer to send others to, or [LeadershipState.NO_PEER] if none was heard of lately. */
     fun reachableLeader(): Int = state.reachableLeader()
@@ -106,11 +106,11 @@
         wasEntitled = now
         if (role != Role.LEADER) return
         if (now) return context.info("entitled to lead again")
-        context.warn("not entitled to lead: ${term.describeLeases()}; heartbeats go unanswered")
+        context.warn("not entitled to lead: ${lease.describeLeases()}; heartbeats go unanswered")
     }
 
     private fun lead() {
-        val reason = term.transferReason() ?: return term.requestFollowerLeases(fencingToken, ready)
+        val reason = lease.transferReason() ?: return lease.requestFollowerLeases(fencingToken, ready)
         if (reason == StepDownReason.Own.NOT_REACHED_BY_WORKERS) election.backOff()
         transferLeadership(reason)
     }
@@ -134,7 +134,7 @@
     private fun onElectionWon(win: Election.Win) {
         val record = win.record
         state.becomeLeader(record.fencingToken)
-        term.start(win.sentAt)
+        lease.start(win.sentAt)
         context.info("leading with fencing token $fencingToken")
         events.onElected(fencingToken, win.revision, record.writes, win.snapshotRevision)
         lead()
@@ -147,12 +147,12 @@
 
     /** A write that was sent at [sentAt] was confirmed: the lease runs from then. */
     fun renewed(sentAt: Long) {
-        term.renewed(sentAt)
+        lease.renewed(sentAt)
         recordWatch.stateServiceAnswered()
     }
 
     /** A write was refused, or is without an answer although it was sent at [sentAt]. */
-    fun writeFailed(sentAt: Long = context.steady) = term.writeFailed(sentAt)
+    fun writeFailed(sentAt: Long = context.steady) = lease.writeFailed(sentAt)
 
     fun onPeer(from: Int, message: PeerMessage) {
         when (message) {
@@ -167,6 +167,6 @@
 
     private fun onLeaseResponse(from: Int, response: PeerMessage.FollowerLeaseResponse) {
         val ofThisTerm = role == Role.LEADER && response.fencingToken == fencingToken
-        if (ofThisTerm) term.onLeaseResponse(from, response) else context.dropped.count(DroppedInput.MESSAGE_LATE)
+        if (ofThisTerm) lease.onLeaseResponse(from, response) else context.dropped.count(DroppedInput.MESSAGE_LATE)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
@@ -37,7 +37,7 @@
         val requestedAt = context.steady
         if (readInFlight || requestedAt < nextReadAt) return
         readInFlight = true
-        context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
+        context.callStateService(StateOp.Read(LeadershipRecord.KEY)) { reply ->
             readInFlight = false
             nextReadAt = context.steady + options.leaderRenewMs
             onReply(requestedAt, reply)
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -27,8 +27,10 @@
     private val limits: StateLimits,
     private val options: OperatorSettings,
     private val leadership: Leadership,
+    /** Who has something to write, the most urgent first. */
+    producers: List<WriteProducer>,
 ) {
-    private val composer = TransactionComposer(context)
+    private val composer = TransactionComposer(context, producers)
     private val rateLimiter = WriteRateLimiter(context, limits.writeRps)
     private val refused = RefusedTransactions(context, limits.txnOps)
 
@@ -44,9 +46,6 @@
     private var lastTookMs = 0L
     private var refusalLoggedAt = NEVER
 
-    /** Adds a producer that is asked after all that were added before. */
-    fun addProducer(producer: WriteProducer) = composer.addProducer(producer)
-
     /** A term begins: the record is [newRecord], and has [revision]. */
     fun start(newRecord: LeadershipRecord, revision: Long) {
         stop()
@@ -126,7 +125,7 @@
         val sentAt = context.steady
         lastSentAt = sentAt
         val sentInTerm = term
-        context.state(transaction.commit) { reply ->
+        context.callStateService(transaction.commit) { reply ->
             if (term ==
                 sentInTerm
             ) {
@@ -211,8 +210,8 @@
      */
     private fun resolveByRecord(transaction: Transaction, ifUnchanged: (() -> Unit)? = null) {
         val sentInTerm = term
-        context.state(StateOp.Read(LeadershipRecord.KEY)) { reply ->
-            if (term != sentInTerm) return@state context.dropped.count(DroppedInput.REPLY_LATE)
+        context.callStateService(StateOp.Read(LeadershipRecord.KEY)) { reply ->
+            if (term != sentInTerm) return@callStateService context.dropped.count(DroppedInput.REPLY_LATE)
             when (reply) {
                 is StateReply.Found -> onRecordFound(transaction, reply, ifUnchanged)
                 StateReply.Missing -> leadership.stepDown(StepDownReason.Own.RECORD_MISSING)
--- a/src/main/kotlin/org/chalkhollow/core/storage/TransactionComposer.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/TransactionComposer.kt
@@ -13,8 +13,11 @@
  * record as this leader wrote it last, and the revisions of all keys that it knows. Each transaction is a
  * compare-and-swap on those of the record and of every key that it changes. Called by [StateWriter].
  */
-internal class TransactionComposer(private val context: CoreContext) {
-    private val producers = ArrayList<WriteProducer>()
+internal class TransactionComposer(
+    private val context: CoreContext,
+    /** Asked in this order. */
+    private val producers: List<WriteProducer>,
+) {
     private val revisions = Object2LongOpenHashMap<String>()
 
     /** The record as the transaction composed last leaves it. */
@@ -37,10 +40,6 @@
         revisions.put(key, revision)
     }
 
-    fun addProducer(producer: WriteProducer) {
-        producers.add(producer)
-    }
-
     /** What the producers give for one transaction of at most [maxOps] changes beside the record. */
     fun collectWrites(maxOps: Int): List<Write> {
         val budget = TransactionBudget(maxOps, MAX_TRANSACTION_BYTES)
--- a/src/test/kotlin/org/chalkhollow/core/storage/TransactionComposerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/TransactionComposerTest.kt
@@ -9,7 +9,14 @@
 
 class TransactionComposerTest {
     private val record = LeadershipRecord("m", 77, 5, 0)
-    private val composer = TransactionComposer(CoreContext(1)).also { it.start(record, newRevision = 10) }
+    private val queues = listOf(ArrayDeque(listOf("a", "b")), ArrayDeque(listOf("c", "d")))
+    private val producers =
+        queues.map { keys ->
+            WriteProducer { budget ->
+                if (budget.ops < 1) null else keys.removeFirstOrNull()?.let { write(Change(it, null)) }
+            }
+        }
+    private val composer = TransactionComposer(CoreContext(1), producers).also { it.start(record, newRevision = 10) }
 
     private fun write(vararg changes: Change) = Write(changes.toList(), onRefused = {}) {}
 
@@ -48,12 +55,6 @@
 
     @Test
     fun `producers are asked in order until the changes are used up`() {
-        val first = ArrayDeque(listOf("a", "b"))
-        for (keys in listOf(first, ArrayDeque(listOf("c", "d")))) {
-            composer.addProducer { budget ->
-                if (budget.ops < 1) null else keys.removeFirstOrNull()?.let { write(Change(it, null)) }
-            }
-        }
         assertEquals(listOf("a", "b", "c"), composer.collectWrites(maxOps = 3).map { it.changes.single().key })
         assertEquals(emptyList<Write>(), composer.collectWrites(maxOps = 0))
     }
