--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -49,8 +49,11 @@
                 0.0,
                 null,
             )
-        jobs.accept(spec, refused = {}) {}
-        jobs.nextUrgent(TransactionBudget(10, 10_000))?.onDurable?.invoke()
+        jobs.accept(spec, onRefused = {}) {}
+        jobs.urgentWrites
+            .next(TransactionBudget(10, 10_000))
+            ?.onDurable
+            ?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
 
@@ -66,7 +69,12 @@
                 it.seq = 1
             }
         val numbers = listOf(131L, 100L, 69L)
-        numbers.forEachIndexed { index, n -> reconciler.reserve(job, index, n, m, null).phase = Attempt.Phase.SENT }
+        numbers.forEachIndexed {
+            index,
+            n,
+            ->
+            reconciler.reserve(job, index, n, m, null).startSent()
+        }
 
         fun task(index: Int, phase: TaskStatus.Phase, cause: ExitCause?) =
             TaskStatus("j-1", index, numbers[index], phase, cause)
@@ -81,8 +89,8 @@
             WorkerHeartbeat("n-1", "n-1", "x", "z", false, 1, 2, 1, null, tasks),
             fromHeartbeat = true,
         )
-        assertEquals("{1}", job.done.toString())
-        assertEquals(2, job.running)
+        assertEquals("{1}", job.progress.snapshot().toString())
+        assertEquals(2, job.tasks.running)
         assertEquals(listOf(0, 2), m.attempts.filter { it.phase == Attempt.Phase.RUNNING }.map { it.index })
     }
 
@@ -92,9 +100,9 @@
         val m = Machine(0, "n-1").also { it.state = Machine.State.UP }
         val batch = reconciler.reserve(job("j-1"), 0, 100, m, null, fromCredit = true)
         val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, fromCredit = true)
-        for (attempt in listOf(batch, replica)) attempt.phase = Attempt.Phase.RUNNING
+        for (attempt in listOf(batch, replica)) attempt.entered(Attempt.Phase.RUNNING, context.steady)
         assertEquals(1.0, reconciler.creditCpus)
-        reconciler.machineGone(m)
+        reconciler.onMachineGone(m)
         assertEquals(0.0, reconciler.creditCpus)
     }
 }
