--- a/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
@@ -38,6 +38,8 @@
 
     /** Why this controller may take over the record that it last saw without anybody's vote, or null. */
     private var reasonWithoutVotes: CampaignReason? = null
+
+    /** The fencing token of this incarnation's last term; 0 before its first. */
     private var lastLedFencingToken = 0L
 
     /** After a step-down this controller leaves leadership to others until then. */
@@ -72,6 +74,7 @@
         if (events.snapshotComplete(recordWatch.revision)) seekLeadership(record, unchangedMs)
     }
 
+    /** The lease is over and the snapshot complete: campaigns without votes if none are needed, or requests them. */
     private fun seekLeadership(record: LeadershipRecord, unchangedMs: Long) {
         if (self.majority == 1) return campaignWithoutVotes(CampaignReason.ONLY_CONTROLLER)
         if (unchangedMs > plusClockDrift(options.outageLimitMs)) {
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
@@ -15,7 +15,11 @@
     companion object {
         const val KEY = "ch/lead"
 
-        /** The record in [row], or an exception of the wire package if it is malformed. */
+        /**
+         * The record in [row].
+         *
+         * @throws org.chalkhollow.wire.Malformed if it cannot be read
+         */
         fun of(row: KeyValue): LeadershipRecord {
             val fields = Fields.of(row.value, "leadership record")
             return LeadershipRecord(
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -14,7 +14,7 @@
 
 /**
  * The leader's only way to write: one transaction at a time, each conditional on the revision of the leadership record,
- * which it raises, and on the revisions of the keys it changes. So a deposed leader's late writes fail, every write
+ * which it raises, and on the revisions of the keys it changes. So a former leader's late writes fail, every write
  * renews the lease, and a lost reply is resolved by looking whether the record counts one write more. A transaction
  * that the service refuses for its size, or again and again for its rate, is split, down to one write each, so that no
  * write can hold up the others.
@@ -42,6 +42,8 @@
 
     /** When to send the transaction in flight again; [NEVER] while its answer is awaited. */
     private var retryAt = NEVER
+
+    /** Since when no write was confirmed although some were sent; [NEVER] while writes succeed. */
     private var failingSince = NEVER
     private var lastTookMs = 0L
     private var refusalLoggedAt = NEVER
@@ -126,13 +128,8 @@
         lastSentAt = sentAt
         val sentInTerm = term
         context.callStateService(transaction.commit) { reply ->
-            if (term ==
-                sentInTerm
-            ) {
-                onReply(transaction, reply, sentAt)
-            } else {
-                context.dropped.count(DroppedInput.REPLY_LATE)
-            }
+            if (term != sentInTerm) return@callStateService context.dropped.count(DroppedInput.REPLY_LATE)
+            onReply(transaction, reply, sentAt)
         }
     }
 
@@ -145,6 +142,7 @@
                 transaction.uncertain = true
                 noteFailure(sentAt)
                 retryAfter(transaction, 0)
+                flush()
             }
             is StateReply.Rejected -> onRejected(transaction, reply.why)
             else -> onUnavailable(transaction)
@@ -191,10 +189,10 @@
         flush()
     }
 
+    /** Sends [transaction] again with the first flush that comes [delayMs] from now or later. */
     private fun retryAfter(transaction: Transaction, delayMs: Long) {
         retryAt = context.steady + delayMs
         rateLimiter.spendOnRetry(transaction.size)
-        if (delayMs == 0L) flush()
     }
 
     private fun noteFailure(since: Long) {
