--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -35,7 +35,7 @@
     fun step(now: Now, input: Input): List<Effect> {
         context.now = now
         dispatch(input)
-        if (leadership.role == Leadership.Role.LEADER && mayBringWrites(input)) modules.writer.pump()
+        if (leadership.role == Leadership.Role.LEADER && mayBringWrites(input)) modules.writer.flush()
         modules.lateEffects.stepDone()
         return context.drain()
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -32,7 +32,7 @@
     private var emptyResponseToken = -1L
 
     fun onHeartbeat(call: Int, heartbeat: WorkerHeartbeat) {
-        leadership.heartbeatTraffic.note(context.steady)
+        leadership.heartbeatTraffic.received(context.steady)
         if (!leadership.entitled()) return redirect(call)
         val machine = fleet.observe(heartbeat)
         if (machine == null || machine.availability.quarantined) return context.respond(call, HttpStatus.UNAVAILABLE)
@@ -53,7 +53,7 @@
 
     /** A heartbeat that was not read: it came while this controller did not lead. */
     fun onUnread(call: Int) {
-        leadership.heartbeatTraffic.note(context.steady)
+        leadership.heartbeatTraffic.received(context.steady)
         redirect(call)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -1,5 +1,6 @@
 package org.chalkhollow.core.attempts
 
+import org.chalkhollow.core.leadership.StepDownReason
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
@@ -146,12 +147,12 @@
      * outcome, the token is advanced by giving up the lead: no worker that has seen the new token obeys the old one.
      */
     fun advanceFencingTokenIfNeeded() {
-        if (dispatch.exhausted) return leadership.depose("attempt numbers are used up")
+        if (dispatch.exhausted) return leadership.stepDown(StepDownReason.Own.ATTEMPT_NUMBERS_EXHAUSTED)
         val advancedLately = context.steady - fencingTokenAdvancedAt < MIN_ADVANCE_INTERVAL_MS
         if (log.slow() || advancedLately) return quarantineStuck()
         if (fleet.machines.none { waitsForNewToken(it) || keepsTooMany(it) }) return
         fencingTokenAdvancedAt = context.steady
-        leadership.depose("advancing the fencing token to resolve direct starts whose outcome is unknown")
+        leadership.stepDown(StepDownReason.Own.UNANSWERED_COMMANDS)
     }
 
     private fun keepsTooMany(machine: Machine): Boolean =
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.core.common.Now
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.Shape
 import org.chalkhollow.model.TaskStatus
@@ -27,7 +27,7 @@
     private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
         jobs.accept(jobSpec(id, shape), onRefused = {}) {}
         jobs.urgentWrites
-            .next(StateWriter.Room(10, 10_000))
+            .next(TransactionBudget(10, 10_000))
             ?.onDurable
             ?.invoke()
         return checkNotNull(jobs.find(id)?.open)
--- a/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
@@ -1,5 +1,6 @@
 package org.chalkhollow.core.jobs
 
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
@@ -99,7 +100,7 @@
         fun next(): Write? {
             val moment = context.steady + 2000
             context.now = Now(moment, moment)
-            val room = StateWriter.Room(11, 40 * 1024)
+            val room = TransactionBudget(11, 40 * 1024)
             return jobs.urgentWrites.next(room) ?: completions.next(room) ?: jobs.garbage.next(room)
         }
 
