--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -4,6 +4,7 @@
 import kotlinx.coroutines.CoroutineDispatcher
 import kotlinx.coroutines.Delay
 import kotlinx.coroutines.DisposableHandle
+import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.InternalCoroutinesApi
 import java.nio.ByteBuffer
 import java.nio.channels.SelectableChannel
@@ -20,7 +21,7 @@
  * processor time measured, most of it hand-overs between threads, so it carries only the few connections between
  * controllers.
  */
-@OptIn(InternalCoroutinesApi::class)
+@OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
     CoroutineDispatcher(),
     Delay {
--- a/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
@@ -95,7 +95,7 @@
                 }
                 appendLine("chalkhollow_micros_count{kind=\"$kind\"} ${h.totalCount}")
             }
-            for (status in answers.keys) {
+            for (status in answers.keys.toIntArray()) {
                 FunctionCounter
                     .builder("chalkhollow.answers", answers) {
                         it.get(status).toDouble()
