--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -9,7 +9,6 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.DroppedInput
 import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.Input
 import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.common.Now
@@ -30,6 +29,7 @@
 import org.chalkhollow.core.requests.RequestHandler
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -2,10 +2,10 @@
 
 import org.chalkhollow.core.Controller
 import org.chalkhollow.core.common.CoreContext
-import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.ImageLocations
 import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Pack
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -8,13 +8,13 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.DroppedInput
 import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.JobState
 import org.chalkhollow.model.Resources
--- a/src/main/kotlin/org/chalkhollow/core/common/HttpStatus.kt
+++ b/src/main/kotlin/org/chalkhollow/model/HttpStatus.kt
@@ -1,19 +1,21 @@
-package org.chalkhollow.core.common
+package org.chalkhollow.model
 
-/** Statuses of the answers to users and workers. */
+/** The HTTP statuses that this process sends or acts on. */
 internal object HttpStatus {
     const val OK = 200
     const val CREATED = 201
     const val BAD_REQUEST = 400
     const val NOT_FOUND = 404
     const val METHOD_NOT_ALLOWED = 405
+    const val CONFLICT = 409
     const val CONTENT_TOO_LARGE = 413
 
-    /** The one who asked should ask the controller that is named. */
+    /** The client should send the request to the controller that the body names. */
     const val MISDIRECTED = 421
     const val UNPROCESSABLE = 422
+    const val TOO_MANY_REQUESTS = 429
 
-    /** All from here on say that nothing was decided. */
+    /** Statuses from here on say that nothing was decided. */
     const val SERVER_ERRORS = 500
     const val UNAVAILABLE = 503
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -6,9 +6,9 @@
 import org.chalkhollow.core.common.CloudReply
 import org.chalkhollow.core.common.CommandReply
 import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.StateOp
 import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.MalformedMessageException
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.runtime
 
-import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.model.HttpStatus
 
 /** Takes the answer to a request, now or later, and only once. */
 fun interface HttpResponder {
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.runtime
 
-import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.model.HttpStatus
 
 /** What a request is answered with. */
 class HttpReply(
--- a/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -3,12 +3,12 @@
 import com.google.common.util.concurrent.RateLimiter
 import kotlinx.serialization.json.Json
 import org.chalkhollow.core.Controller
-import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.Input
 import org.chalkhollow.core.common.Now
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.operations.JobView
 import org.chalkhollow.core.operations.StatusView
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.wire.HeartbeatReader
 import org.chalkhollow.wire.MalformedMessageException
 import org.slf4j.Logger
