--- a/src/main/kotlin/org/chalkhollow/Main.kt
+++ b/src/main/kotlin/org/chalkhollow/Main.kt
@@ -19,6 +19,7 @@
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.OperatorSettingsParser
 import org.chalkhollow.settings.PlatformSettings
+import org.chalkhollow.settings.PlatformSettingsParser
 import java.lang.management.ManagementFactory
 import java.nio.file.Path
 import kotlin.system.exitProcess
@@ -53,7 +54,7 @@
         val path = config ?: throw CliktError("missing option --config", statusCode = BAD_SETTINGS)
         val (platform, own) =
             try {
-                PlatformSettings.load(Path.of(path)) to
+                PlatformSettingsParser.load(Path.of(path)) to
                     (operator?.let { OperatorSettingsParser.load(Path.of(it)) } ?: OperatorSettings())
             } catch (e: InvalidSettingsException) {
                 throw CliktError(e.message, statusCode = BAD_SETTINGS)
--- a/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
@@ -9,6 +9,7 @@
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
+import org.chalkhollow.settings.PlatformSettingsParser
 import org.chalkhollow.wire.Pack
 import java.net.InetAddress
 import java.net.ServerSocket
@@ -23,7 +24,7 @@
 
     fun run() {
         val ports = List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
-        val settings = PlatformSettings.parse(settings(ports[0], ports[1]), "warm-up")
+        val settings = PlatformSettingsParser.parse(settings(ports[0], ports[1]), "warm-up")
         runBlocking {
             val warmUp = WarmUpSimulation(settings)
             repeat(ROUNDS) { warmUp.step() }
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
@@ -7,25 +7,25 @@
 data class OperatorSettings(
     /** Machines that a placement looks at first. */
     val sampleSize: Int = 64,
-    /** How long a renewal of the leadership lease is good for. */
+    /** How long a renewal of the leader lease is good for. */
     val leaderLeaseMs: Long = 1500,
-    /** How often the leadership lease is renewed. */
+    /** How often the leader lease is renewed. */
     val leaderRenewMs: Long = 350,
-    /** How long a peer's promise not to stand for leadership lasts. */
+    /** How long a follower lease lasts, for which a peer does not campaign. */
     val followerLeaseMs: Long = 1400,
-    /** How long a leader may go on through an outage of the state service on the strength of promises alone. */
+    /** How long a leader may go on through an outage of the state service on follower leases alone. */
     val outageLimitMs: Long = 120_000,
-    /** How long a rented machine may idle before it is returned; dearer ones go sooner. */
+    /** How long a rented machine may idle before it is scaled in; dearer ones go sooner. */
     val idleReturnS: Double = 35.0,
     /** What idle rented machines may cost, as a share of what the operator's own machines cost. */
     val standbyShare: Double = 1.0,
-    /** Room left free for classes whose users wait for starts, in multiples of the mean size of their jobs. */
+    /** Headroom left free for classes whose users wait for starts, in multiples of the mean size of their jobs. */
     val urgentReserve: Double = 1.0,
-    /** How long work may be passed over for other work before it is owed a share of the machines. */
+    /** How long a job may be passed over for others before starvation prevention gives it credit. */
     val patienceS: Double = 200.0,
-    /** That share, of all CPUs. */
+    /** What that credit gives it, as a share of all CPUs. */
     val patienceShare: Double = 0.15,
-    /** Idle rented machines that are kept for work to come. */
+    /** Idle rented machines that are kept for jobs to come. */
     val spareMachines: Int = 0,
     /** Most machines at once; 0: as many as the teams' limits can use. */
     val maxMachines: Int = 0,
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorSettingsParser.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorSettingsParser.kt
@@ -15,69 +15,103 @@
  * build needs no protoc; a field unknown to it is an error with its line and column.
  */
 object OperatorSettingsParser {
-    private class Field(val name: String, val type: FieldDescriptorProto.Type, val least: Double, val most: Double)
+    private const val MESSAGE = "OperatorSettings"
+    private const val MAX_LEASE_MS = 600_000.0
+    private const val MIN_LEASE_MS = 500.0
+    private const val MIN_RENEWAL_MS = 100.0
+    private const val MAX_RENEWAL_MS = 100_000.0
+    private const val MAX_OUTAGE_MS = 3_600_000.0
+    private const val MAX_SAMPLE = 100_000.0
+    private const val MAX_IDLE_S = 86_400.0
+    private const val MAX_MULTIPLE = 100.0
+    private const val MAX_PATIENCE_S = 1e6
+    private const val MAX_SPARE = 10_000.0
+    private const val MAX_MACHINES = 1e6
+
+    /** A field of the schema, whose number is its position, and the values that it may have. */
+    private class Field(val name: String, val type: FieldDescriptorProto.Type, val min: Double, val max: Double)
 
     private val INT = FieldDescriptorProto.Type.TYPE_INT64
     private val NUMBER = FieldDescriptorProto.Type.TYPE_DOUBLE
 
     private val fields =
         listOf(
-            Field("sample_size", INT, 1.0, 100_000.0),
-            Field("leader_lease_ms", INT, 500.0, 600_000.0),
-            Field("leader_renew_ms", INT, 100.0, 100_000.0),
-            Field("promise_ms", INT, 500.0, 600_000.0),
-            Field("outage_limit_ms", INT, 0.0, 3_600_000.0),
-            Field("idle_return_s", NUMBER, 1.0, 86_400.0),
-            Field("standby_share", NUMBER, 0.0, 100.0),
-            Field("urgent_reserve", NUMBER, 0.0, 100.0),
-            Field("patience_s", NUMBER, 1.0, 1e6),
+            Field("sample_size", INT, 1.0, MAX_SAMPLE),
+            Field("leader_lease_ms", INT, MIN_LEASE_MS, MAX_LEASE_MS),
+            Field("leader_renew_ms", INT, MIN_RENEWAL_MS, MAX_RENEWAL_MS),
+            Field("promise_ms", INT, MIN_LEASE_MS, MAX_LEASE_MS),
+            Field("outage_limit_ms", INT, 0.0, MAX_OUTAGE_MS),
+            Field("idle_return_s", NUMBER, 1.0, MAX_IDLE_S),
+            Field("standby_share", NUMBER, 0.0, MAX_MULTIPLE),
+            Field("urgent_reserve", NUMBER, 0.0, MAX_MULTIPLE),
+            Field("patience_s", NUMBER, 1.0, MAX_PATIENCE_S),
             Field("patience_share", NUMBER, 0.0, 1.0),
-            Field("spare_machines", INT, 0.0, 10_000.0),
-            Field("max_machines", INT, 0.0, 1e6),
+            Field("spare_machines", INT, 0.0, MAX_SPARE),
+            Field("max_machines", INT, 0.0, MAX_MACHINES),
         )
 
+    /** Reads and checks the file at [path]; throws [InvalidSettingsException]. */
     fun load(path: Path): OperatorSettings {
         val text =
             try {
                 Files.readString(path)
             } catch (e: IOException) {
-                throw InvalidSettingsException("$path: cannot be read")
+                throw InvalidSettingsException("$path: cannot be read", e)
             }
         return parse(text, path.toString())
     }
 
+    /** Parses and checks [text], which errors call [source]; throws [InvalidSettingsException]. */
     fun parse(text: String, source: String): OperatorSettings {
-        val builder = DynamicMessage.newBuilder(schema())
+        val message = Message(DynamicMessage.newBuilder(schema()), source)
         try {
-            TextFormat.getParser().merge(text, builder)
+            TextFormat.getParser().merge(text, message.builder)
         } catch (e: TextFormat.ParseException) {
-            throw InvalidSettingsException("$source: line ${e.line}, column ${e.column}: ${oneLine(e)}")
+            throw InvalidSettingsException("$source: line ${e.line}, column ${e.column}: ${oneLine(e)}", e)
         }
-        val d = OperatorSettings()
-
-        fun <T> read(name: String, default: T, convert: (Number) -> T): T =
-            value(builder, name, source)?.let(convert) ?: default
-        val s =
-            OperatorSettings(
-                sampleSize = read("sample_size", d.sampleSize) { it.toInt() },
-                leaderLeaseMs = read("leader_lease_ms", d.leaderLeaseMs) { it.toLong() },
-                leaderRenewMs = read("leader_renew_ms", d.leaderRenewMs) { it.toLong() },
-                followerLeaseMs = read("promise_ms", d.followerLeaseMs) { it.toLong() },
-                outageLimitMs = read("outage_limit_ms", d.outageLimitMs) { it.toLong() },
-                idleReturnS = read("idle_return_s", d.idleReturnS) { it.toDouble() },
-                standbyShare = read("standby_share", d.standbyShare) { it.toDouble() },
-                urgentReserve = read("urgent_reserve", d.urgentReserve) { it.toDouble() },
-                patienceS = read("patience_s", d.patienceS) { it.toDouble() },
-                patienceShare = read("patience_share", d.patienceShare) { it.toDouble() },
-                spareMachines = read("spare_machines", d.spareMachines) { it.toInt() },
-                maxMachines = read("max_machines", d.maxMachines) { it.toInt() },
-            )
-        if (s.leaderRenewMs * 2 >
-            s.leaderLeaseMs
-        ) {
+        val settings = settings(message)
+        if (settings.leaderRenewMs * 2 > settings.leaderLeaseMs) {
             throw InvalidSettingsException("$source: field leader_renew_ms must be at most half of leader_lease_ms")
         }
-        return s
+        return settings
+    }
+
+    private fun settings(message: Message): OperatorSettings {
+        val defaults = OperatorSettings()
+        return OperatorSettings(
+            sampleSize = message.int("sample_size", defaults.sampleSize),
+            leaderLeaseMs = message.long("leader_lease_ms", defaults.leaderLeaseMs),
+            leaderRenewMs = message.long("leader_renew_ms", defaults.leaderRenewMs),
+            followerLeaseMs = message.long("promise_ms", defaults.followerLeaseMs),
+            outageLimitMs = message.long("outage_limit_ms", defaults.outageLimitMs),
+            idleReturnS = message.number("idle_return_s", defaults.idleReturnS),
+            standbyShare = message.number("standby_share", defaults.standbyShare),
+            urgentReserve = message.number("urgent_reserve", defaults.urgentReserve),
+            patienceS = message.number("patience_s", defaults.patienceS),
+            patienceShare = message.number("patience_share", defaults.patienceShare),
+            spareMachines = message.int("spare_machines", defaults.spareMachines),
+            maxMachines = message.int("max_machines", defaults.maxMachines),
+        )
+    }
+
+    /** The fields of a message that was read from [source], each within its range. */
+    private class Message(val builder: DynamicMessage.Builder, private val source: String) {
+        fun int(name: String, default: Int): Int = value(name)?.toInt() ?: default
+
+        fun long(name: String, default: Long): Long = value(name)?.toLong() ?: default
+
+        fun number(name: String, default: Double): Double = value(name)?.toDouble() ?: default
+
+        private fun value(name: String): Number? {
+            val descriptor = builder.descriptorForType.findFieldByName(name)
+            if (!builder.hasField(descriptor)) return null
+            val number = builder.getField(descriptor) as Number
+            val field = fields.first { it.name == name }
+            if (number.toDouble() < field.min || number.toDouble() > field.max) {
+                throw InvalidSettingsException("$source: field $name is out of range (${field.min} to ${field.max})")
+            }
+            return number
+        }
     }
 
     private fun oneLine(e: TextFormat.ParseException): String =
@@ -87,40 +121,20 @@
             .lines()
             .joinToString(" ") { it.trim() }
 
-    private fun value(message: DynamicMessage.Builder, name: String, source: String): Number? {
-        val field = message.descriptorForType.findFieldByName(name)
-        if (!message.hasField(field)) return null
-        val number = message.getField(field) as Number
-        val rule = fields.first { it.name == name }
-        if (number.toDouble() < rule.least || number.toDouble() > rule.most) {
-            throw InvalidSettingsException("$source: field $name is out of range (${rule.least} to ${rule.most})")
-        }
-        return number
-    }
-
     private fun schema(): Descriptors.Descriptor {
-        val message = DescriptorProto.newBuilder().setName("OperatorSettings")
-        fields.forEachIndexed { i, f ->
-            message.addField(
-                FieldDescriptorProto
-                    .newBuilder()
-                    .setName(f.name)
-                    .setNumber(i + 1)
-                    .setType(f.type)
-                    .setLabel(FieldDescriptorProto.Label.LABEL_OPTIONAL),
-            )
-        }
-        val file =
-            FileDescriptorProto
-                .newBuilder()
-                .setName(
-                    "operator.proto",
-                ).setSyntax("proto2")
-                .addMessageType(message)
+        val message = DescriptorProto.newBuilder().setName(MESSAGE)
+        fields.forEachIndexed { i, field -> message.addField(descriptor(field, i + 1)) }
+        val file = FileDescriptorProto.newBuilder().setName("operator.proto").setSyntax("proto2")
         return Descriptors.FileDescriptor
-            .buildFrom(
-                file.build(),
-                emptyArray(),
-            ).findMessageTypeByName("OperatorSettings")
+            .buildFrom(file.addMessageType(message).build(), emptyArray())
+            .findMessageTypeByName(MESSAGE)
     }
+
+    private fun descriptor(field: Field, number: Int): FieldDescriptorProto.Builder =
+        FieldDescriptorProto
+            .newBuilder()
+            .setName(field.name)
+            .setNumber(number)
+            .setType(field.type)
+            .setLabel(FieldDescriptorProto.Label.LABEL_OPTIONAL)
 }
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -16,7 +16,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Team
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.settings.PlatformSettings
+import org.chalkhollow.settings.PlatformSettingsParser
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.model.KeyValuePage
 import org.chalkhollow.model.WorkerHeartbeat
@@ -286,7 +286,7 @@
     /** A late answer must not be a leader's when this is none any more. */
     @Test
     fun `what a leader decided before it stood still is not said afterwards`() {
-        val settings = PlatformSettings.parse(
+        val settings = PlatformSettingsParser.parse(
             """{"label":"a","location":"z","client_listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
               "seeds":[{"label":"b","location":"z","endpoint":"127.0.0.1:3"},{"label":"c","location":"z","endpoint":"127.0.0.1:4"}],
               "external":{"cloud":"127.0.0.1:5","state":"127.0.0.1:6"},
--- a/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
@@ -20,11 +20,13 @@
     """
 
     private fun complaint(text: String): String =
-        assertThrows(InvalidSettingsException::class.java) { PlatformSettings.parse(text, "s.json") }.message.orEmpty()
+        assertThrows(
+            InvalidSettingsException::class.java,
+        ) { PlatformSettingsParser.parse(text, "s.json") }.message.orEmpty()
 
     @Test
     fun `the platform's settings are read and unknown fields ignored`() {
-        val s = PlatformSettings.parse(good, "s.json")
+        val s = PlatformSettingsParser.parse(good, "s.json")
         assertEquals(8192, s.stateLimits.valueBytes)
         assertEquals(Address("127.0.0.1", 3), s.peers.single().address)
     }
@@ -46,7 +48,7 @@
         val now = StateLimits(80.0, 20.0, 8192, 12)
 
         fun limits(json: String) =
-            PlatformSettings
+            PlatformSettingsParser
                 .parse(next(json), "s.json")
                 .also {
                     assertEquals(now, it.stateLimitsNow)
@@ -58,7 +60,7 @@
         )
         assertEquals(now.copy(valueBytes = 1536), limits("""{"value_kb":1.5}"""))
         for (none in listOf("{}", "null", """{"rps":null}""")) assertEquals(now, limits(none))
-        assertEquals(now, PlatformSettings.parse(good, "s.json").stateLimits)
+        assertEquals(now, PlatformSettingsParser.parse(good, "s.json").stateLimits)
     }
 
     @Test
