--- a/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
@@ -5,46 +5,63 @@
 import io.ktor.utils.io.readInt
 
 /**
- * Told of what came from other controllers and was dropped; [peer] is null before the connection has said whose it is.
+ * Hears of frames of other controllers that were dropped; `peer` is the label, or null before the connection has said
+ * whose it is.
  */
 interface DroppedFrameListener {
-    fun malformed(peer: String?, why: String)
+    /** A frame that could not be read, and why. */
+    fun onMalformed(peer: String?, reason: String)
 
-    fun newer(peer: String?, kind: String)
+    /** A frame of a [kind] that this version does not know. */
+    fun onUnknownKind(peer: String?, kind: String)
 }
 
-/** Reads what one connection from another controller brings. */
+/** Hears of the messages of other controllers, which are named by their index in the settings. */
+interface PeerMessageListener {
+    /** The first message on a connection. */
+    fun onHello(peer: Int, hello: PeerMessage.Hello)
+
+    /** Any later message. */
+    fun onMessage(peer: Int, message: PeerMessage)
+}
+
+/** Reads the frames of connections that controllers with these [labels] have opened. */
 class PeerListener(
     private val labels: List<String>,
     private val dropped: DroppedFrameListener,
-    private val greeted: (Int, PeerMessage.Hello) -> Unit = { _, _ -> },
-    private val receive: (Int, PeerMessage) -> Unit,
+    private val listener: PeerMessageListener,
 ) {
     /**
-     * Reads frames until the connection ends or cannot be read any further: where a frame's end is not known, or nobody
-     * that we know is calling. A frame that is malformed or of a newer version's kind is dropped, and the next one is
-     * read.
+     * Reads frames until the connection ends or cannot be read any further: where a frame's end is not known, or the
+     * caller is not known. A frame that is malformed or of a newer version's kind is dropped, and the next one is read.
+     * Throws what the channel throws, `EOFException` at its end.
      */
     suspend fun readFrames(input: ByteReadChannel) {
-        var peer = -1
+        var peer = UNKNOWN
         while (true) {
             val size = input.readInt()
-            if (size !in 1..Frames.MAX) return dropped.malformed(labels.getOrNull(peer), "a frame of $size bytes")
-            when (val frame = Frames.read(input.readByteArray(size))) {
-                is Frame.Malformed -> dropped.malformed(labels.getOrNull(peer), frame.why)
-                is Frame.Newer -> dropped.newer(labels.getOrNull(peer), frame.kind)
-                is Frame.Known -> {
-                    val message = frame.message
-                    if (message is PeerMessage.Hello) {
-                        peer = labels.indexOf(message.label)
-                        if (peer >= 0) greeted(peer, message)
-                    } else if (peer >= 0) {
-                        receive(peer, message)
-                    } else {
-                        return dropped.malformed(null, "a message from nobody that is known")
-                    }
-                }
+            if (size !in 1..Frames.MAX_BYTES) return dropped.onMalformed(label(peer), "a frame of $size bytes")
+            val frame = Frames.read(input.readByteArray(size))
+            when {
+                frame is Frame.Malformed -> dropped.onMalformed(label(peer), frame.reason)
+                frame is Frame.UnknownKind -> dropped.onUnknownKind(label(peer), frame.kind)
+                frame is Frame.Known && frame.message is PeerMessage.Hello -> peer = greet(frame.message)
+                frame is Frame.Known && peer != UNKNOWN -> listener.onMessage(peer, frame.message)
+                else -> return dropped.onMalformed(null, "a message of an unknown controller")
             }
         }
     }
+
+    /** The index of the caller; [UNKNOWN] when the settings do not name it. */
+    private fun greet(hello: PeerMessage.Hello): Int {
+        val peer = labels.indexOf(hello.label)
+        if (peer != UNKNOWN) listener.onHello(peer, hello)
+        return peer
+    }
+
+    private fun label(peer: Int): String? = labels.getOrNull(peer)
+
+    private companion object {
+        const val UNKNOWN = -1
+    }
 }
--- a/src/main/kotlin/org/chalkhollow/peer/PeerMessage.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerMessage.kt
@@ -3,18 +3,21 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What controllers say to each other; every message is one CBOR frame. */
+/**
+ * The messages between controllers; each is one CBOR frame. The serial names are those of the first version and stay,
+ * since controllers of different versions talk to each other; see docs/compatibility.md.
+ */
 @Serializable
 sealed interface PeerMessage {
     /**
-     * The first frame on a connection: who is calling, which life of it, and which [VERSION]; 0 are those that did not
-     * tell.
+     * The first frame on a connection: the caller's label, its incarnation and its [VERSION], which is 0 for versions
+     * that did not send one.
      */
     @Serializable
     @SerialName("hello")
     data class Hello(val label: String, val incarnation: Long, val version: Int = 0) : PeerMessage
 
-    /** The leader of [fencingToken] asks for a promise not to stand against it for a while; also its heartbeat. */
+    /** The leader of [fencingToken] asks for a follower lease; also its heartbeat. */
     @Serializable
     @SerialName("promise?")
     data class FollowerLeaseRequest(
@@ -25,7 +28,7 @@
 
     /**
      * The answer to [FollowerLeaseRequest]; [stateServed] says whether the state service has lately served this peer,
-     * [heartbeats] how many workers' reports have lately come to it, [prepared] whether it has read all that a new
+     * [heartbeats] how many workers' heartbeats have lately come to it, [prepared] whether it has read all that a new
      * leader has to know.
      */
     @Serializable
@@ -39,7 +42,7 @@
         val prepared: Boolean = false,
     ) : PeerMessage
 
-    /** The leader of [fencingToken] gives it up: promises made to it bind no longer. */
+    /** The leader of [fencingToken] steps down: follower leases granted to it end. */
     @Serializable
     @SerialName("release")
     data class LeadershipRelease(
@@ -55,6 +58,7 @@
         val seq: Long,
     ) : PeerMessage
 
+    /** The answer to the [VoteRequest] numbered [seq]. */
     @Serializable
     @SerialName("vote")
     data class VoteResponse(
@@ -63,7 +67,7 @@
         val granted: Boolean,
     ) : PeerMessage
 
-    /** A user's request passed on to the leader. */
+    /** A user's request that a follower passes on to the leader. */
     @Serializable
     @SerialName("forward")
     class ForwardedRequest(val seq: Long, val kind: Int, val jobId: String, val body: ByteArray) : PeerMessage
@@ -74,7 +78,7 @@
     class ForwardedResponse(val seq: Long, val status: Int, val body: ByteArray, val retryAfterS: Int) : PeerMessage
 
     companion object {
-        /** Raised when what controllers write or say changes; see docs/compatibility.md. */
+        /** Raised when stored records or messages between controllers change; see docs/compatibility.md. */
         const val VERSION = 1
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -53,7 +53,7 @@
     private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
     private val workerLinks: WorkerHttpClients =
         WorkerHttpClients(loop, settings.maxConnections - spareSockets) { server.connected }
-    private val workers = WorkerClient(workerLinks::to, replies)
+    private val workers = WorkerClient(workerLinks, replies)
     private val peerConnections =
         PeerConnections(
             scope,
@@ -72,7 +72,7 @@
             maxOf(MIN_CONNECTIONS, settings.maxConnections * 8 / 10 - spareSockets),
             { steady() },
             object : HttpServer.Events {
-                override fun beforeAccept() = workerLinks.trim(1)
+                override fun beforeAccept() = workerLinks.makeRoom(1)
 
                 override fun newHandler() = RequestRouter(clients)
 
--- a/src/main/kotlin/org/chalkhollow/runtime/DroppedFrameLogger.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/DroppedFrameLogger.kt
@@ -8,41 +8,34 @@
  * Counts the frames of other controllers that were dropped, and logs some: malformed ones a few times a minute at most,
  * and each kind of a newer version once.
  */
-@Suppress("UnstableApiUsage")
+@Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
 internal class DroppedFrameLogger(private val log: Logger, private val metrics: Metrics) : DroppedFrameListener {
-    private val limiter = RateLimiter.create(PER_S)
-    private val kinds = HashSet<String>()
+    private val limiter = RateLimiter.create(MAX_WARNINGS_PER_S)
+    private val loggedKinds = HashSet<String>()
 
-    override fun malformed(peer: String?, why: String) {
+    override fun onMalformed(peer: String?, reason: String) {
         metrics.malformedFrame()
         if (limiter.tryAcquire()) {
-            log.warn(
-                "a frame from {} is malformed and was dropped: {}",
-                peer ?: "an unknown controller",
-                plain(why),
-            )
+            log.warn("dropped a malformed frame from {}: {}", peer ?: UNKNOWN_PEER, printable(reason))
         }
     }
 
-    override fun newer(peer: String?, kind: String) {
+    override fun onUnknownKind(peer: String?, kind: String) {
         metrics.newerFrame()
-        val name = plain(kind)
-        if (kinds.size < MAX_KINDS && kinds.add(name)) {
-            log.warn(
-                "{} sent a message of the unknown kind \"{}\", which a newer version may know; such messages are skipped",
-                peer ?: "an unknown controller",
-                name,
-            )
+        val name = printable(kind)
+        if (loggedKinds.size < MAX_KINDS && loggedKinds.add(name)) {
+            log.warn("skipping messages of the unknown kind \"{}\" from {}", name, peer ?: UNKNOWN_PEER)
         }
     }
 
-    /** On one line, and short. */
-    private fun plain(text: String): String =
+    /** [text], which another process chose, on one line and short. */
+    private fun printable(text: String): String =
         text.take(MAX_CHARS).map { if (it.isISOControl()) ' ' else it }.joinToString("")
 
     private companion object {
-        const val PER_S = 0.2
+        const val MAX_WARNINGS_PER_S = 0.2
         const val MAX_KINDS = 16
         const val MAX_CHARS = 120
+        const val UNKNOWN_PEER = "an unknown controller"
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerClient.kt
@@ -0,0 +1,36 @@
+package org.chalkhollow.runtime
+
+import org.chalkhollow.core.common.CommandReply
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.model.HttpStatus
+import org.chalkhollow.wire.Pack
+import org.chalkhollow.wire.WorkerCodec
+
+/** Direct commands to workers, over one kept connection each for as many workers as [clients] holds. */
+class WorkerClient(private val clients: WorkerHttpClients, private val decoder: ResponseDecoder) {
+    /** Sends the commands of [effect]; [onReply] is called once, possibly before this returns. */
+    fun run(effect: Effect.WorkerCommand, onReply: (CommandReply) -> Unit) {
+        val http = clients.clientOf(effect.address) ?: return onReply(CommandReply.NotSent)
+        val body = Pack.encode(WorkerCodec.direct(effect.fencingToken, effect.epoch, effect.commands))
+        http.request("POST", "/orders", body, TIMEOUT_MS) { onReply(reply(it)) }
+    }
+
+    private fun reply(result: HttpResult): CommandReply =
+        when (result) {
+            HttpResult.NotSent -> CommandReply.NotSent
+            HttpResult.NoResponse -> CommandReply.NoResponse
+            is HttpResult.Answered -> decoder.decode(ifMalformed = CommandReply.NoResponse) { decode(result) }
+        }
+
+    private fun decode(result: HttpResult.Answered): CommandReply =
+        when (result.status) {
+            HttpStatus.OK -> CommandReply.Executed(WorkerCodec.heartbeat(result.body))
+            HttpStatus.CONFLICT -> CommandReply.Refused(WorkerCodec.heartbeat(result.body))
+            HttpStatus.BAD_REQUEST -> CommandReply.NotSent
+            else -> CommandReply.NoResponse
+        }
+
+    private companion object {
+        const val TIMEOUT_MS = 3000L
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
@@ -3,33 +3,40 @@
 import org.chalkhollow.settings.Address
 
 /**
- * Kept connections for direct commands, one a worker. At the largest sizes there are fewer sockets than two a worker,
- * so these give way: whenever the process holds more than [most], those that were used longest ago are closed. [others]
- * counts the sockets held for everything else, which are the ones that nobody can do without.
+ * One [HttpClient] with one kept connection for each worker that direct commands go to. At the largest sizes there are
+ * fewer sockets than two a worker, so these are the ones to close: whenever the process holds more than [maxSockets],
+ * the least recently used are closed. [otherSockets] counts the sockets held for everything else, which are the ones
+ * that nobody can do without.
  */
-class WorkerHttpClients(private val loop: EventLoop, private val most: Int, private val others: () -> Int) {
-    private val links = LinkedHashMap<String, HttpClient>(16, 0.75f, true)
+class WorkerHttpClients(private val loop: EventLoop, private val maxSockets: Int, private val otherSockets: () -> Int) {
+    /** By address, least recently used first. */
+    private val clients = LinkedHashMap<String, HttpClient>(INITIAL_CAPACITY, LOAD_FACTOR, true)
 
-    /** The link to a worker; null for what is no address. */
-    fun to(address: String): HttpClient? {
-        links[address]?.let { return it }
+    /** The client of the worker at [address], which is `host:port`; null for what is no address. */
+    fun clientOf(address: String): HttpClient? {
+        clients[address]?.let { return it }
         val port = address.substringAfterLast(':', "").toIntOrNull() ?: return null
-        trim(1)
-        return HttpClient(loop, Address(address.substringBeforeLast(':'), port), WORKER_BODY, 1, TaskPriority.WORKER)
-            .also { links[address] = it }
+        makeRoom(1)
+        return HttpClient(loop, Address(address.substringBeforeLast(':'), port), MAX_BODY, 1, TaskPriority.WORKER)
+            .also { clients[address] = it }
     }
 
-    /** Closes the eldest until there is room for [more] sockets. */
-    fun trim(more: Int) {
-        var over = links.size + others() + more - most
-        val eldest = links.values.iterator()
-        while (over-- > 0 && eldest.hasNext()) {
-            eldest.next().close()
-            eldest.remove()
+    /** Closes the least recently used until there is room for [sockets] more. */
+    fun makeRoom(sockets: Int) {
+        val excess = clients.size + otherSockets() + sockets - maxSockets
+        val oldest = clients.values.iterator()
+        repeat(excess) {
+            if (!oldest.hasNext()) return
+            oldest.next().close()
+            oldest.remove()
         }
     }
 
     private companion object {
-        const val WORKER_BODY = 256 * 1024
+        const val MAX_BODY = 256 * 1024
+
+        // The defaults of LinkedHashMap, which has no constructor for access order without them.
+        const val INITIAL_CAPACITY = 16
+        const val LOAD_FACTOR = 0.75f
     }
 }
--- a/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
@@ -8,12 +8,12 @@
 import java.util.Arrays
 
 /**
- * Decodes the reports of one worker. Most repeat the one before but for their sequence number, and then only that is
- * decoded. While the bytes of the task list stay the same, the same [WorkerHeartbeat.tasks] instance is handed out
- * again.
+ * Decodes the heartbeats of one connection. Most repeat the one before but for their sequence number, and then only
+ * that is decoded. While the bytes of the task list stay the same, the same [WorkerHeartbeat.tasks] instance is handed
+ * out again.
  */
 class HeartbeatReader {
-    /** A report as it was read, and where in its bytes the sequence number and the tasks stand. */
+    /** A heartbeat as it was read, and where in its bytes the sequence number and the tasks are. */
     private class Known(
         val bytes: ByteArray,
         val heartbeat: WorkerHeartbeat,
@@ -23,6 +23,7 @@
 
     private var known: Known? = null
 
+    /** Decodes the heartbeat in [body], which must not change afterwards; throws [MalformedMessageException]. */
     fun read(body: ByteArray): WorkerHeartbeat {
         val before = known
         if (before != null && repeats(before, body)) {
@@ -31,7 +32,7 @@
         return readAll(body)
     }
 
-    /** Whether [body] differs from the report before in the value of its sequence number only. */
+    /** Whether [body] differs from the heartbeat before in the value of its sequence number only. */
     private fun repeats(before: Known, body: ByteArray): Boolean {
         val bytes = before.bytes
         val from = before.sequence.first
@@ -60,7 +61,7 @@
                 }
             }
         }
-        if (tasks.isEmpty()) throw MalformedMessageException("field $TASKS is missing or invalid")
+        if (tasks.isEmpty()) Fields.invalid(TASKS)
         val heartbeat = WorkerCodec.heartbeat(Fields(fields), tasks(body, tasks))
         known = if (body.size <= MAX_BYTES) Known(body, heartbeat, sequence, tasks) else null
         return heartbeat
@@ -75,7 +76,7 @@
         }
         val list =
             Pack.read(body, at.first, until - at.first) { it.take(1) } as? List<*>
-                ?: throw MalformedMessageException("field $TASKS is missing or invalid")
+                ?: Fields.invalid(TASKS)
         return list.map { WorkerCodec.task(Fields.of(it, TASKS)) }
     }
 
@@ -84,7 +85,7 @@
         const val SEQUENCE = "tally"
         const val FIELDS = 10
 
-        /** What is kept of a worker is bounded; longer reports are decoded each time. */
+        /** What is kept of a worker is bounded; longer heartbeats are decoded each time. */
         const val MAX_BYTES = 8192
 
         private fun MessageUnpacker.takeMapHeader(): Int {
--- a/src/main/kotlin/org/chalkhollow/wire/Pack.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/Pack.kt
@@ -6,39 +6,52 @@
 import org.msgpack.core.MessagePacker
 import org.msgpack.core.MessageUnpacker
 import org.msgpack.value.ValueType
+import java.io.IOException
 
-/** A message that does not keep to its protocol; [message] says where. */
-class MalformedMessageException(message: String) : Exception(message, null, false, false)
-
-/** MessagePack bodies as plain maps, lists, text, numbers, booleans and null. */
+/**
+ * MessagePack bodies as plain maps, lists, text, numbers, booleans and null.
+ *
+ * This package is the edge to the protocols of users, workers, the state service and the cloud. Their field names have
+ * themes of their own (`tenure`, `mandate`, `standby`); the codecs here translate them to the terms of `model` (epoch,
+ * fencing token, spot), once and in both directions. No other package spells the names of the protocol. The two
+ * exceptions are those of messages that other controllers and stored records keep, which stand as serial names at
+ * their types in `peer`, and as keys at the records in `core`.
+ */
 object Pack {
     private const val MAX_DEPTH = 16
 
+    // A header can claim any size; what is set aside for it in advance is bounded.
+    private const val MAX_LIST_RESERVE = 1024
+    private const val MAX_MAP_RESERVE = 64
+
+    /** Encodes a value made of maps keyed by text, lists, text, numbers, booleans and null. */
     fun encode(value: Any?): ByteArray {
         val packer = MessagePack.newDefaultBufferPacker()
         packer.put(value)
         return packer.toByteArray()
     }
 
-    /** Decodes exactly one value; anything else, or anything binary, is [MalformedMessageException]. */
+    /** Decodes exactly one value; throws [MalformedMessageException] for anything else, or anything binary. */
     fun decode(bytes: ByteArray): Any? = read(bytes, 0, bytes.size) { it.take(0) }
 
-    /** Reads exactly one value from part of [bytes] by [take]; what is wrong with it is [MalformedMessageException]. */
+    /** Decodes a body that must be a map keyed by text; throws [MalformedMessageException]. */
+    fun decodeMap(bytes: ByteArray): Fields = Fields.of(decode(bytes), "body")
+
+    /** Reads exactly one value from part of [bytes] by [take]; throws [MalformedMessageException]. */
     internal inline fun <T> read(bytes: ByteArray, from: Int, size: Int, take: (MessageUnpacker) -> T): T {
         try {
             val unpacker = MessagePack.newDefaultUnpacker(bytes, from, size)
-            val value = take(unpacker)
-            if (unpacker.hasNext()) throw MalformedMessageException("trailing bytes")
-            return value
+            return take(unpacker).also { requireEnd(unpacker) }
         } catch (e: MessagePackException) {
-            throw MalformedMessageException("not MessagePack")
-        } catch (e: java.io.IOException) {
-            throw MalformedMessageException("cut short")
+            throw MalformedMessageException("not MessagePack", e)
+        } catch (e: IOException) {
+            throw MalformedMessageException("cut short", e)
         }
     }
 
-    /** Decodes a body that must be a map keyed by text. */
-    fun decodeMap(bytes: ByteArray): Fields = Fields.of(decode(bytes), "body")
+    internal fun requireEnd(unpacker: MessageUnpacker) {
+        if (unpacker.hasNext()) throw MalformedMessageException("trailing bytes")
+    }
 
     private fun MessagePacker.put(value: Any?) {
         when (value) {
@@ -50,9 +63,9 @@
             is Double -> packDouble(value)
             is Map<*, *> -> {
                 packMapHeader(value.size)
-                for ((k, v) in value) {
-                    packString(k as String)
-                    put(v)
+                for ((key, item) in value) {
+                    packString(key as String)
+                    put(item)
                 }
             }
             is List<*> -> {
@@ -63,6 +76,7 @@
         }
     }
 
+    /** The next value, which is [depth] containers deep. */
     internal fun MessageUnpacker.take(depth: Int): Any? {
         if (depth > MAX_DEPTH) throw MalformedMessageException("nested too deeply")
         return when (nextFormat.valueType) {
@@ -74,29 +88,33 @@
             ValueType.INTEGER -> takeInteger()
             ValueType.FLOAT -> unpackDouble()
             ValueType.STRING -> unpackString()
-            ValueType.ARRAY -> {
-                val n = unpackArrayHeader()
-                val list = ArrayList<Any?>(minOf(n, 1024))
-                repeat(n) { list.add(take(depth + 1)) }
-                list
-            }
-            ValueType.MAP -> {
-                val n = unpackMapHeader()
-                val map = LinkedHashMap<String, Any?>(minOf(n, 64) * 2)
-                repeat(n) {
-                    val key = take(depth + 1) as? String ?: throw MalformedMessageException("a key is not text")
-                    map[key] = take(depth + 1)
-                }
-                map
-            }
+            ValueType.ARRAY -> takeList(depth)
+            ValueType.MAP -> takeMap(depth)
             else -> throw MalformedMessageException("binary data")
         }
     }
 
+    private fun MessageUnpacker.takeList(depth: Int): List<Any?> {
+        val size = unpackArrayHeader()
+        val list = ArrayList<Any?>(minOf(size, MAX_LIST_RESERVE))
+        repeat(size) { list.add(take(depth + 1)) }
+        return list
+    }
+
+    private fun MessageUnpacker.takeMap(depth: Int): Map<String, Any?> {
+        val size = unpackMapHeader()
+        val map = LinkedHashMap<String, Any?>(minOf(size, MAX_MAP_RESERVE) * 2)
+        repeat(size) {
+            val key = take(depth + 1) as? String ?: throw MalformedMessageException("a key is not text")
+            map[key] = take(depth + 1)
+        }
+        return map
+    }
+
+    /** The next integer. Counts up to 2^64 are legal; ours are far smaller, so any larger one becomes the largest. */
     internal fun MessageUnpacker.takeInteger(): Long {
         if (nextFormat != MessageFormat.UINT64) return unpackLong()
         val big = unpackBigInteger()
-        // Counts below 2^64 are legal; ours are far smaller, so a larger one is as good as the largest.
-        return if (big.bitLength() > 63) Long.MAX_VALUE else big.toLong()
+        return if (big.bitLength() >= Long.SIZE_BITS) Long.MAX_VALUE else big.toLong()
     }
 }
--- a/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
@@ -7,11 +7,19 @@
 import org.msgpack.core.MessagePack
 import org.msgpack.core.MessagePackException
 import org.msgpack.core.MessageUnpacker
+import java.io.IOException
 
-/** The users' side of the protocol: job descriptions in, job states out. */
+/**
+ * The users' side of the protocol: job descriptions in, job states out; jobs are stored in the same form. Functions
+ * that read a job throw [MalformedMessageException].
+ */
 object UserCodec {
     private const val MAX_TASKS = 100_000L
     private const val MAX_NAME = 200
+    private const val MAX_TYPES = 64
+    private const val ID_PREFIX = "j-"
+    private const val MIN_ID = 3
+    private const val MAX_ID = 64
 
     private val priorities =
         mapOf(
@@ -21,21 +29,22 @@
             "best_effort" to Priority.BEST_EFFORT,
         )
     private val shapes = mapOf("batch" to Shape.ARRAY, "group" to Shape.GANG, "service" to Shape.SERVICE)
-    private val shapeNames = shapes.entries.associate { (k, v) -> v to k }
-    private val priorityNames = priorities.entries.associate { (k, v) -> v to k }
+    private val shapeNames = shapes.entries.associate { (name, value) -> value to name }
+    private val priorityNames = priorities.entries.associate { (name, value) -> value to name }
 
     /** Whether [id] has the form that users' job ids always have. */
     fun validId(id: String): Boolean =
-        id.length in 3..64 && id.startsWith("j-") && (2 until id.length).all { id[it] in '0'..'9' }
+        id.length in MIN_ID..MAX_ID && id.startsWith(ID_PREFIX) &&
+            (ID_PREFIX.length until id.length).all { id[it] in '0'..'9' }
 
     /** Reads a submission, which must have every field; only `flavours`, `site` and `dueS` may be null or omitted. */
     fun job(bytes: ByteArray): JobSpec = read(Pack.decodeMap(bytes), stored = false)
 
     /**
-     * Reads a job that was written down by [map], also by earlier versions that took jobs without an image or an
+     * Reads a job that was stored in the form of [map], also by earlier versions that took jobs without an image or an
      * estimate.
      */
-    fun storedJob(f: Fields): JobSpec = read(f, stored = true)
+    fun storedJob(fields: Fields): JobSpec = read(fields, stored = true)
 
     /**
      * The job id in a submission that [job] cannot read, if it can still be read and has the right form: the body may
@@ -51,10 +60,10 @@
                 val value = unpacker.textOrSkip()
                 if (isId && value != null && validId(value)) id = value
             }
-        } catch (e: MessagePackException) {
-            // What was read before stands.
-        } catch (e: java.io.IOException) {
-            // The same.
+        } catch (expected: MessagePackException) {
+            // The body is known to be malformed; an id that was read before that place stands.
+        } catch (expected: IOException) {
+            // The body is cut short; the same holds.
         }
         return id
     }
@@ -65,38 +74,54 @@
         return null
     }
 
-    private fun read(f: Fields, stored: Boolean): JobSpec {
-        val id = f.text("nameId")
-        if (!validId(id)) throw MalformedMessageException("field nameId is missing or invalid")
-        val shape = shapes[f.text("shape")] ?: throw MalformedMessageException("field shape is missing or invalid")
-        val tasks = f.long("pieces")
-        if (tasks !in 1..MAX_TASKS) throw MalformedMessageException("field pieces is missing or invalid")
-        val types = if (f.has("flavours")) f.texts("flavours").onEach { short(it, "flavours") } else null
-        if (types != null && types.size > 64) throw MalformedMessageException("field flavours is missing or invalid")
+    private fun read(fields: Fields, stored: Boolean): JobSpec {
+        val id = fields.text("nameId")
+        if (!validId(id)) Fields.invalid("nameId")
+        val shape = shapes[fields.text("shape")] ?: Fields.invalid("shape")
+        val tasks = tasks(fields)
+        val types = types(fields)
         return JobSpec(
             id = id,
-            workload = short(f.text("workload"), "workload"),
-            team = short(f.text("owner"), "owner"),
+            workload = shortText(fields.text("workload"), "workload"),
+            team = shortText(fields.text("owner"), "owner"),
             shape = shape,
-            priority =
-                priorities[f.text("urgency")] ?: throw MalformedMessageException("field urgency is missing or invalid"),
-            tasks = tasks.toInt(),
-            taskResources = Resources(f.amount("vcpus"), f.amount("cards"), f.amount("memoryGb")),
-            image = if (stored && !f.has("bundle")) null else short(f.text("bundle"), "bundle"),
-            imageGb = if (stored && !f.has("pullGb")) 0.0 else f.amount("pullGb"),
+            priority = priorities[fields.text("urgency")] ?: Fields.invalid("urgency"),
+            tasks = tasks,
+            taskResources = Resources(fields.amount("vcpus"), fields.amount("cards"), fields.amount("memoryGb")),
+            image = image(fields, stored),
+            imageGb = if (stored && !fields.has("pullGb")) 0.0 else fields.amount("pullGb"),
             types = types,
-            zone = f.textOrNull("site")?.let { short(it, "site") },
-            together = f.flag("together"),
-            spread = f.flag("spread"),
-            spotAllowed = f.flag("standby"),
-            expectedS = if (stored && shape == Shape.SERVICE && !f.has("expectedS")) 0.0 else f.amount("expectedS"),
-            checkpointS = f.amount("snapshotS"),
-            saveS = f.amount("flushS"),
-            dueS = if (f.has("dueS")) f.amount("dueS") else null,
+            zone = fields.textOrNull("site")?.let { shortText(it, "site") },
+            together = fields.flag("together"),
+            spread = fields.flag("spread"),
+            spotAllowed = fields.flag("standby"),
+            expectedS = expectedS(fields, optional = stored && shape == Shape.SERVICE),
+            checkpointS = fields.amount("snapshotS"),
+            saveS = fields.amount("flushS"),
+            dueS = if (fields.has("dueS")) fields.amount("dueS") else null,
         )
     }
 
-    /** The same job as a map, in the form in which jobs are written down: fields that are null are left out. */
+    private fun tasks(fields: Fields): Int {
+        val tasks = fields.long("pieces")
+        if (tasks !in 1..MAX_TASKS) Fields.invalid("pieces")
+        return tasks.toInt()
+    }
+
+    private fun types(fields: Fields): List<String>? {
+        if (!fields.has("flavours")) return null
+        val types = fields.texts("flavours").onEach { shortText(it, "flavours") }
+        if (types.size > MAX_TYPES) Fields.invalid("flavours")
+        return types
+    }
+
+    private fun image(fields: Fields, stored: Boolean): String? =
+        if (stored && !fields.has("bundle")) null else shortText(fields.text("bundle"), "bundle")
+
+    private fun expectedS(fields: Fields, optional: Boolean): Double =
+        if (optional && !fields.has("expectedS")) 0.0 else fields.amount("expectedS")
+
+    /** The same job as a map, in the form in which jobs are stored: fields that are null are left out. */
     fun map(spec: JobSpec): Map<String, Any?> =
         mapOf(
             "nameId" to spec.id,
@@ -121,17 +146,15 @@
             "dueS" to spec.dueS,
         ).filterValues { it != null }
 
+    /** The answer to a submission or a cancellation. */
     fun status(id: String, state: String): Map<String, Any?> = mapOf("nameId" to id, "status" to state)
 
+    /** The answer to a query: how many tasks are done, and how many run. */
     fun progress(id: String, state: String, done: Int, running: Int): Map<String, Any?> =
         mapOf("nameId" to id, "status" to state, "done" to done, "running" to running)
 
-    private fun short(text: String, name: String): String {
-        if (text.isEmpty() ||
-            text.length > MAX_NAME
-        ) {
-            throw MalformedMessageException("field $name is missing or invalid")
-        }
+    private fun shortText(text: String, name: String): String {
+        if (text.isEmpty() || text.length > MAX_NAME) Fields.invalid(name)
         return text
     }
 }
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -5,7 +5,10 @@
 import org.chalkhollow.model.TaskStatus
 import org.chalkhollow.model.WorkerHeartbeat
 
-/** The workers' side of the protocol. */
+/**
+ * The workers' side of the protocol: heartbeats in, commands out. Functions that read a body throw
+ * [MalformedMessageException].
+ */
 object WorkerCodec {
     private val phases =
         mapOf(
@@ -28,60 +31,69 @@
         )
 
     fun heartbeat(bytes: ByteArray): WorkerHeartbeat {
-        val f = Pack.decodeMap(bytes)
-        return heartbeat(f, f.maps("pieces").map(::task))
+        val fields = Pack.decodeMap(bytes)
+        return heartbeat(fields, fields.maps("pieces").map(::task))
     }
 
-    internal fun heartbeat(f: Fields, tasks: List<TaskStatus>) =
+    internal fun heartbeat(fields: Fields, tasks: List<TaskStatus>) =
         WorkerHeartbeat(
-            machine = f.text("host"),
-            address = f.text("address"),
-            type = f.text("flavour"),
-            zone = f.text("site"),
-            spot = f.flag("standby"),
-            epoch = f.long("tenure"),
-            seq = f.long("tally"),
-            fencingToken = f.long("mandate"),
-            noticeS = f.numberOrNull("warningS"),
+            machine = fields.text("host"),
+            address = fields.text("address"),
+            type = fields.text("flavour"),
+            zone = fields.text("site"),
+            spot = fields.flag("standby"),
+            epoch = fields.long("tenure"),
+            seq = fields.long("tally"),
+            fencingToken = fields.long("mandate"),
+            noticeS = fields.numberOrNull("warningS"),
             tasks = tasks,
         )
 
-    internal fun task(f: Fields): TaskStatus {
-        val name = f.text("piece")
+    internal fun task(fields: Fields): TaskStatus {
+        val name = fields.text("piece")
         val slash = name.lastIndexOf('/')
         val index = if (slash > 0) name.substring(slash + 1).toIntOrNull() ?: -1 else -1
-        if (index < 0) throw MalformedMessageException("field piece is missing or invalid")
-        val phase = phases[f.text("status")] ?: throw MalformedMessageException("field status is missing or invalid")
+        if (index < 0) Fields.invalid("piece")
+        val phase = phases[fields.text("status")] ?: Fields.invalid("status")
         return TaskStatus(
             jobId = name.substring(0, slash),
             index = index,
-            attempt = f.long("try"),
+            attempt = fields.long("try"),
             phase = phase,
-            cause = if (phase == TaskStatus.Phase.EXITED) causes[f.textOrNull("cause")] ?: ExitCause.ERROR else null,
+            cause =
+                if (phase ==
+                    TaskStatus.Phase.EXITED
+                ) {
+                    causes[fields.textOrNull("cause")] ?: ExitCause.ERROR
+                } else {
+                    null
+                },
         )
     }
 
+    /** The answer to a heartbeat. */
     fun commands(fencingToken: Long, commands: List<Command>): Map<String, Any?> =
         mapOf("mandate" to fencingToken, "orders" to commands.map(::order))
 
-    /** The body of a direct command; it runs only while token and session match. */
+    /** The body of a direct command; it runs only while fencing token and epoch match. */
     fun direct(fencingToken: Long, epoch: Long, commands: List<Command>): Map<String, Any?> =
         mapOf("mandate" to fencingToken, "tenure" to epoch, "orders" to commands.map(::order))
 
+    /** The answer to a heartbeat that came to a follower: the leader's [label]. */
     fun redirect(label: String): Map<String, Any?> = mapOf("overseer" to label)
 
-    private fun order(c: Command): Map<String, Any?> {
+    private fun order(command: Command): Map<String, Any?> {
         val verb =
-            when (c) {
+            when (command) {
                 is Command.Start -> "start"
                 is Command.Stop -> "kill"
                 is Command.Forget -> "forget"
             }
         val map = LinkedHashMap<String, Any?>()
         map["verb"] = verb
-        map["piece"] = c.jobId + "/" + c.index
-        map["try"] = c.attempt
-        if (c is Command.Stop) map["windDownS"] = c.graceS
+        map["piece"] = command.jobId + "/" + command.index
+        map["try"] = command.attempt
+        if (command is Command.Stop) map["windDownS"] = command.graceS
         return map
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -209,9 +209,9 @@
     @Test
     fun `a reply that cannot be read counts as none, and is counted`() {
         val metrics = Metrics()
-        val replies = ResponseDecoder { metrics.malformedReply() }
-        assertEquals(1, replies.read(ifMalformed = 0) { 1 })
-        assertEquals(0, replies.read(ifMalformed = 0) { throw MalformedMessageException("junk") })
+        val decoder = ResponseDecoder { metrics.malformedReply() }
+        assertEquals(1, decoder.decode(ifMalformed = 0) { 1 })
+        assertEquals(0, decoder.decode(ifMalformed = 0) { throw MalformedMessageException("junk") })
         assertTrue("chalkhollow_replies_malformed_total 1.0" in lines(metrics, emptyMap()))
     }
 
--- a/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
@@ -28,19 +28,30 @@
 
     private class Dropped : DroppedFrameListener {
         val malformed = ArrayList<String?>()
-        val newer = ArrayList<String>()
+        val unknownKinds = ArrayList<String>()
 
-        override fun malformed(peer: String?, why: String) {
+        override fun onMalformed(peer: String?, reason: String) {
             malformed.add(peer)
         }
 
-        override fun newer(peer: String?, kind: String) {
-            newer.add("$peer $kind")
+        override fun onUnknownKind(peer: String?, kind: String) {
+            unknownKinds.add("$peer $kind")
         }
     }
 
     private val dropped = Dropped()
+    private val hellos = ArrayList<Pair<Int, PeerMessage.Hello>>()
     private val heard = ArrayList<Pair<Int, PeerMessage>>()
+    private val listener =
+        object : PeerMessageListener {
+            override fun onHello(peer: Int, hello: PeerMessage.Hello) {
+                hellos.add(peer to hello)
+            }
+
+            override fun onMessage(peer: Int, message: PeerMessage) {
+                heard.add(peer to message)
+            }
+        }
 
     @OptIn(ExperimentalSerializationApi::class)
     private fun later(message: Later) = Cbor.encodeToByteArray(Later.serializer(), message)
@@ -49,11 +60,8 @@
         val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(sizes(f)).array() + f }
         runBlocking {
             try {
-                PeerListener(
-                    listOf("a", "b"),
-                    dropped,
-                ) { peer, m -> heard.add(peer to m) }.readFrames(ByteReadChannel(bytes))
-            } catch (e: EOFException) {
+                PeerListener(listOf("a", "b"), dropped, listener).readFrames(ByteReadChannel(bytes))
+            } catch (expected: EOFException) {
                 // The connection ended.
             }
         }
@@ -67,7 +75,7 @@
     fun `a frame of a newer kind is skipped, told, and ends nothing`() {
         receive(hello, later(Later.Gossip(listOf("x", "y"), mapOf("z" to 1L))), release)
         assertEquals(expected, heard.toList<Any>())
-        assertEquals(listOf("b gossip"), dropped.newer)
+        assertEquals(listOf("b gossip"), dropped.unknownKinds)
         assertEquals(emptyList<String?>(), dropped.malformed)
     }
 
@@ -75,12 +83,11 @@
     fun `a newer version's additional fields are ignored`() {
         receive(hello, later(Later.Release(7, "tired")))
         assertEquals(expected, heard.toList<Any>())
-        assertEquals(0, dropped.newer.size + dropped.malformed.size)
+        assertEquals(0, dropped.unknownKinds.size + dropped.malformed.size)
     }
 
     @Test
     fun `a greeting tells the version, which is 0 for those that did not know of it`() {
-        val greetings = ArrayList<Pair<Int, Int>>()
         val frames =
             listOf(
                 PeerMessage.Hello("b", 1),
@@ -90,16 +97,12 @@
         val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(f.size).array() + f }
         runBlocking {
             try {
-                PeerListener(
-                    listOf("a", "b"),
-                    dropped,
-                    { peer, h -> greetings.add(peer to h.version) },
-                ) { _, _ -> }.readFrames(ByteReadChannel(bytes))
-            } catch (e: EOFException) {
+                PeerListener(listOf("a", "b"), dropped, listener).readFrames(ByteReadChannel(bytes))
+            } catch (expected: EOFException) {
                 // The connection ended.
             }
         }
-        assertEquals(listOf(1 to 0, 0 to PeerMessage.VERSION), greetings)
+        assertEquals(listOf(1 to 0, 0 to PeerMessage.VERSION), hellos.map { (peer, hello) -> peer to hello.version })
     }
 
     @Test
@@ -111,7 +114,7 @@
 
     @Test
     fun `what cannot be read any further ends the connection and is told`() {
-        receive(hello, release, release) { if (it === hello) it.size else Frames.MAX + 1 }
+        receive(hello, release, release) { if (it === hello) it.size else Frames.MAX_BYTES + 1 }
         receive(hello, release) { if (it === hello) it.size else -5 }
         receive(release)
         receive(Frames.encode(PeerMessage.Hello("stranger", 1)), release)
