--- a/src/main/kotlin/org/chalkhollow/model/HttpStatus.kt
+++ b/src/main/kotlin/org/chalkhollow/model/HttpStatus.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.model
 
-/** The HTTP statuses that this process sends or acts on. */
+/** HTTP statuses of the responses that this process sends or receives. */
 internal object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -10,12 +10,12 @@
     const val CONFLICT = 409
     const val CONTENT_TOO_LARGE = 413
 
-    /** The client should send the request to the controller that the body names. */
+    /** The caller should send its request to the controller that the body names. */
     const val MISDIRECTED = 421
     const val UNPROCESSABLE = 422
     const val TOO_MANY_REQUESTS = 429
 
-    /** Statuses from here on say that nothing was decided. */
+    /** All statuses from here on say that nothing was decided. */
     const val SERVER_ERRORS = 500
     const val UNAVAILABLE = 503
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
@@ -54,8 +54,8 @@
 
     private fun decodeSuccess(op: CloudOp, body: ByteArray): CloudReply =
         when (op) {
-            CloudOp.Catalog -> CloudReply.CatalogIs(ServiceCodec.catalog(body))
-            is CloudOp.Machines -> CloudReply.MachinesAre(ServiceCodec.machines(body))
+            CloudOp.Catalog -> CloudReply.Catalog(ServiceCodec.catalog(body))
+            is CloudOp.Machines -> CloudReply.Machines(ServiceCodec.machines(body))
             is CloudOp.Rent -> CloudReply.Rented(ServiceCodec.rented(body))
             is CloudOp.Delete -> CloudReply.Deleted
         }
--- a/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
@@ -14,7 +14,7 @@
 
     /** `/metrics` in the text format of Prometheus. */
     fun metrics(): HttpReply {
-        val text = metrics.text(controller.view)
+        val text = metrics.text(controller.gauges)
         return HttpReply(HttpStatus.OK, text.encodeToByteArray(), type = "text/plain; version=0.0.4")
     }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
@@ -103,8 +103,8 @@
 
     private fun cloudReply(op: CloudOp): CloudReply =
         when (op) {
-            CloudOp.Catalog -> CloudReply.CatalogIs(listOf(MACHINE_TYPE))
-            is CloudOp.Machines -> CloudReply.MachinesAre(ListedPage(emptyList(), false))
+            CloudOp.Catalog -> CloudReply.Catalog(listOf(MACHINE_TYPE))
+            is CloudOp.Machines -> CloudReply.Machines(ListedPage(emptyList(), false))
             is CloudOp.Rent -> CloudReply.NoCapacity
             is CloudOp.Delete -> CloudReply.Deleted
         }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -66,7 +66,12 @@
                 it.seq = 1
             }
         val numbers = listOf(131L, 100L, 69L)
-        numbers.forEachIndexed { index, n -> reconciler.reserve(job, index, n, m, null).phase = Attempt.Phase.SENT }
+        numbers.forEachIndexed {
+            index,
+            n,
+            ->
+            reconciler.reserve(job, index, n, m, null).startSent()
+        }
 
         fun task(index: Int, phase: TaskStatus.Phase, cause: ExitCause?) =
             TaskStatus("j-1", index, numbers[index], phase, cause)
@@ -92,9 +97,9 @@
         val m = Machine(0, "n-1").also { it.state = Machine.State.UP }
         val batch = reconciler.reserve(job("j-1"), 0, 100, m, null, fromCredit = true)
         val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, fromCredit = true)
-        for (attempt in listOf(batch, replica)) attempt.phase = Attempt.Phase.RUNNING
+        for (attempt in listOf(batch, replica)) attempt.entered(Attempt.Phase.RUNNING, context.steady)
         assertEquals(1.0, reconciler.creditCpus)
-        reconciler.machineGone(m)
+        reconciler.onMachineGone(m)
         assertEquals(0.0, reconciler.creditCpus)
     }
 }
