--- a/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
+++ b/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
@@ -79,7 +79,7 @@
         loop.run()
     }
 
-    /** A number above those of earlier processes: the time, and what tells processes of one millisecond apart. */
+    /** A number above those of earlier processes: the time, with bits that differ within one millisecond. */
     private fun newIncarnation(): Long {
         val nanos = System.nanoTime() and ((1L shl NANO_BITS) - 1)
         return (System.currentTimeMillis() shl NANO_BITS or nanos) and Long.MAX_VALUE
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -3,8 +3,9 @@
 /** Priority classes, most urgent first; the ordinal is the rank. */
 enum class Priority { PRODUCTION, HIGH, STANDARD, BEST_EFFORT }
 
-/** What one task takes of its machine. */
+/** What one task takes of its machine, or what a machine has room for. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
+    /** Whether one task of this size fits into [room]. */
     fun fitsIn(room: Resources): Boolean =
         cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON
 
@@ -28,10 +29,13 @@
     }
 }
 
-/** How a job's tasks hang together: on their own, all at the same time, or for ever until withdrawn. */
+/** How the tasks of a job relate: each on its own, all at the same time, or replicas that run until cancelled. */
 enum class Shape { ARRAY, GANG, SERVICE }
 
-/** A job as its user described it; names that the core compares are text only here and where they enter the core. */
+/**
+ * A job as its user described it; names that the core compares are text only here and where they enter the core. Names
+ * that end in `S` are seconds, in `Gb` gigabytes; a null list of [types], [zone] or [dueS] sets no bound.
+ */
 data class JobSpec(
     val id: String,
     val workload: String,
@@ -53,13 +57,13 @@
     val dueS: Double?,
 )
 
-/** The state of a job as it is written down; only what is durable is ever told. */
+/** The state of a job as it is stored; users are told only what is stored. */
 enum class JobState { OPEN, DONE, CANCELLED }
 
-/** A team's guarantee and its limit. */
+/** A team's quota: the CPUs and GPUs that it is guaranteed, and the most that it may use. */
 data class Team(val name: String, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double)
 
-/** A machine type of the cloud's catalog. */
+/** A machine type of the cloud's catalog; [bootS] is how many seconds a machine takes until it can be used. */
 data class MachineType(
     val name: String,
     val room: Resources,
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -192,10 +192,8 @@
     private fun waitMs(): Long {
         while (timers.peek()?.cancelled == true) timers.poll()
         val next = timers.peek() ?: return IDLE_MS
-        return ((next.at - System.nanoTime() + SteadyClock.NANOS_PER_MS - 1) / SteadyClock.NANOS_PER_MS).coerceIn(
-            0,
-            IDLE_MS,
-        )
+        val roundedUpNs = next.at - System.nanoTime() + SteadyClock.NANOS_PER_MS - 1
+        return (roundedUpNs / SteadyClock.NANOS_PER_MS).coerceIn(0, IDLE_MS)
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
@@ -9,7 +9,7 @@
     val retryAfterS: Int = 0,
     val type: String = HttpWriter.MESSAGE_PACK,
 ) {
-    /** Whether [other] goes over the wire as the same bytes, as far as that can be told without comparing bodies. */
+    /** Whether [other] is encoded to the same bytes, as far as that shows without comparing bodies. */
     internal fun repeats(other: HttpReply): Boolean =
         body === other.body && status == other.status && retryAfterS == other.retryAfterS && type == other.type
 }
@@ -37,6 +37,7 @@
             HttpStatus.UNAVAILABLE to "Service Unavailable",
         )
 
+    /** A request with the [body], if there is one, as MessagePack. */
     fun request(method: String, host: String, path: String, body: ByteArray?): ByteArray {
         val head = StringBuilder()
         head.append("$method $path HTTP/1.1$END")
@@ -45,7 +46,7 @@
         return message(head, body ?: NOTHING)
     }
 
-    /** [reply] as it goes over the wire; the array may be handed out again and must not be changed. */
+    /** [reply] encoded; the array may be returned again and must not be changed. */
     fun response(reply: HttpReply, closes: Boolean): ByteArray {
         if (closes) return write(reply, closes = true)
         last?.let { if (reply.repeats(it.reply)) return it.bytes }
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
@@ -11,7 +11,7 @@
 /** A message that has arrived in full. */
 class HttpMessage<H : MessageHead>(val head: H, val body: ByteArray)
 
-/** A body is larger than is taken. */
+/** A body is larger than the bound for bodies. */
 class BodyTooLargeException : IOException("a body is too large")
 
 /** Puts the messages of one connection together from what arrives, in bodies of at most [maxBody] bytes. */
@@ -29,13 +29,17 @@
     private var last: H? = null
     private var searchedTo = 0
 
+    /** Adds the first [count] of [bytes], which may change afterwards. */
     fun add(bytes: ByteArray, count: Int) {
         if (size + count > received.size) received = received.copyOf(maxOf(size + count, size * 2, MIN_BUFFER))
         bytes.copyInto(received, size, 0, count)
         size += count
     }
 
-    /** The next message when all of it is there; throws when it is none, or too large. */
+    /**
+     * The next message when all of it has arrived, or null. Throws [BodyTooLargeException], and `IOException` or the
+     * exceptions of the parser when it is not HTTP.
+     */
     fun next(): HttpMessage<H>? {
         val head = head ?: readHead() ?: return null
         val body = readBody(head) ?: return null
@@ -66,7 +70,7 @@
     /** The body, when all of it is there; what follows it is kept for the next message. */
     private fun readBody(head: H): ByteArray? {
         if (head.framing.chunked) return readChunked(head)
-        val length = head.framing.length ?: throw IOException("the length of a body cannot be told")
+        val length = head.framing.length ?: throw IOException("the length of a body is invalid")
         if (length > maxBody) throw BodyTooLargeException()
         val until = head.size + length.toInt()
         if (size < until) return null
@@ -105,7 +109,7 @@
         }
     }
 
-    /** Whether [end] stands right before index [until] of what has arrived. */
+    /** Whether the bytes right before index [until] of what has arrived are [end]. */
     private fun hasBefore(until: Int, end: ByteArray): Boolean =
         until >= end.size && Arrays.equals(received, until - end.size, until, end, 0, end.size)
 
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
@@ -11,12 +11,12 @@
 import kotlin.coroutines.EmptyCoroutineContext
 import kotlin.coroutines.startCoroutine
 
-/** How the body of a message is told from what follows it, and whether the connection ends with the message. */
+/** Where the body of a message ends, and whether the connection ends with the message. */
 class Framing(
     /** Whether the connection is to be closed after the exchange. */
     val closes: Boolean,
     val chunked: Boolean,
-    /** The length of the body; null when it cannot be told, or is not told in advance since it is [chunked]. */
+    /** The length of the body in bytes; null when the header is invalid, or when the body is [chunked]. */
     val length: Long?,
 ) {
     internal companion object {
@@ -50,9 +50,11 @@
         count >= bytes.size && Arrays.equals(received, 0, bytes.size, bytes, 0, bytes.size)
 }
 
+/** The head of a request. */
 class RequestHead(val method: String, val path: String, framing: Framing, bytes: ByteArray) :
     MessageHead(framing, bytes)
 
+/** The head of a response. */
 class ResponseHead(val status: Int, framing: Framing, bytes: ByteArray) : MessageHead(framing, bytes)
 
 /**
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpMessages.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpMessages.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.runtime
 
-/** Made-up messages of users and workers, for [ArchiveTrainingRun] and [WarmUpSimulation]; nobody else is sent them. */
+/** Made-up messages of users and workers for [ArchiveTrainingRun] and [WarmUpSimulation]; they stay in this process. */
 internal object WarmUpMessages {
     const val TYPE = "warm-up"
     private const val TASKS = 4
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
@@ -5,8 +5,8 @@
 /**
  * One [HttpClient] with one kept connection for each worker that direct commands go to. At the largest sizes there are
  * fewer sockets than two a worker, so these are the ones to close: whenever the process holds more than [maxSockets],
- * the least recently used are closed. [otherSockets] counts the sockets held for everything else, which are the ones
- * that nobody can do without.
+ * the least recently used are closed. [otherSockets] counts the sockets held for everything else, which cannot be
+ * closed.
  */
 class WorkerHttpClients(private val loop: EventLoop, private val maxSockets: Int, private val otherSockets: () -> Int) {
     /** By address, least recently used first. */
--- a/src/main/kotlin/org/chalkhollow/wire/Pack.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/Pack.kt
@@ -14,8 +14,8 @@
  * This package is the edge to the protocols of users, workers, the state service and the cloud. Their field names have
  * themes of their own (`tenure`, `mandate`, `standby`); the codecs here translate them to the terms of `model` (epoch,
  * fencing token, spot), once and in both directions. No other package spells the names of the protocol. The two
- * exceptions are those of messages that other controllers and stored records keep, which stand as serial names at
- * their types in `peer`, and as keys at the records in `core`.
+ * exceptions are those of messages that other controllers and stored records keep, which are the serial names of
+ * the types in `peer` and the keys of the records in `core`.
  */
 object Pack {
     private const val MAX_DEPTH = 16
--- a/src/test/kotlin/org/chalkhollow/CommandLineTest.kt
+++ b/src/test/kotlin/org/chalkhollow/CommandLineTest.kt
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `a wrong command line is told in one line`() {
+    fun `a wrong command line is refused in one line`() {
         assertEquals("chalkhollow: no such option --nonsense (see --help)", refusal("--nonsense"))
         assertEquals("chalkhollow: option --config requires a value (see --help)", refusal("--config"))
         assertEquals("chalkhollow: no such subcommand extra (see --help)", refusal("extra"))
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `a settings file that cannot be read is told in one line`() {
+    fun `a settings file that cannot be read is refused in one line`() {
         assertEquals("/nowhere/none.json: cannot be read", refusal("--config", "/nowhere/none.json"))
     }
 
@@ -40,12 +40,12 @@
     @ValueSource(
         strings = ["nonsense", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:99999", "127.0.0.1:x", ":80", "a b:80", ""],
     )
-    fun `an address that is none is told in one line`(address: String) {
+    fun `an address that is not host and port is refused in one line`(address: String) {
         assertEquals("$address is not host:port", refusal("status", "--address", address))
     }
 
     @Test
-    fun `a controller that is not there is told in one line`() {
+    fun `a controller that cannot be reached is reported in one line`() {
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         val line = refusal("status", "--address", "127.0.0.1:$port")
         assertTrue(line.startsWith("127.0.0.1:$port cannot be reached: "), line)
--- a/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
@@ -72,7 +72,7 @@
     private val expected = listOf(1 to PeerMessage.LeadershipRelease(7))
 
     @Test
-    fun `a frame of a newer kind is skipped, told, and ends nothing`() {
+    fun `a frame of a newer kind is skipped and passed on as such, and ends nothing`() {
         receive(hello, later(Later.Gossip(listOf("x", "y"), mapOf("z" to 1L))), release)
         assertEquals(expected, heard.toList<Any>())
         assertEquals(listOf("b gossip"), dropped.unknownKinds)
@@ -87,7 +87,7 @@
     }
 
     @Test
-    fun `a greeting tells the version, which is 0 for those that did not know of it`() {
+    fun `a hello has the version, which is 0 for versions that did not send one`() {
         val frames =
             listOf(
                 PeerMessage.Hello("b", 1),
@@ -106,14 +106,14 @@
     }
 
     @Test
-    fun `a malformed frame is dropped and told, and the next one is heard`() {
+    fun `a malformed frame is dropped and counted, and the next one is heard`() {
         receive(hello, byteArrayOf(0x42), release.copyOf(release.size - 3), byteArrayOf(0x9f.toByte(), 0x67), release)
         assertEquals(expected, heard.toList<Any>())
         assertEquals(listOf<String?>("b", "b", "b"), dropped.malformed)
     }
 
     @Test
-    fun `what cannot be read any further ends the connection and is told`() {
+    fun `what cannot be read any further ends the connection and is counted`() {
         receive(hello, release, release) { if (it === hello) it.size else Frames.MAX_BYTES + 1 }
         receive(hello, release) { if (it === hello) it.size else -5 }
         receive(release)
--- a/src/test/kotlin/org/chalkhollow/runtime/HttpServerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/runtime/HttpServerTest.kt
@@ -84,7 +84,7 @@
     }
 
     @Test
-    fun `a request whose client waits no more is dropped and counted, not worked on`() {
+    fun `a request whose client has timed out is dropped and counted, not worked on`() {
         clientTimeoutMs = -1
         begin()
         connect().use { client ->
@@ -95,20 +95,20 @@
     }
 
     @Test
-    fun `a link asks again on the connection that it has, and tells when there is no answer or no server`() {
+    fun `a client reuses its connection, and says when there is no response or no server`() {
         begin()
-        val link = HttpClient(loop, address, 1000, 1, TaskPriority.USER)
-        val answers = List(2) { ask(link, "/a", 10_000) }
+        val client = HttpClient(loop, address, 1000, 1, TaskPriority.USER)
+        val answers = List(2) { ask(client, "/a", 10_000) }
         assertEquals(listOf("hi", "hi"), answers.map { (it as HttpResult.Answered).body.decodeToString() })
         assertEquals(1, onLoop { server.connected })
-        assertEquals(HttpResult.NoResponse, ask(link, "/held", 50))
-        val nobody = HttpClient(loop, Address("127.0.0.1", freePort()), 1000, 1, TaskPriority.USER)
-        assertEquals(HttpResult.NotSent, ask(nobody, "/a", 10_000))
+        assertEquals(HttpResult.NoResponse, ask(client, "/held", 50))
+        val withoutServer = HttpClient(loop, Address("127.0.0.1", freePort()), 1000, 1, TaskPriority.USER)
+        assertEquals(HttpResult.NotSent, ask(withoutServer, "/a", 10_000))
     }
 
-    private fun ask(link: HttpClient, path: String, timeoutMs: Long): HttpResult {
+    private fun ask(client: HttpClient, path: String, timeoutMs: Long): HttpResult {
         val result = CompletableFuture<HttpResult>()
-        onLoop { link.request("POST", path, "hi".encodeToByteArray(), timeoutMs) { result.complete(it) } }
+        onLoop { client.request("POST", path, "hi".encodeToByteArray(), timeoutMs) { result.complete(it) } }
         return result.join()
     }
 }
--- a/src/test/kotlin/org/chalkhollow/runtime/MessageAssemblerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/runtime/MessageAssemblerTest.kt
@@ -19,24 +19,24 @@
 
     @Test
     fun `a request is there when its last byte is, and what follows is kept for the next`() {
-        val bytes = (REPORT + "abc" + "GET /up HTTP/1.1\r\n\r\n").encodeToByteArray()
+        val bytes = (HEARTBEAT_HEAD + "abc" + "GET /up HTTP/1.1\r\n\r\n").encodeToByteArray()
         val messages = assembler()
         val made = ArrayList<String>()
         for (i in bytes.indices) {
             messages.add(byteArrayOf(bytes[i]), 1)
             messages.next()?.let { made.add("$i ${it.text()}") }
         }
-        val last = REPORT.length + 2
+        val last = HEARTBEAT_HEAD.length + 2
         assertEquals(listOf("$last POST /agent/beat abc", "${bytes.size - 1} GET /up "), made)
         assertEquals(0, messages.size)
     }
 
     @Test
     fun `a head that is repeated is not read again, on this or another connection`() {
-        val first = checkNotNull(assembler().apply { add(REPORT + "abc") }.next())
+        val first = checkNotNull(assembler().apply { add(HEARTBEAT_HEAD + "abc") }.next())
         val messages = assembler()
         repeat(3) {
-            messages.add(REPORT + "xyz")
+            messages.add(HEARTBEAT_HEAD + "xyz")
             assertSame(first.head, messages.next()?.head)
         }
     }
@@ -44,9 +44,9 @@
     @Test
     fun `a head that only begins like the one before is read`() {
         val messages = assembler()
-        messages.add(REPORT + "abc")
+        messages.add(HEARTBEAT_HEAD + "abc")
         messages.next()
-        messages.add(REPORT.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n") + "abc")
+        messages.add(HEARTBEAT_HEAD.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n") + "abc")
         assertTrue(checkNotNull(messages.next()).head.framing.closes)
     }
 
@@ -86,6 +86,6 @@
 
     private companion object {
         const val MAX_BODY = 100
-        const val REPORT = "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n"
+        const val HEARTBEAT_HEAD = "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n"
     }
 }
--- a/src/test/kotlin/org/chalkhollow/runtime/PriorityTaskQueueTest.kt
+++ b/src/test/kotlin/org/chalkhollow/runtime/PriorityTaskQueueTest.kt
@@ -15,7 +15,7 @@
     private val queues = PriorityTaskQueue()
     private val ran = StringBuilder()
 
-    private fun add(level: TaskPriority, name: String) = queues.add(level) { ran.append(name) }
+    private fun add(priority: TaskPriority, name: String) = queues.add(priority) { ran.append(name) }
 
     private fun runAll() {
         while (true) (queues.take() ?: return).run()
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `a user waits for no more than two of many reports`() {
+    fun `a user waits for no more than two of many heartbeats`() {
         repeat(6) { add(TaskPriority.WORKER, "w") }
         queues.take()?.run()
         add(TaskPriority.USER, "u")
--- a/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
@@ -19,7 +19,7 @@
           "state":{"rps":80,"write_rps":20,"value_kb":8,"txn_ops":12},"cloud":{"rps":3,"list_lag_s":5}}}
     """
 
-    private fun complaint(text: String): String =
+    private fun errorOf(text: String): String =
         assertThrows(
             InvalidSettingsException::class.java,
         ) { PlatformSettingsParser.parse(text, "s.json") }.message.orEmpty()
@@ -32,13 +32,13 @@
     }
 
     @Test
-    fun `a complaint is one line that names the field`() {
-        assertTrue("facts.workers.lease_s" in complaint(good.replace("\"lease_s\":10", "\"lease_s\":-1")))
-        assertTrue("facts.workers.lease_s is missing" in complaint(good.replace("\"lease_s\":10,", "")))
-        assertTrue("facts.teams[0].cpus_max" in complaint(good.replace("\"cpus_max\":16", "\"cpus_max\":4")))
-        assertTrue("client_listen" in complaint(good.replace("127.0.0.1:1\"", "nowhere\"")))
-        assertTrue("not JSON" in complaint("{"))
-        assertTrue('\n' !in complaint(good.replace("\"rps\":80", "\"rps\":\"many\"")))
+    fun `an error is one line that names the field`() {
+        assertTrue("facts.workers.lease_s" in errorOf(good.replace("\"lease_s\":10", "\"lease_s\":-1")))
+        assertTrue("facts.workers.lease_s is missing" in errorOf(good.replace("\"lease_s\":10,", "")))
+        assertTrue("facts.teams[0].cpus_max" in errorOf(good.replace("\"cpus_max\":16", "\"cpus_max\":4")))
+        assertTrue("client_listen" in errorOf(good.replace("127.0.0.1:1\"", "nowhere\"")))
+        assertTrue("not JSON" in errorOf("{"))
+        assertTrue('\n' !in errorOf(good.replace("\"rps\":80", "\"rps\":\"many\"")))
     }
 
     private fun next(json: String) = good.replace("\"txn_ops\":12", "\"txn_ops\":12,\"next\":$json")
@@ -64,7 +64,7 @@
     }
 
     @Test
-    fun `nonsense in next is complained of in one line that names the field`() {
+    fun `nonsense in next is refused in one line that names the field`() {
         for ((json, field) in listOf(
             "7" to "facts.state.next",
             "[]" to "facts.state.next",
@@ -75,7 +75,7 @@
             """{"txn_ops":{}}""" to "facts.state.next.txn_ops",
             """{"txn_ops":2}""" to "facts.state.next.txn_ops",
         )) {
-            val line = complaint(next(json))
+            val line = errorOf(next(json))
             assertTrue("field $field " in line, line)
             assertTrue('\n' !in line)
         }
--- a/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
@@ -37,7 +37,7 @@
     private fun stored(map: Map<String, Any?>) = UserCodec.storedJob(Pack.decodeMap(Pack.encode(map)))
 
     @Test
-    fun `a job is read, unknown fields are ignored, and it survives being written down`() {
+    fun `a job is read, unknown fields are ignored, and it survives being stored`() {
         val spec = read(good + ("surprise" to listOf(1)))
         assertEquals("j-000412" to Priority.HIGH, spec.id to spec.priority)
         assertEquals(16, spec.tasks)
@@ -138,7 +138,7 @@
     }
 
     @Test
-    fun `a report names task and attempt, and a cause nobody knows counts as an error`() {
+    fun `a heartbeat names task and attempt, and an unknown cause counts as an error`() {
         val heartbeat =
             mapOf(
                 "host" to "n-1",
--- a/src/test/kotlin/org/chalkhollow/wire/HeartbeatReaderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/HeartbeatReaderTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test
 import java.util.SplittableRandom
 
-/** Reports of one worker, most of which repeat the one before. */
+/** Heartbeats of one worker, most of which repeat the one before. */
 class HeartbeatReaderTest {
     private fun heartbeat(number: Long, fencingToken: Long = 7, tasks: Int = 2, notice: Double? = null): ByteArray =
         Pack.encode(
@@ -26,7 +26,7 @@
         )
 
     @Test
-    fun `whatever a report repeats, it is read as if it were the first`() {
+    fun `whatever a heartbeat repeats, it is read as if it were the first`() {
         val random = SplittableRandom(1)
         val reader = HeartbeatReader()
         var number = 1L
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a report that is cut short or has no tasks is malformed and changes nothing`() {
+    fun `a heartbeat that is cut short or has no tasks is malformed and changes nothing`() {
         val reader = HeartbeatReader()
         val first = reader.read(heartbeat(1000))
         assertThrows(MalformedMessageException::class.java) { reader.read(heartbeat(1001).copyOf(60)) }
