--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -73,8 +73,8 @@
     override fun onJobDone(job: OpenJob) = targets.requests.finished(job)
 
     override fun onJobCancelled(job: OpenJob) {
-        targets.reconciler.onOutcomesRecorded(job, job.done)
-        if (!job.live.isEmpty()) targets.commands.stopAll(job)
+        targets.reconciler.onOutcomesRecorded(job, job.progress.snapshot())
+        if (!job.tasks.noneLive) targets.commands.stopAll(job)
     }
 
     /** The write of the next placement round, if one is due. */
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
@@ -148,8 +148,7 @@
     fun minRemainingS(now: Long): Double {
         if (job.service) return Double.MAX_VALUE
         val ranS = if (phase == Phase.RUNNING) (now - progressAt) / MS_PER_S else 0.0
-        val expectedS = if (job.runs > 0) job.ranS / job.runs else job.spec.expectedS
-        return expectedS * MIN_PART_OF_EXPECTED - ranS
+        return job.runTimes.meanS(job.spec.expectedS) * MIN_PART_OF_EXPECTED - ranS
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilderTest.kt
@@ -39,7 +39,7 @@
                 saveS = 0.0,
                 dueS = null,
             )
-        return OpenJob(JobEntry(0, spec.tasks), spec, 0, -1, null, -1, 0)
+        return OpenJob(JobEntry(0, spec.tasks), spec, 0, -1, null, -1, 0, 8192)
     }
 
     private fun allocation(job: OpenJob, vararg tasks: Int) = Allocation(job, machine, tasks, fromCredit = false)
