--- a/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.core.common
 
 import org.chalkhollow.model.JobSpec
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.UserCodec
 
 /** What a user asks of one job. */
@@ -33,7 +33,7 @@
         fun ofSubmission(body: ByteArray): UserRequest? =
             try {
                 Submit(UserCodec.job(body), body)
-            } catch (e: Malformed) {
+            } catch (e: MalformedMessageException) {
                 UserCodec.idIn(body)?.let { Invalid(it, body, e.message) }
             }
     }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
@@ -10,7 +10,7 @@
 import org.chalkhollow.model.Condition
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 
 /**
  * Owns the way from follower to leader: it watches the leadership record, asks for votes when the leader's lease has
@@ -106,7 +106,7 @@
                 recordWatch.stateServiceAnswered()
                 try {
                     onRecord(LeadershipRecord.of(reply.row), reply.row.revision)
-                } catch (e: Malformed) {
+                } catch (e: MalformedMessageException) {
                     context.warn("the leadership record is unreadable: ${e.message}")
                 }
             }
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
-import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.jobs.JobCancellation
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -0,0 +1,146 @@
+package org.chalkhollow.runtime
+
+import com.google.common.util.concurrent.RateLimiter
+import io.ktor.network.selector.SelectorManager
+import io.ktor.network.sockets.ServerSocket
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.Dispatchers
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.peer.PeerConnections
+import org.chalkhollow.peer.PeerMessage
+import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.settings.PlatformSettings
+import org.slf4j.LoggerFactory
+
+/**
+ * One controller with all that it talks to: makes the parts, ties them together and starts them. Decides nothing.
+ * Everything runs on the thread of [loop], and [scope] must run there too. [begunAtNs] is when this process began, by
+ * the steady clock in nanoseconds: an earlier incarnation of this controller had ended by then, which may be a while
+ * before this is made on a slow machine.
+ */
+class ControllerNode(
+    private val scope: CoroutineScope,
+    private val loop: EventLoop,
+    private val settings: PlatformSettings,
+    operatorSettings: OperatorSettings,
+    incarnation: Long,
+    begunAtNs: Long,
+) {
+    private val log = LoggerFactory.getLogger("chalkhollow")
+    private val metrics = Metrics()
+    private val controller =
+        Controller(settings, operatorSettings, incarnation, SteadyClock.now(), begunAtNs / SteadyClock.NANOS_PER_MS)
+
+    /** Bounds how often malformed messages are logged; the metrics count them all. */
+    @Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
+    private val malformedLogLimiter = RateLimiter.create(MAX_MALFORMED_LOGS_PER_S)
+    private val decoder =
+        ResponseDecoder { e ->
+            metrics.malformedReply()
+            if (malformedLogLimiter.tryAcquire()) log.warn("malformed response, taken for none: {}", e.message)
+        }
+    private val spareSockets = minOf(MAX_SPARE_SOCKETS, settings.maxConnections / SPARE_SOCKETS_DIVISOR)
+    private val workerClients: WorkerHttpClients =
+        WorkerHttpClients(loop, settings.maxConnections - spareSockets) { server.connected }
+    private val peerConnections =
+        PeerConnections(
+            scope,
+            SelectorManager(Dispatchers.IO),
+            settings.peerAddress,
+            settings.peers,
+            PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION),
+            DroppedFrameLogger(log, metrics),
+        ) { from, message -> executor.step(Input.Peer(from, message)) }
+    private val pendingRequests = PendingRequests()
+    private val executor: EffectExecutor =
+        EffectExecutor(loop, controller, metrics, log, pendingRequests, outboundClients(), peerConnections)
+    private val router =
+        RouterContext(controller, pendingRequests, metrics, log, malformedLogLimiter) { executor.step(it) }
+    private val server: HttpServer =
+        HttpServer(
+            loop,
+            settings.clientListen,
+            maxOf(MIN_CONNECTIONS, settings.maxConnections * CLIENT_PERCENT / PERCENT - spareSockets),
+            { SteadyClock.ms() },
+            object : HttpServer.Events {
+                override fun beforeAccept() = workerClients.makeRoom(1)
+
+                override fun newHandler() = RequestRouter(router)
+
+                override fun onShed(priority: TaskPriority) = metrics.shed(priority)
+            },
+        )
+
+    private fun outboundClients(): OutboundClients {
+        val stateHttp =
+            HttpClient(loop, settings.state, MAX_SERVICE_BODY, MAX_IDLE_TO_STATE_SERVICE, TaskPriority.CONTROL)
+        val cloudHttp = HttpClient(loop, settings.cloud, MAX_SERVICE_BODY, MAX_IDLE_TO_CLOUD, TaskPriority.WORKER)
+        return OutboundClients(
+            StateServiceClient(stateHttp, settings.stateLimits.rps * STATE_BUDGET_SHARE, decoder),
+            CloudClient(cloudHttp, decoder),
+            WorkerClient(workerClients, decoder),
+        )
+    }
+
+    /** Binds the ports and starts; throws [CannotListenException] when a port cannot be bound. */
+    suspend fun start() {
+        val peerSocket = bindPeers()
+        bindClients()
+        peerConnections.run(peerSocket)
+        log.info("{} listens on {}", settings.label, settings.clientListen)
+        executor.step(Input.Tick)
+        scope.launch(TaskPriorityElement(TaskPriority.IDLE)) { warmUpIdle() }
+    }
+
+    private suspend fun bindPeers(): ServerSocket =
+        try {
+            peerConnections.bind()
+        } catch (expected: Exception) {
+            throw CannotListenException(settings.peerAddress, expected) // an address may also not resolve
+        }
+
+    private fun bindClients() =
+        try {
+            server.start()
+        } catch (expected: Exception) {
+            throw CannotListenException(settings.clientListen, expected) // an address may also not resolve
+        }
+
+    /** Goes through a failover in memory while this controller follows a leader and has nothing else to do. */
+    private suspend fun warmUpIdle() {
+        val warmUp = WarmUpSimulation(settings)
+        var steps = 0
+        delay(WARM_UP_AFTER_MS)
+        while (steps < WARM_UP_STEPS) {
+            delay(WARM_UP_EVERY_MS)
+            if (controller.gauges.leading || !controller.takesRequests(SteadyClock.now())) continue
+            warmUp.step()
+            steps++
+        }
+    }
+
+    private companion object {
+        const val MAX_SERVICE_BODY = 2 * 1024 * 1024
+        const val MAX_IDLE_TO_STATE_SERVICE = 4
+        const val MAX_IDLE_TO_CLOUD = 2
+
+        /** Of the requests that the state service takes, those that one controller may spend. */
+        const val STATE_BUDGET_SHARE = 0.5
+
+        /** Sockets for the services, the other controllers, listening, and connections about to close. */
+        const val MAX_SPARE_SOCKETS = 40
+        const val SPARE_SOCKETS_DIVISOR = 4
+
+        /** Of all sockets, those that clients may hold; the rest is for direct commands. */
+        const val CLIENT_PERCENT = 80
+        const val PERCENT = 100
+        const val MIN_CONNECTIONS = 8
+        const val MAX_MALFORMED_LOGS_PER_S = 0.2
+        const val WARM_UP_AFTER_MS = 4000L
+        const val WARM_UP_EVERY_MS = 100L
+        const val WARM_UP_STEPS = 350
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
@@ -11,11 +11,11 @@
 /** A message that has arrived in full. */
 class HttpMessage<H : MessageHead>(val head: H, val body: ByteArray)
 
-/** A body is larger than is taken. */
-class BodyTooLarge : IOException("a body is too large")
+/** A body is larger than the bound for bodies. */
+class BodyTooLargeException : IOException("a body is too large")
 
-/** Puts the messages of one connection together from what arrives, in bodies of at most [mostBody] bytes. */
-internal class MessageAssembler<H : MessageHead>(private val heads: HeadReader<H>, private val mostBody: Int) {
+/** Puts the messages of one connection together from what arrives, in bodies of at most [maxBody] bytes. */
+internal class MessageAssembler<H : MessageHead>(private val heads: HeadReader<H>, private val maxBody: Int) {
     private var received = NOTHING
 
     /** How much has arrived that no message was made of yet. */
@@ -29,13 +29,17 @@
     private var last: H? = null
     private var searchedTo = 0
 
+    /** Adds the first [count] of [bytes], which may change afterwards. */
     fun add(bytes: ByteArray, count: Int) {
         if (size + count > received.size) received = received.copyOf(maxOf(size + count, size * 2, MIN_BUFFER))
         bytes.copyInto(received, size, 0, count)
         size += count
     }
 
-    /** The next message when all of it is there; throws when it is none, or too large. */
+    /**
+     * The next message when all of it has arrived, or null. Throws [BodyTooLargeException], and `IOException` or the
+     * exceptions of the parser when it is not HTTP.
+     */
     fun next(): HttpMessage<H>? {
         val head = head ?: readHead() ?: return null
         val body = readBody(head) ?: return null
@@ -66,8 +70,8 @@
     /** The body, when all of it is there; what follows it is kept for the next message. */
     private fun readBody(head: H): ByteArray? {
         if (head.framing.chunked) return readChunked(head)
-        val length = head.framing.length ?: throw IOException("the length of a body cannot be told")
-        if (length > mostBody) throw BodyTooLarge()
+        val length = head.framing.length ?: throw IOException("the length of a body is invalid")
+        if (length > maxBody) throw BodyTooLargeException()
         val until = head.size + length.toInt()
         if (size < until) return null
         return received.copyOfRange(head.size, until).also { consume(until) }
@@ -76,8 +80,8 @@
     private fun readChunked(head: H): ByteArray? {
         val body = if (lastChunkIsThere(head.size)) decodeChunks(received.copyOfRange(head.size, size)) else null
         // Chunks come with little beside what they carry.
-        val tooLarge = if (body == null) size - head.size > 2 * mostBody else body.size > mostBody
-        if (tooLarge) throw BodyTooLarge()
+        val tooLarge = if (body == null) size - head.size > 2 * maxBody else body.size > maxBody
+        if (tooLarge) throw BodyTooLargeException()
         if (body != null) consume(size)
         return body
     }
@@ -105,7 +109,7 @@
         }
     }
 
-    /** Whether [end] stands right before index [until] of what has arrived. */
+    /** Whether the bytes right before index [until] of what has arrived are [end]. */
     private fun hasBefore(until: Int, end: ByteArray): Boolean =
         until >= end.size && Arrays.equals(received, until - end.size, until, end, 0, end.size)
 
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
@@ -0,0 +1,122 @@
+package org.chalkhollow.runtime
+
+import io.micrometer.core.instrument.FunctionCounter
+import io.micrometer.core.instrument.simple.SimpleMeterRegistry
+import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
+import org.HdrHistogram.Histogram
+import org.chalkhollow.core.operations.ControllerGauges
+
+/**
+ * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when metrics are first read,
+ * since that costs processor time which a start does not have. The names of metrics are an interface to operators.
+ */
+class Metrics {
+    private val answers = Int2LongOpenHashMap()
+    private var malformedHeartbeats = 0L
+    private var malformedFrames = 0L
+    private var newerFrames = 0L
+    private var malformedReplies = 0L
+    private val shed = LongArray(TaskPriority.entries.size)
+    private val histograms = LinkedHashMap<String, Histogram>()
+    private val registry by lazy { newRegistry() }
+
+    /** A request was answered with [status]. */
+    fun answered(status: Int) {
+        answers.addTo(status, 1)
+    }
+
+    /** A heartbeat that could not be read. */
+    fun malformedHeartbeat() {
+        malformedHeartbeats++
+    }
+
+    /** A request was dropped before it was handled, since its client had disconnected or timed out. */
+    fun shed(priority: TaskPriority) {
+        shed[priority.ordinal]++
+    }
+
+    /** A frame from another controller that could not be read. */
+    fun malformedFrame() {
+        malformedFrames++
+    }
+
+    /** A frame from another controller of a kind that this version does not know. */
+    fun newerFrame() {
+        newerFrames++
+    }
+
+    /** A reply of the state service, the cloud or a worker that could not be read. */
+    fun malformedReply() {
+        malformedReplies++
+    }
+
+    /** How long something of this [kind] took, in microseconds. */
+    fun took(kind: String, micros: Long) =
+        histograms.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
+
+    /** All metrics, one a line. */
+    fun text(gauges: ControllerGauges): String =
+        buildString {
+            appendGauges(gauges)
+            appendLine("chalkhollow_shed_total{kind=\"report\"} ${shed[TaskPriority.WORKER.ordinal]}")
+            appendLine("chalkhollow_shed_total{kind=\"user\"} ${shed[TaskPriority.USER.ordinal]}")
+            appendHistograms()
+            appendRegistry()
+        }
+
+    private fun StringBuilder.appendGauges(gauges: ControllerGauges) {
+        appendLine("chalkhollow_leading ${if (gauges.leading) 1 else 0}")
+        appendLine("chalkhollow_generation ${gauges.fencingToken}")
+        appendLine("chalkhollow_jobs_open ${gauges.openJobs}")
+        appendLine("chalkhollow_jobs_known ${gauges.jobs}")
+        appendLine("chalkhollow_machines ${gauges.machines}")
+        appendLine("chalkhollow_replicas_wanted ${gauges.replicas.wanted}")
+        appendLine("chalkhollow_replicas_up ${gauges.replicas.up}")
+        for ((label, version) in gauges.versions) {
+            if (version != null) appendLine("chalkhollow_version{controller=\"$label\"} $version")
+        }
+        for ((input, count) in gauges.dropped) appendLine("chalkhollow_${input.metric}_total $count")
+    }
+
+    private fun StringBuilder.appendHistograms() {
+        for ((kind, histogram) in histograms) {
+            for (quantile in QUANTILES) {
+                val micros = histogram.getValueAtPercentile(quantile * PERCENT)
+                appendLine("chalkhollow_micros{kind=\"$kind\",quantile=\"$quantile\"} $micros")
+            }
+            appendLine("chalkhollow_micros_count{kind=\"$kind\"} ${histogram.totalCount}")
+        }
+    }
+
+    private fun StringBuilder.appendRegistry() {
+        for (status in answers.keys.toIntArray()) {
+            FunctionCounter
+                .builder("chalkhollow.answers", answers) { it.get(status).toDouble() }
+                .tag("status", status.toString())
+                .register(registry)
+        }
+        for (meter in registry.meters) {
+            val tags = meter.id.tags.joinToString(",") { "${it.key}=\"${it.value}\"" }
+            val name = meter.id.name.replace('.', '_') + "_total" + if (tags.isEmpty()) "" else "{$tags}"
+            for (sample in meter.measure()) appendLine("$name ${sample.value}")
+        }
+    }
+
+    private fun newRegistry(): SimpleMeterRegistry {
+        val registry = SimpleMeterRegistry()
+        counter("chalkhollow.reports.malformed") { it.malformedHeartbeats }.register(registry)
+        counter("chalkhollow.frames.malformed") { it.malformedFrames }.register(registry)
+        counter("chalkhollow.frames.newer") { it.newerFrames }.register(registry)
+        counter("chalkhollow.replies.malformed") { it.malformedReplies }.register(registry)
+        return registry
+    }
+
+    private fun counter(name: String, value: (Metrics) -> Long): FunctionCounter.Builder<Metrics> =
+        FunctionCounter.builder(name, this) { value(it).toDouble() }
+
+    private companion object {
+        const val MAX_MICROS = 600_000_000L
+        const val PERCENT = 100
+        val QUANTILES = doubleArrayOf(0.5, 0.95, 0.99)
+    }
+}
--- a/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
@@ -37,7 +37,7 @@
     private fun stored(map: Map<String, Any?>) = UserCodec.storedJob(Pack.decodeMap(Pack.encode(map)))
 
     @Test
-    fun `a job is read, unknown fields are ignored, and it survives being written down`() {
+    fun `a job is read, unknown fields are ignored, and it survives being stored`() {
         val spec = read(good + ("surprise" to listOf(1)))
         assertEquals("j-000412" to Priority.HIGH, spec.id to spec.priority)
         assertEquals(16, spec.tasks)
@@ -78,7 +78,7 @@
             )
         for ((field, value) in bad) {
             assertThrows(
-                Malformed::class.java,
+                MalformedMessageException::class.java,
                 { read(good + (field to value)) },
                 "$field = $value",
             )
@@ -96,12 +96,12 @@
                     if (field in optional) {
                         assertEquals("j-000412", read(map).id)
                     } else {
-                        assertThrows(Malformed::class.java, { read(map) }, "$shape without $field")
+                        assertThrows(MalformedMessageException::class.java, { read(map) }, "$shape without $field")
                     }
                 }
             }
         }
-        assertThrows(Malformed::class.java) { read(good - "shape") }
+        assertThrows(MalformedMessageException::class.java) { read(good - "shape") }
     }
 
     @Test
@@ -110,7 +110,7 @@
         val spec = stored(stored)
         assertEquals(listOf<Any?>(null, 0.0, 0.0), listOf(spec.image, spec.imageGb, spec.expectedS))
         assertEquals(spec, stored(UserCodec.map(spec)))
-        assertThrows(Malformed::class.java) { stored(stored + ("shape" to "batch")) }
+        assertThrows(MalformedMessageException::class.java) { stored(stored + ("shape" to "batch")) }
     }
 
     @Test
@@ -125,20 +125,20 @@
                 },
                 byteArrayOf(0x81.toByte(), 0xa1.toByte()),
             )
-        for (bytes in junk) assertThrows(Malformed::class.java) { Pack.decodeMap(bytes) }
+        for (bytes in junk) assertThrows(MalformedMessageException::class.java) { Pack.decodeMap(bytes) }
         val random = java.util.SplittableRandom(5)
         repeat(2000) {
             val bytes = ByteArray(random.nextInt(40)).also(random::nextBytes)
             try {
                 Pack.decode(bytes)
-            } catch (e: Malformed) {
+            } catch (e: MalformedMessageException) {
                 // the only way to fail
             }
         }
     }
 
     @Test
-    fun `a report names task and attempt, and a cause nobody knows counts as an error`() {
+    fun `a heartbeat names task and attempt, and an unknown cause counts as an error`() {
         val heartbeat =
             mapOf(
                 "host" to "n-1",
@@ -153,6 +153,6 @@
             )
         val task = WorkerCodec.heartbeat(Pack.encode(heartbeat)).tasks.single()
         assertEquals(TaskStatus("j-1", 7, 3, TaskStatus.Phase.EXITED, ExitCause.ERROR), task)
-        assertThrows(Malformed::class.java) { WorkerCodec.heartbeat(Pack.encode(heartbeat - "tenure")) }
+        assertThrows(MalformedMessageException::class.java) { WorkerCodec.heartbeat(Pack.encode(heartbeat - "tenure")) }
     }
 }
