--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/DispatchLogTest.kt
@@ -0,0 +1,20 @@
+package org.chalkhollow.core.attempts
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+/** The form in which dispatch markers are stored. */
+class DispatchLogTest {
+    @Test
+    fun `index ranges are written and read back`() {
+        for (set in listOf(
+            intArrayOf(0),
+            intArrayOf(0, 1, 2, 7),
+            intArrayOf(3, 5, 6, 99_999),
+            IntArray(1000) { it * 2 },
+        )) {
+            assertEquals(set.toList(), DispatchLog.indices(DispatchLog.ranges(set)))
+        }
+        assertEquals("0-3,7", DispatchLog.ranges(intArrayOf(0, 1, 2, 3, 7)))
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/core/operations/ControllerVersionsTest.kt
@@ -0,0 +1,24 @@
+package org.chalkhollow.core.operations
+
+import org.chalkhollow.peer.PeerMessage
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** The versions that the controllers tell each other. */
+class ControllerVersionsTest {
+    @Test
+    fun `an upgrade is over once every peer has told a version as new as ours`() {
+        val versions = ControllerVersions("a", listOf("b", "c"))
+        assertFalse(versions.allNew)
+        versions.greeted(0, PeerMessage.Hello("b", 1, PeerMessage.VERSION))
+        versions.greeted(1, PeerMessage.Hello("c", 1))
+        assertFalse(versions.allNew)
+        assertEquals(mapOf("a" to PeerMessage.VERSION, "b" to PeerMessage.VERSION, "c" to 0), versions.all)
+        versions.greeted(1, PeerMessage.Hello("c", 2, PeerMessage.VERSION + 1))
+        assertTrue(versions.allNew)
+        versions.greeted(0, PeerMessage.Hello("b", 3))
+        assertFalse(versions.allNew)
+    }
+}
