--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
@@ -0,0 +1,146 @@
+package org.chalkhollow
+
+import org.chalkhollow.model.Resources
+import org.chalkhollow.simulation.FaultScenario
+import org.chalkhollow.simulation.FaultScenario.Companion.START_MS
+import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.unconstrained
+import org.chalkhollow.simulation.withReliableNetwork
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.CsvSource
+import org.junit.jupiter.params.provider.ValueSource
+
+/**
+ * Messages of workers and users that are held up or come in the wrong order, beside other faults; every rule is checked
+ * after each step.
+ */
+class ConcurrentMessageFaultsTest {
+    // Cancellations once travelled only in answers to reports: nobody has any use for what runs until then.
+    @Test
+    fun `what is cancelled stops at once, not with the next report`() {
+        val simulation = Simulation(3, leaseMs = 30_000, toldLeaseS = 30.0, reportMs = 9000)
+        simulation.withReliableNetwork()
+        simulation.begin(0, 1)
+        var id = ""
+        simulation.clock.after(12_000) {
+            id =
+                simulation.users.submit {
+                    it.unconstrained().copy(
+                        tasks = 6,
+                        taskResources = Resources(2.0, 0.0, 1.0),
+                        expectedS = 300.0,
+                    )
+                }
+        }
+        simulation.clock.runUntil(40_000)
+        assertTrue(simulation.cloud.workers.sumOf { it.onMachine().size } == 6)
+        simulation.users.cancel(id)
+        simulation.clock.runUntil(41_500)
+        assertEquals(0, simulation.cloud.workers.sumOf { it.onMachine().size })
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [1, 2, 3, 4])
+    fun `cancellations, questions and repeated submissions meet the end of jobs`(seed: Long) {
+        val scenario = FaultScenario(seed)
+        scenario.users.cancelAtEnd = 0.6
+        scenario.begin(jobs = 60, long = 3)
+        scenario.at(START_MS) { scenario.users.odd(60_000) }
+        scenario.play(START_MS + 70_000, servesAll = false) // most are called off at their end
+    }
+
+    @ParameterizedTest
+    @CsvSource("1,8000", "2,16000", "3,22000", "4,16000", "418,22000")
+    fun `commands and answers are held up for seconds, and machines hang and go on`(seed: Long, leaseMs: Long) {
+        val scenario = FaultScenario(seed, leaseMs)
+        scenario.begin()
+        scenario.at(START_MS) { scenario.network.held = 0.25 }
+        for (i in 0L..4L) scenario.at(START_MS + 1000 + i * 9000) { scenario.cancelNow(1, leaseMs - 2500) }
+        scenario.at(START_MS + 15_000) {
+            scenario.busy().forEach { if (scenario.clock.chance(0.5)) it.hang(scenario.clock.between(2000, 9000)) }
+        }
+        scenario.at(START_MS + 22_000) { scenario.crashLeader(2000) }
+        scenario.play(START_MS + 65_000)
+    }
+
+    @ParameterizedTest
+    @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
+    fun `reports are held back until a new leader has acted`(seed: Long, leaseMs: Long) {
+        val scenario = FaultScenario(seed, leaseMs)
+        scenario.begin()
+        for (at in listOf(-4000L, -800L, -100L)) {
+            scenario.at(START_MS + at) {
+                scenario.cloud.workers.filter { it.present }.forEach { worker ->
+                    worker.holdReport(scenario.clock.between(2500, leaseMs + 12_000))
+                }
+            }
+        }
+        scenario.at(START_MS - 50) { scenario.cancelNow(2) }
+        scenario.at(START_MS) { scenario.crashLeader(4000) }
+        scenario.at(START_MS + 4000) { scenario.busy().take(2).forEach { scenario.cloud.kill(it.name) } }
+        scenario.at(START_MS + 9000) { scenario.cancelNow(1) }
+        scenario.play(START_MS + leaseMs + 20_000)
+    }
+
+    @ParameterizedTest
+    @CsvSource("1,8000", "2,16000", "3,22000", "4,8000", "322,22000")
+    fun `old reports come after newer ones, also of earlier sessions and attempts`(seed: Long, leaseMs: Long) {
+        val scenario = FaultScenario(seed, leaseMs)
+        scenario.network.copies = 0.05
+        scenario.begin()
+        for (i in 0L..9L) {
+            scenario.at(START_MS + i * 4000) {
+                scenario.cloud.workers.filter { it.present && scenario.clock.chance(0.5) }.forEach { worker ->
+                    worker.holdReport(
+                        scenario.clock.between(
+                            1000,
+                            leaseMs * 2,
+                        ),
+                    )
+                }
+            }
+        }
+        scenario.at(START_MS + 5000) { scenario.busy().take(2).forEach { it.reboot() } }
+        scenario.at(START_MS + 7000) { scenario.cancelNow(2) }
+        scenario.at(START_MS + 12_000) { scenario.busy().take(2).forEach { scenario.cutOff(it, leaseMs + 5000, true) } }
+        scenario.at(START_MS + 16_000) { scenario.crashLeader(2000) }
+        scenario.at(START_MS + 30_000) { scenario.busy().take(2).forEach { it.reboot() } }
+        scenario.play(START_MS + 40_000 + leaseMs * 2 + 45_000)
+    }
+
+    /**
+     * A new leader gets a report of a machine's earlier session, then an old one of this session, then the machine's
+     * own.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = [1, 2, 3])
+    fun `old reports of two sessions reach a new leader before the machine's own`(seed: Long) {
+        val scenario = FaultScenario(seed)
+        scenario.simulation.withReliableNetwork()
+        scenario.begin(jobs = 0, long = 6)
+        scenario.clock.runUntil(15_000)
+        val machine = scenario.busy().maxBy { it.onMachine().size }
+        val first = machine.keepReport()
+        machine.reboot()
+        val second = machine.keepReport()
+        scenario.clock.runUntil(START_MS)
+        assertTrue(machine.onMachine().isNotEmpty(), "nothing began there again")
+        scenario.cutOff(machine, 3500, holds = false)
+        scenario.leader()?.crash()
+
+        fun onceLed() {
+            val leader = scenario.leader() ?: return scenario.clock.after(20) { onceLed() }
+            scenario.clock.after(250) {
+                first(leader)
+                second(leader)
+            }
+        }
+        scenario.clock.after(500) { onceLed() }
+        scenario.clock.runUntil(START_MS + 30_000)
+        scenario.holds()
+    }
+}
--- a/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
+++ b/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
@@ -5,6 +5,7 @@
 import org.chalkhollow.simulation.EffectDigest
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.FaultScenario
+import org.chalkhollow.simulation.MassFault
 import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
@@ -17,21 +18,35 @@
  * them.
  */
 class EffectDigestTest {
-    private fun EffectDigest.watch(r: Simulation): Simulation = r.also { it.onEffect = ::add }
+    private fun EffectDigest.watch(simulation: Simulation): Simulation = simulation.also { it.onEffect = ::add }
 
     /** Crashes, outages, cuts and mass losses over batch jobs, gangs, services and cancellations. */
     private fun dayWithFaults(seed: Long): EffectDigest {
         val digest = EffectDigest()
         val objectives = listOf(Objective("wait", "urgent", 4.0, 0.5), Objective("guarantee", null, 60.0, 0.9))
-        val r = digest.watch(Simulation(seed, controllers = if (seed % 2 == 0L) 5 else 3, objectives = objectives))
-        r.network.copies = 0.01
-        r.begin(60, 150_000)
-        repeat(4) { i -> r.clock.after(20_000L + 30_000 * i) { r.users.submitService() } }
-        FaultInjection(r).apply {
+        val simulation =
+            digest.watch(
+                Simulation(
+                    seed,
+                    controllers =
+                        if (seed % 2 ==
+                            0L
+                        ) {
+                            5
+                        } else {
+                            3
+                        },
+                    objectives = objectives,
+                ),
+            )
+        simulation.network.copies = 0.01
+        simulation.begin(60, 150_000)
+        repeat(4) { i -> simulation.clock.after(20_000L + 30_000 * i) { simulation.users.submitService() } }
+        FaultInjection(simulation).apply {
             draw(12, 30_000, 170_000)
-            r.clock.after(90_000) { mass((seed % 7).toInt()) }
+            simulation.clock.after(90_000) { mass(MassFault.entries[(seed % 7).toInt()]) }
         }
-        r.clock.runUntil(300_000)
+        simulation.clock.runUntil(300_000)
         return digest
     }
 
@@ -39,7 +54,7 @@
     private fun cancellations(seed: Long): EffectDigest {
         val digest = EffectDigest()
         val scenario = FaultScenario(seed)
-        digest.watch(scenario.r)
+        digest.watch(scenario.simulation)
         scenario.begin()
         scenario.at(FaultScenario.START_MS) {
             scenario.cancelNow(3)
--- a/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
@@ -3,8 +3,13 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.simulation.FakeWorker
 import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.MassFault
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.addSpotMachines
+import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.simulation.largeFleet
+import org.chalkhollow.simulation.unconstrained
+import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
@@ -15,51 +20,52 @@
      * again by [until].
      */
     private fun beginAgain(until: Long, fault: (Simulation, FakeWorker) -> Int) {
-        val r = largeFleet(33, 3, 80)
-        r.network.loss = 0.0
-        r.network.late = 0.0
-        r.begin(0, 1, machines = 0)
-        repeat(40) { r.cloud.add(r.types[0], r.zones[it % 2], true, 0) }
-        r.clock.after(8000) {
-            r.users.submit {
-                it.copy(
+        val simulation = largeFleet(33, 3, 80)
+        simulation.withReliableNetwork()
+        simulation.begin(0, 1, machines = 0)
+        simulation.addSpotMachines(40)
+        simulation.clock.after(8000) {
+            simulation.users.submit {
+                it.anywhere().copy(
                     tasks = 30,
                     taskResources = Resources(4.0, 0.0, 1.0),
-                    types = null,
-                    zone = null,
-                    together = false,
-                    spread = false,
-                    spotAllowed = true,
                     expectedS = 300.0,
                     checkpointS = 0.0,
                 )
             }
         }
-        r.clock.runUntil(25_000)
-        val again = fault(r, r.cloud.workers.first { it.onMachine().isNotEmpty() })
-        r.clock.runUntil(until)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(again, r.rules.starts - 30)
+        simulation.clock.runUntil(25_000)
+        val again = fault(simulation, simulation.cloud.workers.first { it.onMachine().isNotEmpty() })
+        simulation.clock.runUntil(until)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(again, simulation.rules.starts - 30)
     }
 
     // Waiting for the lease to lapse made one job in five late where spot machines are often taken without a word.
     @Test
     fun `what was on a dead machine begins elsewhere before its lease would have lapsed`() {
-        beginAgain(25_000 + 16_000) { r, busy -> busy.onMachine().size.also { r.cloud.kill(busy.name) } }
+        beginAgain(
+            25_000 + 16_000,
+        ) { simulation, busy -> busy.onMachine().size.also { simulation.cloud.kill(busy.name) } }
     }
 
     @Test
     fun `what cannot be over before the cloud takes its machine begins elsewhere at once`() {
-        beginAgain(25_000 + 9000) { r, busy -> busy.onMachine().size.also { busy.noticeAt = r.clock.time + 15_000 } }
+        beginAgain(25_000 + 9000) { simulation, busy ->
+            busy.onMachine().size.also {
+                busy.noticeAt =
+                    simulation.clock.time + 15_000
+            }
+        }
     }
 
     @Test
     fun `a zone that is silent for less than a lease loses nothing`() {
-        beginAgain(60_000) { r, _ ->
-            for (w in r.cloud.workers.filter {
-                it.zone == r.zones.last()
+        beginAgain(60_000) { simulation, _ ->
+            for (worker in simulation.cloud.workers.filter {
+                it.zone == simulation.zones.last()
             }) {
-                for (n in r.nodes) r.network.cut(n.label, w.name, 16_000, true)
+                for (node in simulation.nodes) simulation.network.cut(node.label, worker.name, 16_000, true)
             }
             0
         }
@@ -68,26 +74,21 @@
     // A leader that no worker reaches renews no lease; an earlier version led on while all leases ran out.
     @Test
     fun `a leader that the workers do not reach makes way before their leases run out`() {
-        val r = largeFleet(31, 3, 40)
-        r.network.loss = 0.0
-        r.network.late = 0.0
-        r.begin(0, 1, machines = 40)
-        r.clock.after(8000) {
-            r.users.submit {
-                it.copy(
+        val simulation = largeFleet(31, 3, 40)
+        simulation.withReliableNetwork()
+        simulation.begin(0, 1, machines = 40)
+        simulation.clock.after(8000) {
+            simulation.users.submit {
+                it.unconstrained().copy(
                     tasks = 30,
                     taskResources = Resources(4.0, 0.0, 1.0),
-                    types = null,
-                    zone = null,
-                    together = false,
-                    spread = false,
                     expectedS = 300.0,
                 )
             }
         }
-        r.clock.after(25_000) { FaultInjection(r).mass(6) }
-        r.clock.runUntil(62_000)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(30, r.rules.starts, "tasks were lost with their machines' leases and begun again")
+        simulation.clock.after(25_000) { FaultInjection(simulation).mass(MassFault.LEADER_CUT_FROM_MACHINES) }
+        simulation.clock.runUntil(62_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(30, simulation.rules.starts, "tasks were lost with their machines' leases and begun again")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/OperatorStatusTest.kt
+++ b/src/test/kotlin/org/chalkhollow/OperatorStatusTest.kt
@@ -3,6 +3,7 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Resources
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.anywhere
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -11,32 +12,27 @@
 class OperatorStatusTest {
     @Test
     fun `operators are told who leads and why a job waits`() {
-        val r = Simulation(8)
-        r.begin(0, 1)
+        val simulation = Simulation(8)
+        simulation.begin(0, 1)
         val plain: (JobSpec) -> JobSpec = {
-            it.copy(
+            it.anywhere().copy(
                 team = "red",
                 tasks = 20,
                 taskResources = Resources(2.0, 0.0, 1.0),
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = true,
                 expectedS = 300.0,
             )
         }
-        r.clock.after(5000) { r.users.submit(plain) }
+        simulation.clock.after(5000) { simulation.users.submit(plain) }
         var second = ""
-        r.clock.after(40_000) { second = r.users.submit(plain) }
-        r.clock.runUntil(60_000)
-        val leader = r.nodes.single { it.leads }
+        simulation.clock.after(40_000) { second = simulation.users.submit(plain) }
+        simulation.clock.runUntil(60_000)
+        val leader = simulation.nodes.single { it.leads }
         val status = checkNotNull(leader.status())
         assertEquals(leader.label, status.leader)
         assertEquals(40.0, status.teams.first { it.name == "red" }.cpus)
         assertTrue(status.machines.sumOf { it.count } > 4)
         assertEquals("its team is at its limit", leader.jobStatus(second)?.waitsFor?.first())
         assertEquals(null, leader.jobStatus("j-0"))
-        assertTrue(r.nodes.filter { !it.leads }.all { it.status()?.leader == leader.label })
+        assertTrue(simulation.nodes.filter { !it.leads }.all { it.status()?.leader == leader.label })
     }
 }
--- a/src/test/kotlin/org/chalkhollow/RandomDaysTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RandomDaysTest.kt
@@ -3,6 +3,7 @@
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.playRandomDay
+import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -13,23 +14,22 @@
 class RandomDaysTest {
     @Test
     fun `a quiet day completes every job`() {
-        val r = Simulation(1)
-        r.network.loss = 0.0
-        r.network.late = 0.0
-        playRandomDay(r, faults = 0)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(40, r.rules.acceptedCount)
-        assertTrue(r.rules.doneCount >= 30, "only ${r.rules.doneCount} jobs were told to be done")
+        val simulation = Simulation(1)
+        simulation.withReliableNetwork()
+        playRandomDay(simulation, faults = 0)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(40, simulation.rules.acceptedCount)
+        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were told to be done")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20])
     fun `a day with faults breaks no rule and still gets work done`(seed: Long) {
-        val r = playRandomDay(Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3), faults = 14)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(emptyList<String>(), r.rules.starved())
-        assertTrue(r.rules.acceptedCount >= 36, "only ${r.rules.acceptedCount} jobs were accepted")
-        assertTrue(r.rules.doneCount >= 30, "only ${r.rules.doneCount} jobs were told to be done")
+        val simulation = playRandomDay(Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3), faults = 14)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(emptyList<String>(), simulation.rules.starved())
+        assertTrue(simulation.rules.acceptedCount >= 36, "only ${simulation.rules.acceptedCount} jobs were accepted")
+        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were told to be done")
     }
 
     // 1453 and 1507: a new leader did not count the tasks of a cancelled job that were still on machines against the
@@ -37,13 +37,13 @@
     @ParameterizedTest
     @ValueSource(longs = [1018, 1453, 1507])
     fun `days that once broke a rule`(seed: Long) {
-        val r = Simulation(seed)
-        r.network.loss = 0.005
-        r.network.late = 0.005
-        r.begin(50, 150_000)
-        FaultInjection(r).draw(25, 10_000, 200_000)
-        r.clock.runUntil(500_000)
-        assertEquals(emptyList<String>(), r.rules.violations)
+        val simulation = Simulation(seed)
+        simulation.network.loss = 0.005
+        simulation.network.late = 0.005
+        simulation.begin(50, 150_000)
+        FaultInjection(simulation).draw(25, 10_000, 200_000)
+        simulation.clock.runUntil(500_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -6,6 +6,7 @@
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.RollingUpgrade
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.wire.Fields
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -24,79 +25,80 @@
     private val now = StateLimits(80.0, 20.0, 8192, 12)
     private val next = StateLimits(40.0, 12.0, 2048, 6)
 
-    private fun day(r: Simulation, upgrade: RollingUpgrade, faults: Int): Simulation {
-        if (faults > 0) r.network.copies = 0.01
-        r.begin(40, 180_000)
+    private fun day(simulation: Simulation, upgrade: RollingUpgrade, faults: Int): Simulation {
+        if (faults > 0) simulation.network.copies = 0.01
+        simulation.begin(40, 180_000)
         upgrade.begin(30_000)
-        FaultInjection(r).draw(faults, 10_000, 170_000)
-        r.clock.after(210_000) { r.network.copies = 0.0 }
-        r.rules.calmFrom = 260_000
-        r.clock.runUntil(480_000)
-        return r
+        FaultInjection(simulation).draw(faults, 10_000, 170_000)
+        simulation.clock.after(210_000) { simulation.network.copies = 0.0 }
+        simulation.rules.calmFrom = 260_000
+        simulation.clock.runUntil(480_000)
+        return simulation
     }
 
-    private fun served(r: Simulation, upgrade: RollingUpgrade) {
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(emptyList<String>(), r.rules.starved())
-        assertTrue(r.rules.acceptedCount >= 36, "only ${r.rules.acceptedCount} jobs were accepted")
-        assertTrue(r.rules.doneCount >= 30, "only ${r.rules.doneCount} jobs were told to be done")
+    private fun served(simulation: Simulation, upgrade: RollingUpgrade) {
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(emptyList<String>(), simulation.rules.starved())
+        assertTrue(simulation.rules.acceptedCount >= 36, "only ${simulation.rules.acceptedCount} jobs were accepted")
+        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were told to be done")
         assertTrue(upgrade.loweredAt < 240_000, "the limits were not lowered")
-        for (node in r.nodes) assertEquals(true, node.status()?.allNew, "${node.label} does not know that all are new")
+        for (node in simulation.nodes) {
+            assertEquals(
+                true,
+                node.status()?.allNew,
+                "${node.label} does not know that all are new",
+            )
+        }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12])
     fun `an upgrade amid faults breaks no rule, serves every job, and exceeds no lowered limit`(seed: Long) {
-        val r = Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3, stateLimits = now)
-        val upgrade = RollingUpgrade(r, next, atOnce = 1 + (seed % 2).toInt())
-        day(r, upgrade, faults = 12)
-        served(r, upgrade)
-        assertEquals(0, r.state.rejections, "transactions beyond limits that were announced")
+        val simulation = Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3, stateLimits = now)
+        val upgrade = RollingUpgrade(simulation, next, atOnce = 1 + (seed % 2).toInt())
+        day(simulation, upgrade, faults = 12)
+        served(simulation, upgrade)
+        assertEquals(0, simulation.state.rejections, "transactions beyond limits that were announced")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
     fun `limits that fall below what was announced are lived with`(seed: Long) {
-        val r = Simulation(seed, stateLimits = now)
-        val upgrade = RollingUpgrade(r, next, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
-        day(r, upgrade, faults = 6)
-        served(r, upgrade)
+        val simulation = Simulation(seed, stateLimits = now)
+        val upgrade = RollingUpgrade(simulation, next, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
+        day(simulation, upgrade, faults = 6)
+        served(simulation, upgrade)
     }
 
     @Test
     fun `until the last controller is new, status says that an upgrade is under way`() {
-        val r = Simulation(41, stateLimits = now)
-        val upgrade = RollingUpgrade(r, next, atOnce = 1)
-        r.begin(5, 20_000)
+        val simulation = Simulation(41, stateLimits = now)
+        val upgrade = RollingUpgrade(simulation, next, atOnce = 1)
+        simulation.begin(5, 20_000)
         upgrade.begin(30_000)
-        r.clock.runUntil(38_000)
-        for (node in r.nodes) assertFalse(node.status()?.allNew ?: false)
-        r.clock.runUntil(140_000)
-        for (node in r.nodes) assertTrue(node.status()?.allNew ?: false)
+        simulation.clock.runUntil(38_000)
+        for (node in simulation.nodes) assertFalse(node.status()?.allNew ?: false)
+        simulation.clock.runUntil(140_000)
+        for (node in simulation.nodes) assertTrue(node.status()?.allNew ?: false)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53])
     fun `a job of 20,000 tasks goes through an upgrade, and no completion that was written is lost`(seed: Long) {
-        val r = Simulation(seed, capacity = 60, scale = 12, stateLimits = StateLimits(80.0, 40.0, 4096, 12))
-        val upgrade = RollingUpgrade(r, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
-        r.begin(6, 100_000, machines = 40)
+        val simulation = Simulation(seed, capacity = 60, scale = 12, stateLimits = StateLimits(80.0, 40.0, 4096, 12))
+        val upgrade = RollingUpgrade(simulation, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
+        simulation.begin(6, 100_000, machines = 40)
         var id = ""
         // Tasks of half a second end sooner than starts can follow, also without an upgrade, so that there is always
         // room.
-        r.clock.after(6000) {
+        simulation.clock.after(6000) {
             id =
-                r.users.submit {
-                    it.copy(
+                simulation.users.submit {
+                    it.anywhere().copy(
                         tasks = 20_000,
                         team = "red",
                         taskResources = Resources(1.0, 0.0, 0.5),
                         expectedS = 3.0,
-                        types = null,
-                        zone = null,
-                        together = false,
-                        spread = false,
-                        spotAllowed = true,
                         dueS = null,
                     )
                 }
@@ -107,10 +109,10 @@
         var atUpgrade = 0
 
         fun watch() {
-            val record = r.state.stored(JobTable.JOB + id)[JobTable.JOB + id]
+            val record = simulation.state.stored(JobTable.JOB + id)[JobTable.JOB + id]
             if (record != null && Fields.of(record, id).text("s") == "open") {
                 val written = BitSet()
-                for ((key, value) in r.state.stored(JobTable.PROGRESS + id + "/")) {
+                for ((key, value) in simulation.state.stored(JobTable.PROGRESS + id + "/")) {
                     val from = key.substringAfterLast('/').toInt()
                     for (i in BitSet.valueOf(Base64.getDecoder().decode(Fields.of(value, key).text("b"))).stream()) {
                         written.set(from + i)
@@ -121,22 +123,22 @@
                     "${written.cardinality()} of $most completions are left in the records",
                 )
                 most = written.cardinality()
-                if (r.clock.time < UPGRADE_MS) atUpgrade = most
+                if (simulation.clock.time < UPGRADE_MS) atUpgrade = most
                 checks++
             }
-            r.clock.after(100) { watch() }
+            simulation.clock.after(100) { watch() }
         }
-        r.clock.after(10_000) { watch() }
-        r.rules.calmFrom = 250_000
-        r.clock.runUntil(900_000)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(0, r.state.rejections)
+        simulation.clock.after(10_000) { watch() }
+        simulation.rules.calmFrom = 250_000
+        simulation.clock.runUntil(900_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(0, simulation.state.rejections)
         assertTrue(checks > 500 && most > 10_000, "$most completions seen in $checks checks")
         assertTrue(
             atUpgrade in 4000..18_000,
             "$atUpgrade completions were in the records when the first new leader could read them",
         )
-        assertTrue(r.rules.isDone(id), "${r.rules.completions} tasks were completed")
+        assertTrue(simulation.rules.isDone(id), "${simulation.rules.completions} tasks were completed")
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
@@ -12,13 +12,13 @@
     private fun violations(make: (Long) -> Simulation): Set<String> {
         val seen = HashSet<String>()
         for (seed in 1L..12L) {
-            val r = make(seed)
+            val simulation = make(seed)
             try {
-                playRandomDay(r, faults = 14)
+                playRandomDay(simulation, faults = 14)
             } catch (expected: IllegalStateException) {
                 seen.add("fake") // a fake found its protocol broken
             }
-            r.rules.violations.mapTo(seen) { it.substringBefore(' ') }
+            simulation.rules.violations.mapTo(seen) { it.substringBefore(' ') }
         }
         return seen
     }
@@ -39,11 +39,11 @@
     fun `late copies of reports that pass for new ones are noticed`() {
         val seen = HashSet<String>()
         for (seed in 1L..6L) {
-            val r = Simulation(seed, copiesLookNew = true)
-            r.network.copies = 0.05
-            r.begin(40, 100_000)
-            r.clock.runUntil(200_000)
-            r.rules.violations.mapTo(seen) { it.substringBefore(' ') }
+            val simulation = Simulation(seed, copiesLookNew = true)
+            simulation.network.copies = 0.05
+            simulation.begin(40, 100_000)
+            simulation.clock.runUntil(200_000)
+            simulation.rules.violations.mapTo(seen) { it.substringBefore(' ') }
         }
         assertTrue("ran_twice" in seen || "quota" in seen, "only $seen")
     }
@@ -52,27 +52,30 @@
     fun `a controller that takes promises for longer than they hold makes two leaders`() {
         val seen = HashSet<String>()
         for (seed in 1L..12L) {
-            val r = Simulation(seed, oddOptions = OperatorSettings(followerLeaseMs = 20_000))
-            r.begin(0, 1)
-            r.clock.after(
+            val simulation = Simulation(seed, oddOptions = OperatorSettings(followerLeaseMs = 20_000))
+            simulation.begin(0, 1)
+            simulation.clock.after(
                 15_000,
-            ) { r.nodes.filter { it.leads }.forEach { FaultInjection(r).isolate(it, 12_000, false) } }
-            r.clock.runUntil(30_000)
-            r.rules.violations.mapTo(seen) { it.substringBefore(' ') }
+            ) { simulation.nodes.filter { it.leads }.forEach { FaultInjection(simulation).isolate(it, 12_000, false) } }
+            simulation.clock.runUntil(30_000)
+            simulation.rules.violations.mapTo(seen) { it.substringBefore(' ') }
         }
         assertTrue("two_lead" in seen, "only $seen")
     }
 
     @Test
     fun `a job that nobody answers for is noticed`() {
-        val r = Simulation(4)
-        r.begin(10, 20_000)
-        r.clock.after(25_000) { r.state.outage(1_000_000) }
-        r.clock.after(30_000) { r.nodes.forEach { it.crash() } }
-        r.clock.after(35_000) { r.nodes.forEach { it.start() } }
-        r.rules.calmFrom = 40_000
-        r.clock.runUntil(160_000)
-        assertTrue(r.rules.violations.any { it.startsWith("forgotten") }, "only ${r.rules.violations}")
+        val simulation = Simulation(4)
+        simulation.begin(10, 20_000)
+        simulation.clock.after(25_000) { simulation.state.outage(1_000_000) }
+        simulation.clock.after(30_000) { simulation.nodes.forEach { it.crash() } }
+        simulation.clock.after(35_000) { simulation.nodes.forEach { it.start() } }
+        simulation.rules.calmFrom = 40_000
+        simulation.clock.runUntil(160_000)
+        assertTrue(
+            simulation.rules.violations.any { it.startsWith("forgotten") },
+            "only ${simulation.rules.violations}",
+        )
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -1,9 +1,11 @@
 package org.chalkhollow
 
-import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.simulation.FakeWorker
-import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.model.ExitCause
+import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.FakeWorker
+import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.addSpotMachines
+import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
@@ -18,37 +20,37 @@
      * [READY_MS].
      */
     private class Running(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
-        val r = Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, leaseMs / 1000.0, capacity = 20)
+        val simulation =
+            Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, leaseMs / 1000.0, capacity = 20)
         val id: String
 
         init {
-            r.network.loss = 0.0
-            r.network.late = 0.0
-            r.begin(0, 1, if (spot) 0 else machines, firstMs = 4000)
-            if (spot) repeat(machines) { r.cloud.add(r.types[0], r.zones[it % 2], true, 0) }
-            r.clock.runUntil(12_000)
-            id = r.users.submitService { it.copy(tasks = tasks, spotAllowed = spot) }
-            r.rules.calmFrom = READY_MS
-            r.clock.runUntil(READY_MS)
-            assertEquals(tasks, r.rules.services.up(id))
+            simulation.withReliableNetwork()
+            simulation.begin(0, 1, if (spot) 0 else machines, firstMs = 4000)
+            if (spot) simulation.addSpotMachines(machines)
+            simulation.clock.runUntil(12_000)
+            id = simulation.users.submitService { it.copy(tasks = tasks, spotAllowed = spot) }
+            simulation.rules.calmFrom = READY_MS
+            simulation.clock.runUntil(READY_MS)
+            assertEquals(tasks, simulation.rules.services.up(id))
         }
 
-        fun at(ms: Long, run: () -> Unit) = r.clock.after(ms - r.clock.time, run)
+        fun at(ms: Long, run: () -> Unit) = simulation.clock.after(ms - simulation.clock.time, run)
 
         fun holds() {
-            assertEquals(emptyList<String>(), r.rules.violations)
-            assertEquals(emptyList<String>(), r.rules.starved())
-            assertEquals(r.users.spec(id)?.tasks, r.rules.services.up(id))
+            assertEquals(emptyList<String>(), simulation.rules.violations)
+            assertEquals(emptyList<String>(), simulation.rules.starved())
+            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.up(id))
         }
     }
 
     /** What befalls a machine, and whether its lease has to be over before its replicas may begin elsewhere. */
     enum class Fault(private val waitsForLease: Boolean, private val reportMs: Long = 2500) {
         DIES(true) {
-            override fun strike(r: Simulation, w: FakeWorker) = r.cloud.kill(w.name)
+            override fun strike(simulation: Simulation, worker: FakeWorker) = simulation.cloud.kill(worker.name)
         },
         HANGS(true) {
-            override fun strike(r: Simulation, w: FakeWorker) = w.hang(60_000)
+            override fun strike(simulation: Simulation, worker: FakeWorker) = worker.hang(60_000)
         },
 
         /**
@@ -56,34 +58,39 @@
          * one up and turns to the next of three controllers.
          */
         DEAF(false, 15_000) {
-            override fun strike(r: Simulation, w: FakeWorker) = r.nodes.forEach { r.network.cutOneWay(it.label, w.name, 60_000) }
+            override fun strike(simulation: Simulation, worker: FakeWorker) {
+                for (node in simulation.nodes) simulation.network.cutOneWay(node.label, worker.name, 60_000)
+            }
         },
         CUT_OFF(false) {
-            override fun strike(r: Simulation, w: FakeWorker) = r.nodes.forEach { r.network.cut(it.label, w.name, 60_000, true) }
+            override fun strike(simulation: Simulation, worker: FakeWorker) {
+                for (node in simulation.nodes) simulation.network.cut(node.label, worker.name, 60_000, true)
+            }
         },
 
         /** The cloud says 15 s before that it takes the machine. */
         TAKEN(false) {
-            override fun strike(r: Simulation, w: FakeWorker) {
-                w.noticeAt = r.clock.time + 15_000
-                r.clock.after(15_000) { r.cloud.kill(w.name) }
+            override fun strike(simulation: Simulation, worker: FakeWorker) {
+                worker.noticeAt = simulation.clock.time + 15_000
+                simulation.clock.after(15_000) { simulation.cloud.kill(worker.name) }
             }
         },
         SICK(false) {
-            override fun strike(r: Simulation, w: FakeWorker) {
-                w.sick = true
-                for (t in w.onMachine()) w.end(t.job, t.index, ExitCause.ERROR)
+            override fun strike(simulation: Simulation, worker: FakeWorker) {
+                worker.sick = true
+                for (t in worker.onMachine()) worker.end(t.job, t.index, ExitCause.ERROR)
             }
-        };
+        }, ;
 
         /**
          * How long a replica may be down. A report is due every 2 s, give or take a quarter, and what one tells is
          * placed, written down and started within [REACT_MS]; an image takes 3 s at most. What waits for the lease
          * waits for as long as that is, and 0.1% for clocks that drift.
          */
-        fun mostDownMs(leaseMs: Long) = (if (waitsForLease) leaseMs + leaseMs / 1000 else reportMs) + REACT_MS + FETCH_MS
+        fun mostDownMs(leaseMs: Long) =
+            (if (waitsForLease) leaseMs + leaseMs / 1000 else reportMs) + REACT_MS + FETCH_MS
 
-        abstract fun strike(r: Simulation, w: FakeWorker)
+        abstract fun strike(simulation: Simulation, worker: FakeWorker)
     }
 
     @ParameterizedTest
@@ -91,49 +98,70 @@
     fun `a service runs elsewhere when something befalls its machine`(fault: Fault) {
         val broken = ArrayList<String>()
         for ((seed, leaseMs) in listOf(1L to 8000L, 2L to 16_000L, 3L to 22_000L)) {
-            val s = Running(seed, leaseMs, spot = fault == Fault.TAKEN)
-            val struck = s.r.cloud.workers.first { it.onMachine().isNotEmpty() }
-            fault.strike(s.r, struck)
-            s.r.clock.runUntil(READY_MS + leaseMs + 30_000)
-            s.holds()
+            val running = Running(seed, leaseMs, spot = fault == Fault.TAKEN)
+            val struck =
+                running.simulation.cloud.workers
+                    .first { it.onMachine().isNotEmpty() }
+            fault.strike(running.simulation, struck)
+            running.simulation.clock.runUntil(READY_MS + leaseMs + 30_000)
+            running.holds()
             assertTrue(struck.onMachine().isEmpty(), "seed $seed: replicas are back on ${struck.name}")
-            val down = s.r.rules.services.longestDownMs(s.id, READY_MS)
-            if (down > fault.mostDownMs(leaseMs)) broken.add("seed $seed, lease $leaseMs: down for $down ms of ${fault.mostDownMs(leaseMs)}")
+            val down =
+                running.simulation.rules.services
+                    .longestDownMs(running.id, READY_MS)
+            val most = fault.mostDownMs(leaseMs)
+            if (down > most) broken.add("seed $seed, lease $leaseMs: down for $down ms of $most")
         }
         assertEquals(emptyList<String>(), broken)
     }
 
-    enum class Loss { LEADER_CRASHES, LEADERS_CHANGE_OFTEN, ALL_CRASH, ROLLING_RESTART, STATE_OUTAGE, OUTAGE_WITH_CRASH }
+    enum class Loss {
+        LEADER_CRASHES,
+        LEADERS_CHANGE_OFTEN,
+        ALL_CRASH,
+        ROLLING_RESTART,
+        STATE_OUTAGE,
+        OUTAGE_WITH_CRASH,
+    }
 
     @ParameterizedTest
     @EnumSource
     fun `replicas run on when controllers or the state service fail for less than a lease`(loss: Loss) {
         for (seed in 1L..3L) {
-            val s = Running(seed, 16_000)
-            val r = s.r
-            val starts = r.rules.starts
-            fun crash(backMs: Long, all: Boolean = false) = r.nodes.filter { all || it.leads }.forEach { n ->
-                n.crash()
-                r.clock.after(backMs) { n.start() }
+            val running = Running(seed, 16_000)
+            val simulation = running.simulation
+            val starts = simulation.rules.starts
+
+            fun crash(backMs: Long, all: Boolean = false) {
+                for (node in simulation.nodes.filter { all || it.leads }) {
+                    node.crash()
+                    simulation.clock.after(backMs) { node.start() }
+                }
             }
             when (loss) {
                 Loss.LEADER_CRASHES -> crash(5000)
-                Loss.LEADERS_CHANGE_OFTEN -> for (i in 0L..5L) s.at(READY_MS + i * 10_000) { crash(2000) }
+                Loss.LEADERS_CHANGE_OFTEN -> for (i in 0L..5L) running.at(READY_MS + i * 10_000) { crash(2000) }
                 Loss.ALL_CRASH -> crash(6000, all = true)
-                Loss.ROLLING_RESTART -> r.nodes.forEachIndexed { i, n ->
-                    s.at(READY_MS + i * 8000L) { n.crash() }
-                    s.at(READY_MS + i * 8000L + 6000) { n.start() }
-                }
-                Loss.STATE_OUTAGE -> r.state.outage(14_000)
+                Loss.ROLLING_RESTART ->
+                    simulation.nodes.forEachIndexed { i, node ->
+                        running.at(READY_MS + i * 8000L) { node.crash() }
+                        running.at(READY_MS + i * 8000L + 6000) { node.start() }
+                    }
+                Loss.STATE_OUTAGE -> simulation.state.outage(14_000)
                 Loss.OUTAGE_WITH_CRASH -> {
-                    r.state.outage(6000)
-                    s.at(READY_MS + 1000) { crash(1000) }
+                    simulation.state.outage(6000)
+                    running.at(READY_MS + 1000) { crash(1000) }
                 }
             }
-            r.clock.runUntil(READY_MS + 120_000)
-            s.holds()
-            assertEquals(starts, r.rules.starts, "$loss, seed $seed: replicas began again")
-            assertEquals(1.0, r.rules.services.share(s.id, READY_MS, r.clock.time), 1e-9, "$loss, seed $seed")
+            simulation.clock.runUntil(READY_MS + 120_000)
+            running.holds()
+            assertEquals(starts, simulation.rules.starts, "$loss, seed $seed: replicas began again")
+            assertEquals(
+                1.0,
+                simulation.rules.services.share(running.id, READY_MS, simulation.clock.time),
+                1e-9,
+                "$loss, seed $seed",
+            )
         }
     }
 
@@ -147,27 +175,37 @@
         everyMs: Long,
         neverUp: Double? = null,
     ): Pair<Simulation, List<String>> {
-        val s = Running(seed, 8000, machines = 8, tasks = 6)
-        val r = s.r
-        neverUp?.let { r.cloud.neverUp = it }
-        val other = r.users.submitService { it.copy(team = "red", tasks = 5, spread = spread, together = !spread) }
-        r.clock.runUntil(READY_MS + 10_000)
-        assertEquals(5, r.rules.services.up(other))
-        for (at in 0L until 300_000 step everyMs) s.at(READY_MS + 10_000 + at) {
-            val up = r.cloud.workers.filter { it.onMachine().isNotEmpty() }
-            if (up.isNotEmpty()) r.cloud.kill(up[r.clock.random.nextInt(up.size)].name)
+        val running = Running(seed, 8000, machines = 8, tasks = 6)
+        val simulation = running.simulation
+        neverUp?.let { simulation.cloud.neverUp = it }
+        val other =
+            simulation.users.submitService {
+                it.copy(
+                    team = "red",
+                    tasks = 5,
+                    spread = spread,
+                    together = !spread,
+                )
+            }
+        simulation.clock.runUntil(READY_MS + 10_000)
+        assertEquals(5, simulation.rules.services.up(other))
+        for (at in 0L until 300_000 step everyMs) {
+            running.at(READY_MS + 10_000 + at) {
+                val up = simulation.cloud.workers.filter { it.onMachine().isNotEmpty() }
+                if (up.isNotEmpty()) simulation.cloud.kill(up[simulation.clock.random.nextInt(up.size)].name)
+            }
         }
-        r.clock.runUntil(READY_MS + 360_000)
-        s.holds()
-        assertEquals(5, r.rules.services.up(other))
-        return r to listOf(s.id, other)
+        simulation.clock.runUntil(READY_MS + 360_000)
+        running.holds()
+        assertEquals(5, simulation.rules.services.up(other))
+        return simulation to listOf(running.id, other)
     }
 
     @ParameterizedTest
     @CsvSource("1,true", "2,true", "3,true", "4,false", "5,false", "6,false")
     fun `spread and together hold through many moves`(seed: Long, spread: Boolean) {
-        val (r, _) = moves(seed, spread, 10_000)
-        assertTrue(r.rules.starts > 40, "only ${r.rules.starts} starts")
+        val (simulation, _) = moves(seed, spread, 10_000)
+        assertTrue(simulation.rules.starts > 40, "only ${simulation.rules.starts} starts")
     }
 
     /**
@@ -176,13 +214,22 @@
      */
     @ParameterizedTest
     @CsvSource(
-        "1,true", "2,true", "3,true", "4,false", "5,false", "6,false", "7,true", "8,true", "9,false", "10,false",
+        "1,true",
+        "2,true",
+        "3,true",
+        "4,false",
+        "5,false",
+        "6,false",
+        "7,true",
+        "8,true",
+        "9,false",
+        "10,false",
     )
     fun `no move takes longer than the lease and a new machine`(seed: Long, spread: Boolean) {
-        val (r, ids) = moves(seed, spread, 35_000, neverUp = 0.0)
+        val (simulation, ids) = moves(seed, spread, 35_000, neverUp = 0.0)
         val most = Fault.DIES.mostDownMs(8000) + BOOT_MS
         for (id in ids) {
-            val down = r.rules.services.longestDownMs(id, READY_MS + 10_000)
+            val down = simulation.rules.services.longestDownMs(id, READY_MS + 10_000)
             assertTrue(down <= most, "$id: a replica was down for $down ms of $most")
         }
     }
@@ -190,15 +237,24 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `a service withdrawn while its machines are out of reach is gone in time`(seed: Long) {
-        val s = Running(seed, 16_000)
-        val r = s.r
-        val busy = r.cloud.workers.filter { it.onMachine().isNotEmpty() }
-        for (w in busy) for (n in r.nodes) r.network.cut(n.label, w.name, 12_000, true)
-        r.users.cancel(s.id)
-        r.clock.runUntil(READY_MS + 2000 + r.cancelMs)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals("aborted", r.users.statesTold(s.id).last())
-        assertTrue(r.cloud.workers.all { it.onMachine().isEmpty() })
+        val running = Running(seed, 16_000)
+        val simulation = running.simulation
+        val busy = simulation.cloud.workers.filter { it.onMachine().isNotEmpty() }
+        for (worker in busy) {
+            for (node in simulation.nodes) {
+                simulation.network.cut(
+                    node.label,
+                    worker.name,
+                    12_000,
+                    true,
+                )
+            }
+        }
+        simulation.users.cancel(running.id)
+        simulation.clock.runUntil(READY_MS + 2000 + simulation.cancelMs)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals("aborted", simulation.users.statesTold(running.id).last())
+        assertTrue(simulation.cloud.workers.all { it.onMachine().isEmpty() })
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/StarvationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/StarvationTest.kt
@@ -4,6 +4,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.anywhere
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -12,22 +13,17 @@
 class StarvationTest {
     /** Urgent work takes every machine for as long as it comes, while a few wide jobs of no urgency wait. */
     private fun overload(patienceS: Double): Simulation {
-        val r = Simulation(6, OperatorSettings(patienceS = patienceS, idleReturnS = 900.0))
-        r.begin(0, 1)
+        val simulation = Simulation(6, OperatorSettings(patienceS = patienceS, idleReturnS = 900.0))
+        simulation.begin(0, 1)
         for (i in 0 until 800) {
-            r.clock.after(1000 + i * 800L) {
-                r.users.submit {
-                    it.copy(
+            simulation.clock.after(1000 + i * 800L) {
+                simulation.users.submit {
+                    it.anywhere().copy(
                         workload = "urgent",
                         team = "red",
                         priority = Priority.HIGH,
                         tasks = 10,
                         taskResources = Resources(4.0, 0.0, 4.0),
-                        types = null,
-                        zone = null,
-                        together = false,
-                        spread = false,
-                        spotAllowed = true,
                         expectedS = 10.0,
                         dueS = 60.0,
                     )
@@ -35,27 +31,22 @@
             }
         }
         repeat(3) { i ->
-            r.clock.after(30_000 + i * 1000L) {
-                r.users.submit {
-                    it.copy(
+            simulation.clock.after(30_000 + i * 1000L) {
+                simulation.users.submit {
+                    it.anywhere().copy(
                         workload = "wide",
                         team = "red",
                         priority = Priority.BEST_EFFORT,
                         tasks = 12,
                         taskResources = Resources(4.0, 0.0, 4.0),
-                        types = null,
-                        zone = null,
-                        together = false,
-                        spread = false,
-                        spotAllowed = true,
                         expectedS = 5.0,
                     )
                 }
             }
         }
-        r.clock.runUntil(600_000)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        return r
+        simulation.clock.runUntil(600_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        return simulation
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/compat/Recording.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/Recording.kt
@@ -8,6 +8,7 @@
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.unconstrained
 import org.chalkhollow.wire.Pack
 import java.nio.file.Files
 import java.nio.file.Path
@@ -48,47 +49,41 @@
 
     /** A day on which every kind is written; [onWrite] and [onFrame] get all of it. */
     fun day(seed: Long, onWrite: (String, ByteArray) -> Unit, onFrame: (ByteArray) -> Unit): Simulation {
-        val r = Simulation(seed)
-        r.state.onWrite = { key, bytes -> if (bytes != null) onWrite(key, bytes) }
-        r.onFrame = onFrame
-        r.begin(25, 60_000)
+        val simulation = Simulation(seed)
+        simulation.state.onWrite = { key, bytes -> if (bytes != null) onWrite(key, bytes) }
+        simulation.onFrame = onFrame
+        simulation.begin(25, 60_000)
         for (shape in listOf(Shape.GANG, Shape.SERVICE)) {
-            r.clock.after(8000) {
-                r.users.submit {
-                    it.copy(
+            simulation.clock.after(8000) {
+                simulation.users.submit {
+                    it.unconstrained().copy(
                         shape = shape,
                         tasks = 3,
-                        types = null,
-                        zone = null,
-                        together = false,
-                        spread = false,
                     )
                 }
             }
         }
-        r.clock.after(9000) {
-            r.users.submit {
-                it.copy(
+        simulation.clock.after(9000) {
+            simulation.users.submit {
+                it.unconstrained().copy(
                     tasks = 2000,
                     expectedS = 0.5,
-                    types = null,
-                    zone = null,
-                    together = false,
-                    spread = false,
                 )
             }
         }
-        FaultInjection(r).draw(4, 50_000, 70_000)
-        r.clock.after(25_000) {
+        FaultInjection(simulation).draw(4, 50_000, 70_000)
+        simulation.clock.after(25_000) {
             // an election, and a leader that makes way
-            r.nodes.firstOrNull { it.leads }?.let { n ->
+            simulation.nodes.firstOrNull { it.leads }?.let { n ->
                 n.crash()
-                r.clock.after(6000) { n.start() }
+                simulation.clock.after(6000) { n.start() }
             }
         }
-        r.clock.after(40_000) { r.nodes.firstOrNull { it.leads }?.let { r.state.refuse(it.label, 8000) } }
-        r.clock.runUntil(120_000)
-        return r
+        simulation.clock.after(40_000) {
+            simulation.nodes.firstOrNull { it.leads }?.let { simulation.state.refuse(it.label, 8000) }
+        }
+        simulation.clock.runUntil(120_000)
+        return simulation
     }
 
     /**
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultInjection.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultInjection.kt
@@ -1,111 +1,126 @@
 package org.chalkhollow.simulation
 
 /** Draws faults of every kind that the protocol names, alone and on top of each other. */
-class FaultInjection(private val r: Simulation) {
-    private val clock = r.clock
+class FaultInjection(private val simulation: Simulation) {
+    private val clock = simulation.clock
 
     fun draw(count: Int, fromMs: Long, toMs: Long) {
         repeat(count) { clock.after(clock.between(fromMs, toMs)) { one() } }
     }
 
     private fun one() {
-        if (r.verbose) println("${clock.time} -- fault")
-        val node = r.nodes[clock.random.nextInt(r.nodes.size)]
-        val worker =
-            r.cloud.workers.filter { it.present }.let {
-                if (it.isEmpty()) {
-                    null
-                } else {
-                    it[
-                        clock.random.nextInt(
-                            it.size,
-                        ),
-                    ]
+        if (simulation.verbose) println("${clock.time} -- fault")
+        val node = simulation.nodes[clock.random.nextInt(simulation.nodes.size)]
+        val present = simulation.cloud.workers.filter { it.present }
+        val worker = if (present.isEmpty()) null else present[clock.random.nextInt(present.size)]
+        val kind = Kind.entries[clock.random.nextInt(Kind.entries.size)]
+        when (kind.of) {
+            Target.MACHINE -> worker?.let { strikeMachine(it, kind) }
+            Target.LINK -> strikeLinks(node, kind)
+            Target.CONTROLLER -> strikeController(node, kind)
+        }
+    }
+
+    /** What befalls a controller. */
+    private fun strikeController(node: SimulatedController, kind: Kind) {
+        when (kind) {
+            Kind.CRASH -> crash(node, clock.between(5000, 9000))
+            Kind.QUICK_RESTART -> crash(node, clock.between(50, 500))
+            Kind.LEADER_CRASH -> simulation.nodes.filter { it.leads }.forEach { crash(it, clock.between(3000, 9000)) }
+            Kind.ALL_CRASH -> simulation.nodes.forEach { crash(it, clock.between(3000, 9000)) }
+            Kind.FLAPPING ->
+                simulation.nodes
+                    .filter { it.leads || clock.chance(0.3) }
+                    .forEach { flap(it, 1 + clock.random.nextInt(4)) }
+            else -> throw IllegalArgumentException("$kind is no fault of a controller")
+        }
+    }
+
+    /** What befalls the services, and a controller's links to them and to its peers. */
+    private fun strikeLinks(node: SimulatedController, kind: Kind) {
+        when (kind) {
+            Kind.STATE_OUTAGE -> simulation.state.outage(clock.between(2000, 25_000))
+            Kind.STATE_REFUSES -> simulation.state.refuse(node.label, clock.between(3000, 20_000))
+            Kind.CUT_FROM_PEERS ->
+                for (peer in simulation.nodes.filter { it !== node }) {
+                    simulation.network.cut(node.label, peer.label, clock.between(3000, 20_000), clock.chance(0.5))
                 }
+            Kind.ISOLATION -> isolate(node, clock.between(3000, 30_000), clock.chance(0.5))
+            Kind.CUT_FROM_SERVICE -> {
+                val service = if (clock.chance(0.5)) FakeStateService.NAME else FakeCloud.NAME
+                simulation.network.cut(node.label, service, clock.between(2000, 15_000), clock.chance(0.5))
             }
-        when (clock.random.nextInt(KINDS)) {
-            0 -> crash(node, clock.between(5000, 9000))
-            1 -> crash(node, clock.between(50, 500))
-            2 -> r.nodes.filter { it.leads }.forEach { crash(it, clock.between(3000, 9000)) }
-            3 -> r.nodes.forEach { crash(it, clock.between(3000, 9000)) }
-            4 -> r.state.outage(clock.between(2000, 25_000))
-            5 -> r.state.refuse(node.label, clock.between(3000, 20_000))
-            6 ->
-                r.nodes
-                    .filter {
-                        it !== node
-                    }.forEach { r.network.cut(node.label, it.label, clock.between(3000, 20_000), clock.chance(0.5)) }
-            7 ->
-                worker?.let { w ->
-                    r.nodes.forEach { r.network.cut(it.label, w.name, clock.between(3000, 30_000), clock.chance(0.6)) }
-                }
-            8 -> worker?.hang(clock.between(1000, 15_000))
-            9 -> worker?.let { r.cloud.kill(it.name) }
-            10 ->
-                worker?.let { w ->
-                    w.sick = true
-                    clock.after(20_000) { w.sick = false }
-                }
-            11 ->
-                worker?.let { w ->
-                    r.nodes.forEach { r.network.cutOneWay(it.label, w.name, clock.between(5000, 40_000)) }
-                }
-            12 -> isolate(node, clock.between(3000, 30_000), clock.chance(0.5))
-            13 -> r.nodes.filter { it.leads || clock.chance(0.3) }.forEach { flap(it, 1 + clock.random.nextInt(4)) }
-            14 -> worker?.reboot()
-            else ->
-                r.network.cut(
-                    node.label,
-                    if (clock.chance(0.5)) FakeStateService.NAME else FakeCloud.NAME,
-                    clock.between(2000, 15_000),
-                    clock.chance(0.5),
-                )
+            else -> throw IllegalArgumentException("$kind is no fault of a link or service")
         }
     }
 
-    /** What strikes many at once: a share of the machines dies, hangs or is taken, or a zone falls away. */
-    fun mass(kind: Int) {
-        val up = r.cloud.workers.filter { it.present }
-
-        fun some(share: Int) = up.filter { clock.random.nextInt(share) == 0 }
+    /** What befalls a machine. */
+    private fun strikeMachine(worker: FakeWorker, kind: Kind) {
         when (kind) {
-            0 -> some(15).forEach { r.cloud.kill(it.name) }
-            1 -> some(12).forEach { it.hang(clock.between(10_000, 35_000)) }
-            2 ->
-                up.filter { it.spot && clock.chance(0.5) }.forEach { w ->
-                    clock.after(clock.between(0, 5000)) { r.cloud.kill(w.name) }
+            Kind.MACHINE_CUT_OFF ->
+                for (node in simulation.nodes) {
+                    simulation.network.cut(node.label, worker.name, clock.between(3000, 30_000), clock.chance(0.6))
                 }
-            3 -> cutZone(r.zones.last(), 47_000)
-            4 -> r.nodes.forEach { crash(it, clock.between(200, 8000)) }
-            5 -> r.nodes.forEachIndexed { i, n -> clock.after(i * 12_000L) { crash(n, 8000) } }
-            6 ->
-                r.nodes.filter { it.leads }.forEach { n ->
-                    up.forEach { r.network.cut(n.label, it.name, 37_000, true) }
+            Kind.MACHINE_HANGS -> worker.hang(clock.between(1000, 15_000))
+            Kind.MACHINE_DIES -> simulation.cloud.kill(worker.name)
+            Kind.MACHINE_FAULTY -> {
+                worker.sick = true
+                clock.after(20_000) { worker.sick = false }
+            }
+            Kind.MACHINE_DEAF ->
+                for (node in simulation.nodes) {
+                    simulation.network.cutOneWay(node.label, worker.name, clock.between(5000, 40_000))
                 }
-            else -> throw IllegalArgumentException("kind $kind")
+            Kind.MACHINE_REBOOTS -> worker.reboot()
+            else -> throw IllegalArgumentException("$kind is no fault of a machine")
+        }
+    }
+
+    /** What strikes many at once. */
+    fun mass(fault: MassFault) {
+        val present = simulation.cloud.workers.filter { it.present }
+
+        fun oneIn(share: Int) = present.filter { clock.random.nextInt(share) == 0 }
+        when (fault) {
+            MassFault.MACHINES_DIE -> oneIn(15).forEach { simulation.cloud.kill(it.name) }
+            MassFault.MACHINES_HANG -> oneIn(12).forEach { it.hang(clock.between(10_000, 35_000)) }
+            MassFault.SPOT_MACHINES_TAKEN -> takeSpotMachines()
+            MassFault.ZONE_CUT_OFF -> cutZone(simulation.zones.last(), 47_000)
+            MassFault.CONTROLLERS_RESTART -> simulation.nodes.forEach { crash(it, clock.between(200, 8000)) }
+            MassFault.ROLLING_RESTART ->
+                simulation.nodes.forEachIndexed { index, node -> clock.after(index * 12_000L) { crash(node, 8000) } }
+            MassFault.LEADER_CUT_FROM_MACHINES -> cutLeaderFromMachines()
+        }
+    }
+
+    private fun takeSpotMachines() {
+        for (worker in simulation.cloud.workers.filter { it.present && it.spot && clock.chance(0.5) }) {
+            clock.after(clock.between(0, 5000)) { simulation.cloud.kill(worker.name) }
+        }
+    }
+
+    private fun cutLeaderFromMachines() {
+        for (leader in simulation.nodes.filter { it.leads }) {
+            for (worker in simulation.cloud.workers.filter { it.present }) {
+                simulation.network.cut(leader.label, worker.name, 37_000, true)
+            }
         }
     }
 
     /** Everything in [zone] goes on among itself; what it says to the rest is held back. */
     fun cutZone(zone: String, forMs: Long) {
-        val inside =
-            r.nodes.filterIndexed { i, _ -> i % 2 == 1 }.map { it.label } +
-                r.cloud.workers
-                    .filter { it.zone == zone }
-                    .map { it.name }
-        val outside =
-            r.nodes.filterIndexed { i, _ -> i % 2 == 0 }.map { it.label } +
-                r.cloud.workers
-                    .filter { it.zone != zone }
-                    .map { it.name } +
-                listOf(FakeStateService.NAME, FakeCloud.NAME, Users.USERS)
-        for (a in inside) for (b in outside) r.network.cut(a, b, forMs, true)
+        val (nodesInside, nodesOutside) = simulation.nodes.withIndex().partition { it.index % 2 == 1 }
+        val (workersInside, workersOutside) = simulation.cloud.workers.partition { it.zone == zone }
+        val inside = nodesInside.map { it.value.label } + workersInside.map { it.name }
+        val services = listOf(FakeStateService.NAME, FakeCloud.NAME, Users.NAME)
+        val outside = nodesOutside.map { it.value.label } + workersOutside.map { it.name } + services
+        for (end in inside) for (otherEnd in outside) simulation.network.cut(end, otherEnd, forMs, true)
     }
 
     /** A controller loses the state service and its peers, while workers and users still reach it. */
     fun isolate(node: SimulatedController, forMs: Long, holds: Boolean) {
-        r.network.cut(node.label, FakeStateService.NAME, forMs, holds)
-        r.nodes.filter { it !== node }.forEach { r.network.cut(node.label, it.label, forMs, holds) }
+        simulation.network.cut(node.label, FakeStateService.NAME, forMs, holds)
+        simulation.nodes.filter { it !== node }.forEach { simulation.network.cut(node.label, it.label, forMs, holds) }
     }
 
     /** A process ends and is back in no time, over and over, so that some of it falls into an election. */
@@ -114,12 +129,41 @@
         if (times > 1) clock.after(clock.between(500, 3500)) { flap(node, times - 1) }
     }
 
-    private fun crash(node: SimulatedController, backAfterMs: Long) {
+    fun crash(node: SimulatedController, backAfterMs: Long) {
         node.crash()
         clock.after(backAfterMs) { node.start() }
     }
 
-    private companion object {
-        const val KINDS = 16
+    /** The kinds of fault that [draw] chooses from; seeds depend on their order. */
+    private enum class Kind(val of: Target) {
+        CRASH(Target.CONTROLLER),
+        QUICK_RESTART(Target.CONTROLLER),
+        LEADER_CRASH(Target.CONTROLLER),
+        ALL_CRASH(Target.CONTROLLER),
+        STATE_OUTAGE(Target.LINK),
+        STATE_REFUSES(Target.LINK),
+        CUT_FROM_PEERS(Target.LINK),
+        MACHINE_CUT_OFF(Target.MACHINE),
+        MACHINE_HANGS(Target.MACHINE),
+        MACHINE_DIES(Target.MACHINE),
+        MACHINE_FAULTY(Target.MACHINE),
+        MACHINE_DEAF(Target.MACHINE),
+        ISOLATION(Target.LINK),
+        FLAPPING(Target.CONTROLLER),
+        MACHINE_REBOOTS(Target.MACHINE),
+        CUT_FROM_SERVICE(Target.LINK),
     }
+
+    private enum class Target { CONTROLLER, LINK, MACHINE }
+}
+
+/** Faults that strike many at once; seeds depend on their order. */
+enum class MassFault {
+    MACHINES_DIE,
+    MACHINES_HANG,
+    SPOT_MACHINES_TAKEN,
+    ZONE_CUT_OFF,
+    CONTROLLERS_RESTART,
+    ROLLING_RESTART,
+    LEADER_CUT_FROM_MACHINES,
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
@@ -10,10 +10,16 @@
  * end.
  */
 class FaultScenario(seed: Long, leaseMs: Long = 16_000, verbose: Boolean = false, controllers: Int = 3) {
-    val r =
+    val simulation =
         Simulation(seed, leaseMs = leaseMs, toldLeaseS = leaseMs / 1000.0, controllers = controllers, verbose = verbose)
-    val faults = FaultInjection(r)
-    val clock get() = r.clock
+    val faults = FaultInjection(simulation)
+    val clock get() = simulation.clock
+    val network get() = simulation.network
+    val state get() = simulation.state
+    val cloud get() = simulation.cloud
+    val nodes get() = simulation.nodes
+    val users get() = simulation.users
+    val rules get() = simulation.rules
 
     /** Jobs that run for minutes. */
     val long = ArrayList<String>()
@@ -24,42 +30,51 @@
     /** Calls off [count] jobs that run and have long to go, as [Users.cancelNow]. */
     fun cancelNow(count: Int, hangMs: Long = 0) {
         calls++
-        called.addAll(r.users.cancelNow(count, hangMs))
+        called.addAll(users.cancelNow(count, hangMs))
     }
 
     fun cancel(id: String) {
         calls++
         called.add(id)
-        r.users.cancel(id)
+        users.cancel(id)
     }
 
-    fun leader(): SimulatedController? = r.nodes.firstOrNull { it.leads }
+    fun leader(): SimulatedController? = nodes.firstOrNull { it.leads }
+
+    /** Ends [node] and starts it again after [backMs]. */
+    fun crash(node: SimulatedController, backMs: Long) = faults.crash(node, backMs)
+
+    /** Ends the leader, if there is one, and starts it again after [backMs]. */
+    fun crashLeader(backMs: Long) {
+        leader()?.let { crash(it, backMs) }
+    }
+
+    /** Cuts [worker] off from every controller; with [holds], messages are delivered when that is over. */
+    fun cutOff(worker: FakeWorker, forMs: Long, holds: Boolean) {
+        for (node in nodes) network.cut(node.label, worker.name, forMs, holds)
+    }
+
+    /** Has [worker] hear no controller, while its own messages arrive. */
+    fun deafen(worker: FakeWorker, forMs: Long) {
+        for (node in nodes) network.cutOneWay(node.label, worker.name, forMs)
+    }
 
     fun at(ms: Long, run: () -> Unit) {
         clock.after(ms - clock.time, run)
     }
 
     /** Machines that run something now. */
-    fun busy(): List<FakeWorker> = r.cloud.workers.filter { it.onMachine().isNotEmpty() }
+    fun busy(): List<FakeWorker> = cloud.workers.filter { it.onMachine().isNotEmpty() }
 
     /** Short jobs that go on arriving, and [long] ones that run from before the faults. */
     fun begin(jobs: Int = 24, long: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
-        r.begin(jobs, overMs, machines = 6)
+        simulation.begin(jobs, overMs, machines = 6)
         repeat(long) { i ->
             at(6000L + i * 300) {
                 this.long.add(
-                    r.users.submit {
+                    users.submit {
                         change(
-                            plain(
-                                it,
-                                if (i % 2 ==
-                                    0
-                                ) {
-                                    "red"
-                                } else {
-                                    "blue"
-                                },
-                            ),
+                            plain(it, if (i % 2 == 0) "red" else "blue"),
                         )
                     },
                 )
@@ -69,16 +84,11 @@
 
     /** A job of three small tasks that may run anywhere, for one to four minutes. */
     fun plain(spec: JobSpec, team: String = spec.team): JobSpec =
-        spec.copy(
+        spec.anywhere().copy(
             team = team,
             workload = "long",
             tasks = 3,
             taskResources = Resources(2.0, 0.0, 2.0),
-            types = null,
-            zone = null,
-            together = false,
-            spread = false,
-            spotAllowed = true,
             expectedS = 150.0,
             dueS = null,
         )
@@ -86,21 +96,21 @@
     /** Plays the day; its faults are over at [calmMs]. */
     fun play(calmMs: Long, servesAll: Boolean = true) {
         at(calmMs) {
-            r.network.copies = 0.0
-            r.network.held = 0.0
-            r.users.cancelAtEnd = 0.0
+            network.copies = 0.0
+            network.held = 0.0
+            users.cancelAtEnd = 0.0
         }
-        r.rules.calmFrom = calmMs
+        rules.calmFrom = calmMs
         clock.runUntil(calmMs + AFTER_MS)
         holds()
-        if (servesAll) assertEquals(emptyList<String>(), r.rules.starved())
+        if (servesAll) assertEquals(emptyList<String>(), rules.starved())
     }
 
     fun holds() {
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertTrue(r.rules.starts > 0, "nothing was started")
+        assertEquals(emptyList<String>(), rules.violations)
+        assertTrue(rules.starts > 0, "nothing was started")
         if (calls > 0) assertTrue(called.isNotEmpty(), "nothing was there to be called off")
-        assertEquals(emptyList<String>(), called.filter { !r.rules.isFinal(it) }, "cancellations without an answer")
+        assertEquals(emptyList<String>(), called.filter { !rules.isFinal(it) }, "cancellations without an answer")
     }
 
     companion object {
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/simulation/QuietSimulation.kt
@@ -0,0 +1,31 @@
+package org.chalkhollow.simulation
+
+import org.chalkhollow.settings.OperatorSettings
+import org.junit.jupiter.api.Assertions.assertEquals
+
+/** Has the network lose and delay nothing by chance. */
+fun Simulation.withReliableNetwork(): Simulation =
+    apply {
+        network.loss = 0.0
+        network.late = 0.0
+    }
+
+/** Adds [count] spot machines of the first type that run at once, in turn in [zones]. */
+fun Simulation.addSpotMachines(count: Int, zones: List<String> = this.zones) {
+    repeat(count) { cloud.add(types[0], zones[it % zones.size], true, 0) }
+}
+
+/** A simulation without chance faults at 12 s: its [machines] are up, it has a leader and no job yet. */
+fun quietSimulation(seed: Long, patienceS: Double = 200.0, machines: Int = 6, capacity: Int = 14): Simulation {
+    val options = OperatorSettings(idleReturnS = 900.0, patienceS = patienceS)
+    val simulation = Simulation(seed, options, capacity = capacity).withReliableNetwork()
+    simulation.begin(0, 1, machines, firstMs = 4000)
+    simulation.clock.runUntil(12_000)
+    return simulation
+}
+
+/** No rule was broken, and no class or team of jobs was starved. */
+fun Simulation.assertRulesHold() {
+    assertEquals(emptyList<String>(), rules.violations)
+    assertEquals(emptyList<String>(), rules.starved())
+}
--- a/src/test/kotlin/org/chalkhollow/simulation/RollingUpgrade.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RollingUpgrade.kt
@@ -8,12 +8,12 @@
  * the state service has the limits [then].
  */
 class RollingUpgrade(
-    private val r: Simulation,
+    private val simulation: Simulation,
     private val next: StateLimits,
     private val atOnce: Int,
     private val then: StateLimits = next,
 ) {
-    private val clock = r.clock
+    private val clock = simulation.clock
 
     /** When all controllers ran the new version, and when the limits were lowered. */
     var allNewAt = Long.MAX_VALUE
@@ -22,20 +22,20 @@
         private set
 
     init {
-        r.onStart = ::greetings
+        simulation.onStart = ::greetings
     }
 
     /** Whoever starts connects to all that run, and they to it. */
     private fun greetings(node: SimulatedController) {
-        for (other in r.nodes) {
+        for (other in simulation.nodes) {
             if (other === node || !other.alive) continue
-            other.greet(r.indexAt(other.label, node.label), node.label, node.version)
-            node.greet(r.indexAt(node.label, other.label), other.label, other.version)
+            other.greet(simulation.indexAt(other.label, node.label), node.label, node.version)
+            node.greet(simulation.indexAt(node.label, other.label), other.label, other.version)
         }
     }
 
     fun begin(fromMs: Long) {
-        val order = r.nodes.sortedBy { clock.random.nextInt() }.chunked(atOnce)
+        val order = simulation.nodes.sortedBy { clock.random.nextInt() }.chunked(atOnce)
         var at = fromMs
         for (group in order) {
             clock.after(at) { group.forEach(::replace) }
@@ -46,15 +46,15 @@
 
     private fun replace(node: SimulatedController) {
         node.crash()
-        node.upgrade(r.settingsWith(node.label, next))
+        node.upgrade(simulation.settingsWith(node.label, next))
         clock.after(clock.between(4000, 8000)) { node.start() }
     }
 
     private fun awaitNew() {
-        if (r.nodes.any { !it.alive }) return clock.after(200) { awaitNew() }
+        if (simulation.nodes.any { !it.alive }) return clock.after(200) { awaitNew() }
         allNewAt = clock.time
         clock.after(clock.between(100, 15_000)) {
-            r.state.lowered = then
+            simulation.state.lowered = then
             loweredAt = clock.time
         }
     }
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -122,11 +122,11 @@
         }
         clock.after(waitMs) { settle(null) }
         val node = simulation.nodes[clock.random.nextInt(simulation.nodes.size)]
-        simulation.network.send(USERS, node.label) {
+        simulation.network.send(NAME, node.label) {
             val heard =
                 node.user(ask) { a ->
                     val said = clock.time
-                    simulation.network.send(node.label, USERS) {
+                    simulation.network.send(node.label, NAME) {
                         saidAt = said
                         settle(a)
                     }
@@ -326,6 +326,6 @@
     }
 
     companion object {
-        const val USERS = "users"
+        const val NAME = "users"
     }
 }
