--- a/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
@@ -75,7 +75,7 @@
         for (at in listOf(-4000L, -800L, -100L)) {
             scenario.at(START_MS + at) {
                 scenario.cloud.workers.filter { it.present }.forEach { worker ->
-                    worker.holdReport(scenario.clock.between(2500, leaseMs + 12_000))
+                    worker.holdHeartbeat(scenario.clock.between(2500, leaseMs + 12_000))
                 }
             }
         }
@@ -95,7 +95,7 @@
         for (i in 0L..9L) {
             scenario.at(START_MS + i * 4000) {
                 scenario.cloud.workers.filter { it.present && scenario.clock.chance(0.5) }.forEach { worker ->
-                    worker.holdReport(
+                    worker.holdHeartbeat(
                         scenario.clock.between(
                             1000,
                             leaseMs * 2,
@@ -124,9 +124,9 @@
         scenario.begin(jobs = 0, long = 6)
         scenario.clock.runUntil(15_000)
         val machine = scenario.busy().maxBy { it.onMachine().size }
-        val first = machine.keepReport()
+        val first = machine.keepHeartbeat()
         machine.reboot()
-        val second = machine.keepReport()
+        val second = machine.keepHeartbeat()
         scenario.clock.runUntil(START_MS)
         assertTrue(machine.onMachine().isNotEmpty(), "nothing began there again")
         scenario.cutOff(machine, 3500, holds = false)
--- a/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
@@ -30,7 +30,7 @@
         simulation.clock.runUntil(18_000)
         val dead = simulation.cloud.workers.first { it.onMachine().isNotEmpty() }
         simulation.cloud.kill(dead.name)
-        for (at in 0L..90_000L step 1500) simulation.clock.after(at) { dead.repeatLastReport() }
+        for (at in 0L..90_000L step 1500) simulation.clock.after(at) { dead.repeatLastHeartbeat() }
         simulation.clock.after(5000) { simulation.nodes.filter { it.leads }.forEach { it.crash() } }
         simulation.clock.runUntil(66_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -73,10 +73,10 @@
         r.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
         r.clock.runUntil(40_000)
         val worker = r.cloud.workers.single { it.onMachine().isNotEmpty() }
-        val old = worker.keepReport()
+        val old = worker.keepHeartbeat()
         r.clock.runUntil(50_000)
         assertEquals(mapOf(DroppedInput.HEARTBEAT_LATE to 1L), dropsOf(r.leader) { old(r.leader) })
-        assertEquals(mapOf(DroppedInput.HEARTBEAT_REPEATED to 1L), dropsOf(r.leader) { worker.repeatLastReport() })
+        assertEquals(mapOf(DroppedInput.HEARTBEAT_REPEATED to 1L), dropsOf(r.leader) { worker.repeatLastHeartbeat() })
         worker.reboot()
         r.clock.runUntil(65_000)
         assertEquals(mapOf(DroppedInput.HEARTBEAT_OTHER_INCARNATION to 1L), dropsOf(r.leader) { old(r.leader) })
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -189,7 +189,7 @@
     var cancelAtEnd = 0.0
 
     /** A task of a job has begun and will take [ms]; when all others are done its end is the job's. */
-    fun runs(task: FakeWorker.Task, ms: Long) {
+    fun runs(task: FakeTask, ms: Long) {
         if (cancelAtEnd <= 0 || !simulation.rules.isLast(task) || !clock.chance(cancelAtEnd)) return
         clock.after(ms + clock.between(-250, 400)) { cancel(task.job) }
         if (clock.chance(0.5)) clock.after(ms + clock.between(-250, 400)) { repeat(task.job) }
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/simulation/WaitingRules.kt
@@ -0,0 +1,93 @@
+package org.chalkhollow.simulation
+
+import org.chalkhollow.model.JobSpec
+
+/**
+ * Once all faults are over, no task waits for long while a machine that fits has room and its team is under its limit.
+ */
+class WaitingRules(
+    private val simulation: Simulation,
+    private val history: JobHistory,
+    private val services: ServiceRules,
+) {
+    private val clock = simulation.clock
+    private val waitingSince = HashMap<String, Long>()
+
+    /** A task and the machine that has it. */
+    private class Placed(val task: FakeTask, val worker: FakeWorker)
+
+    /** The machines as they are at one moment. */
+    private inner class Fleet {
+        private val placed =
+            simulation.cloud.workers
+                .filter { it.present }
+                .flatMap { worker ->
+                    worker.tasks.all
+                        .filter { !it.exited }
+                        .map { Placed(it, worker) }
+                }
+        private val byJob = placed.groupBy { it.task.job }
+        private val usable = simulation.cloud.workers.filter { it.usable }
+        private val usedCpus = HashMap<String, Double>()
+
+        init {
+            for (item in placed) {
+                val spec = simulation.users.spec(item.task.job) ?: continue
+                usedCpus.merge(spec.team, spec.taskResources.cpus, Double::plus)
+            }
+        }
+
+        fun of(id: String): List<Placed> = byJob[id] ?: emptyList()
+
+        /** Whether a machine and the team's limit have room for one more task; [stopsLower] as in [FakeTasks]. */
+        fun couldBegin(spec: JobSpec, stopsLower: Boolean = false): Boolean {
+            val here = of(spec.id)
+            val limit = simulation.limits.first { it.name == spec.team }.cpusMax
+            if ((usedCpus[spec.team] ?: 0.0) + spec.taskResources.cpus > limit + ROUNDING) return false
+            return usable.any { allows(spec, it) && it.hasRoomFor(spec, stopsLower) && zoneAllows(spec, here, it.zone) }
+        }
+
+        private fun allows(spec: JobSpec, worker: FakeWorker): Boolean =
+            (spec.types == null || worker.type.name in spec.types) && (!worker.spot || spec.spotAllowed)
+
+        private fun zoneAllows(spec: JobSpec, here: List<Placed>, zone: String): Boolean =
+            (spec.zone == null || spec.zone == zone) &&
+                (!spec.together || here.all { it.worker.zone == zone }) &&
+                (!spec.spread || here.count { it.worker.zone == zone } < (spec.tasks + 1) / 2)
+    }
+
+    /** To be called once a second. */
+    fun check() {
+        val fleet = Fleet()
+        for (id in history.accepted) {
+            val spec = simulation.users.spec(id)
+            if (spec != null && waits(spec, fleet)) noteWaiting(spec, fleet) else waitingSince.remove(id)
+        }
+        services.checkDown(history::isOpen) { fleet.couldBegin(it, stopsLower = true) }
+    }
+
+    /** Whether a task of [spec] is neither done nor on a machine, though it could begin. */
+    private fun waits(spec: JobSpec, fleet: Fleet): Boolean {
+        if (!history.isOpen(spec.id)) return false
+        val ended = history.completed[spec.id] ?: emptySet()
+        val here = fleet.of(spec.id)
+        val isMissing = (0 until spec.tasks).any { i -> i !in ended && here.none { it.task.index == i } }
+        return isMissing && fleet.couldBegin(spec)
+    }
+
+    private fun noteWaiting(spec: JobSpec, fleet: Fleet) {
+        val since = waitingSince.getOrPut(spec.id) { clock.time }
+        if (clock.time - since <= WAITING_MS) return
+        val state = "${fleet.of(spec.id).size} of its tasks are on machines, ${history.completedCount(spec.id)} done"
+        simulation.rules.broken(
+            "left_waiting",
+            "${spec.id}: a machine that fits has had room since $since: $spec, $state",
+        )
+        waitingSince[spec.id] = clock.time
+    }
+
+    private companion object {
+        const val WAITING_MS = 90_000L
+        const val ROUNDING = 1e-6
+    }
+}
