--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -26,7 +26,9 @@
     private val offset = clock.between(0, 1_000_000)
     private val skew = clock.between(-25, 25)
     private var controller: Controller? = null
-    private var life = 0
+
+    /** Counts the processes of this controller, so that answers to an earlier one are dropped. */
+    private var process = 0
     private val calls = HashMap<Int, (Effect.Response) -> Unit>()
     private var nextCall = 0
     private var heartbeats = HashMap<String, HeartbeatReader>()
@@ -70,7 +72,7 @@
 
     fun start() {
         if (alive) return
-        life++
+        process++
         heartbeats = HashMap<String, HeartbeatReader>()
         controller = Controller(settings, options, clock.random.nextLong(1, Long.MAX_VALUE), now())
         feed(Input.Tick)
@@ -79,7 +81,7 @@
 
     fun crash() {
         controller = null
-        life++
+        process++
         calls.clear()
     }
 
@@ -88,7 +90,7 @@
         feed(Input.Peer(from, message))
     }
 
-    /** A worker's report in its wire form. */
+    /** A worker's heartbeat in its wire form. */
     fun heartbeat(worker: String, body: ByteArray, answer: (Effect.Response) -> Unit): Boolean {
         if (controller?.leads(now()) == false) return call(answer) { Input.UnreadHeartbeat(it) }
         val heartbeat = heartbeats.getOrPut(worker) { HeartbeatReader() }.read(body)
@@ -107,30 +109,49 @@
 
     private fun feed(input: Input) {
         val effects = controller?.step(now(), input) ?: return
-        val inLife = life
+        val askedBy = process
 
         fun back(make: () -> Input) {
-            if (life == inLife) feed(make())
+            if (process == askedBy) feed(make())
         }
-        for (e in effects) {
-            simulation.onEffect(clock.time, label, e)
-            when (e) {
-                is Effect.Response -> calls.remove(e.call)?.invoke(e)
-                is Effect.State -> simulation.state.call(label, e.op) { r -> back { Input.State(e.ticket, r) } }
-                is Effect.Cloud -> simulation.cloud.call(label, e.op) { r -> back { Input.Cloud(e.ticket, r) } }
-                is Effect.WorkerCommand -> simulation.direct(label, e) { r -> back { Input.WorkerReply(e.ticket, r) } }
+        for (effect in effects) {
+            simulation.onEffect(clock.time, label, effect)
+            when (effect) {
+                is Effect.Response -> calls.remove(effect.call)?.invoke(effect)
+                is Effect.State ->
+                    simulation.state.call(
+                        label,
+                        effect.op,
+                    ) { reply -> back { Input.State(effect.ticket, reply) } }
+                is Effect.Cloud ->
+                    simulation.cloud.call(
+                        label,
+                        effect.op,
+                    ) { reply -> back { Input.Cloud(effect.ticket, reply) } }
+                is Effect.WorkerCommand ->
+                    simulation.direct(label, effect) { reply ->
+                        back {
+                            Input.WorkerReply(effect.ticket, reply)
+                        }
+                    }
                 is Effect.Send -> {
-                    val to = simulation.peerOf(label, e.peer)
-                    val frame = Frames.encode(e.message)
+                    val to = simulation.peerOf(label, effect.peer)
+                    val frame = Frames.encode(effect.message)
                     simulation.onFrame(frame)
                     simulation.network.send(label, to.label) { to.peer(simulation.indexAt(to.label, label), frame) }
                 }
                 is Effect.Timer -> {
                     val timer = ++timers
-                    clock.after(e.at - now().steady + clock.between(0, 3)) { if (timer == timers) back { Input.Tick } }
+                    clock.after(effect.at - now().steady + clock.between(0, 3)) {
+                        if (timer ==
+                            timers
+                        ) {
+                            back { Input.Tick }
+                        }
+                    }
                 }
                 is Effect.Timing -> Unit
-                is Effect.LogEvent -> if (simulation.verbose) println("${clock.time} $label ${e.text}")
+                is Effect.LogEvent -> if (simulation.verbose) println("${clock.time} $label ${effect.text}")
             }
         }
     }
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -3,9 +3,7 @@
 import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.model.JobSpec
-import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
-import org.chalkhollow.model.Shape
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.Malformed
 import org.chalkhollow.wire.Pack
@@ -15,7 +13,7 @@
 class Users(private val simulation: Simulation) {
     private val clock = simulation.clock
     private val specs = HashMap<String, JobSpec>()
-    private var next = 0
+    private val jobs = DrawnJobs(simulation)
 
     private val said = HashMap<String, ArrayList<String>>()
 
@@ -25,7 +23,7 @@
     fun spec(id: String): JobSpec? = specs[id]
 
     fun arrive() {
-        val spec = draw()
+        val spec = jobs.draw()
         specs[spec.id] = spec
         submit(spec, 0)
         if (clock.chance(0.12)) clock.after(clock.between(500, 30_000)) { withdraw(spec.id, 0) }
@@ -33,7 +31,7 @@
 
     /** Submits a drawn job after [change], and returns its id. */
     fun submit(change: (JobSpec) -> JobSpec): String {
-        val spec = change(draw())
+        val spec = change(jobs.draw())
         specs[spec.id] = spec
         submit(spec, 0)
         return spec.id
@@ -44,33 +42,17 @@
      * tests of the checks, the controllers are sent something else than its user wants.
      */
     fun submitService(sentAs: (JobSpec) -> JobSpec = { it }, change: (JobSpec) -> JobSpec = { it }): String {
-        val spec = change(drawService())
+        val spec = change(jobs.drawService())
         specs[spec.id] = spec
         submit(sentAs(spec), 0)
         return spec.id
     }
 
-    fun drawService(): JobSpec =
-        draw().copy(
-            workload = "portal",
-            shape = Shape.SERVICE,
-            priority = Priority.PRODUCTION,
-            tasks = clock.random.nextInt(2, 5),
-            taskResources = Resources(1.0, 0.0, 1.6),
-            types = null,
-            zone = null,
-            together = false,
-            spread = true,
-            spotAllowed = false,
-            expectedS = 0.0,
-            checkpointS = 0.0,
-            saveS = 0.0,
-            dueS = null,
-        )
+    fun drawService(): JobSpec = jobs.drawService()
 
     /** Sends the body [raw] to [node] as a submission, and says which status it got, 0 for no answer. */
     fun submitRaw(raw: ByteArray, node: SimulatedController, then: (Int) -> Unit) {
-        val ask = UserRequest.ofSubmission(raw) ?: return then(400) // what the front does with a body without an id
+        val request = UserRequest.ofSubmission(raw) ?: return then(400) // what the front does with a body without an id
         var settled = false
 
         fun settle(status: Int) {
@@ -79,62 +61,36 @@
             then(status)
         }
         clock.after(5000) { settle(0) }
-        if (!node.user(ask) { settle(it.status) }) settle(0)
-    }
-
-    private fun draw(): JobSpec {
-        val id = "j-" + (clock.random.nextInt(1_000_000)).toString().padStart(6, '0') + (next++)
-        val zone = if (clock.chance(0.1)) simulation.zones[clock.random.nextInt(2)] else null
-        val checkpoint = if (clock.chance(0.3)) 2.0 else 0.0
-        return JobSpec(
-            id = id,
-            workload = "w" + clock.random.nextInt(3),
-            team = simulation.settings.teams[clock.random.nextInt(2)].name,
-            shape = Shape.ARRAY,
-            priority = Priority.entries[clock.random.nextInt(4)],
-            tasks = clock.random.nextInt(1, 14),
-            taskResources = Resources(clock.random.nextInt(1, 5).toDouble(), 0.0, 4.0),
-            image = "img-" + clock.random.nextInt(3),
-            imageGb = 1.0,
-            types = if (clock.chance(0.1)) listOf(simulation.types[clock.random.nextInt(2)].name) else null,
-            zone = zone,
-            together = zone == null && clock.chance(0.15),
-            spread = clock.chance(0.15),
-            spotAllowed = clock.chance(0.7),
-            expectedS = 1.0 + clock.random.nextInt(15),
-            checkpointS = checkpoint,
-            saveS = 1.0,
-            dueS = if (clock.chance(0.5)) 60.0 else null,
-        )
+        if (!node.user(request) { settle(it.status) }) settle(0)
     }
 
     /** When the answer that is being taken in was given; it may have been long on its way. */
     private var saidAt = 0L
 
-    private fun call(ask: UserRequest, waitMs: Long, then: (Effect.Response?) -> Unit) {
+    private fun call(request: UserRequest, waitMs: Long, then: (Effect.Response?) -> Unit) {
         var settled = false
 
-        fun settle(a: Effect.Response?) {
+        fun settle(response: Effect.Response?) {
             if (!settled) {
                 settled = true
-                then(a)
+                then(response)
             }
         }
         clock.after(waitMs) { settle(null) }
         val node = simulation.nodes[clock.random.nextInt(simulation.nodes.size)]
         simulation.network.send(NAME, node.label) {
             val heard =
-                node.user(ask) { a ->
+                node.user(request) { response ->
                     val said = clock.time
                     simulation.network.send(node.label, NAME) {
                         saidAt = said
-                        settle(a)
+                        settle(response)
                     }
                 }
             if (!heard) settle(null)
-            if (ask !is UserRequest.Query) {
+            if (request !is UserRequest.Query) {
                 simulation.network.copyAfter()?.let { late ->
-                    clock.after(late) { node.user(ask) {} }
+                    clock.after(late) { node.user(request) {} }
                 }
             }
         }
@@ -144,15 +100,15 @@
         val askedAt = clock.time
         // Through the wire's form, so that the controller gets what a process would.
         val raw = Pack.encode(UserCodec.map(spec))
-        call(UserRequest.Submit(UserCodec.job(raw), raw), 5000) { a ->
-            when (a?.status) {
+        call(UserRequest.Submit(UserCodec.job(raw), raw), 5000) { response ->
+            when (response?.status) {
                 200, 201 -> {
                     val first = simulation.rules.accepted(spec.id)
-                    told(spec.id, a, askedAt)
+                    told(spec.id, response, askedAt)
                     if (first) clock.after(3000) { poll(spec.id) }
                     if (clock.chance(0.2)) clock.after(clock.between(1000, 90_000)) { submit(spec, 1) }
                 }
-                400, 422 -> simulation.rules.refused(spec.id, a.status)
+                400, 422 -> simulation.rules.refused(spec.id, response.status)
                 else -> if (tries < 60) clock.after(1000) { submit(spec, tries + 1) }
             }
         }
@@ -160,9 +116,9 @@
 
     private fun poll(id: String, again: Boolean = true) {
         val askedAt = clock.time
-        call(UserRequest.Query(id), 2000) { a ->
-            if (a?.status == 200) simulation.rules.answered(id)
-            val status = told(id, a, askedAt)
+        call(UserRequest.Query(id), 2000) { response ->
+            if (response?.status == 200) simulation.rules.answered(id)
+            val status = told(id, response, askedAt)
             if (!again) return@call
             if (status != "done" && status != "aborted") {
                 clock.after(5000) { poll(id) }
@@ -177,8 +133,8 @@
     private fun withdraw(id: String, tries: Int) {
         simulation.rules.asksToCancel(id)
         val askedAt = clock.time
-        call(UserRequest.Cancel(id), 5000) { a ->
-            val status = told(id, a, askedAt)
+        call(UserRequest.Cancel(id), 5000) { response ->
+            val status = told(id, response, askedAt)
             // A job whose acceptance is still under way is not known yet: the request is repeated until it is answered
             // with 200.
             if (status == null && tries < 100) clock.after(1000) { withdraw(id, tries + 1) }
@@ -209,11 +165,8 @@
      */
     fun cancelNow(count: Int, hangMs: Long = 0): List<String> {
         val running =
-            simulation.cloud.workers.flatMap { w ->
-                w.onMachine().filter { it.endsAt - clock.time > 40_000 }.map {
-                    it.job to
-                        w
-                }
+            simulation.cloud.workers.flatMap { worker ->
+                worker.onMachine().filter { it.endsAt - clock.time > 40_000 }.map { it.job to worker }
             }
         val ids =
             running
@@ -229,7 +182,7 @@
                     .map { it.second }
                     .distinct()
                     .take(8)
-            for (w in machines) clock.after(clock.between(0, 300)) { w.hang(hangMs) }
+            for (machine in machines) clock.after(clock.between(0, 300)) { machine.hang(hangMs) }
         }
         return ids
     }
@@ -262,7 +215,7 @@
     /** A job that no machine has room for; it must never be accepted. */
     fun submitUnfit() {
         val spec =
-            draw().copy(
+            jobs.draw().copy(
                 taskResources = Resources(17.0 + clock.random.nextInt(50), 0.0, 4.0),
                 types = null,
                 zone = null,
@@ -271,12 +224,12 @@
         call(
             UserRequest.Submit(UserCodec.job(raw), raw),
             5000,
-        ) { a -> simulation.rules.answeredUnfit(spec.id, a?.status ?: 0) }
+        ) { response -> simulation.rules.answeredUnfit(spec.id, response?.status ?: 0) }
     }
 
     /** A job without one of its fields; it must be refused. */
     private fun submitLacking() {
-        val spec = draw()
+        val spec = jobs.draw()
         val map = UserCodec.map(spec)
         val needed =
             listOf(
@@ -297,7 +250,7 @@
         val parsed =
             try {
                 UserCodec.job(raw)
-            } catch (e: Malformed) {
+            } catch (expected: Malformed) {
                 return
             }
         simulation.rules.broken("accepted_unfit", "${parsed.id} without $lacks was read as a job")
@@ -305,20 +258,17 @@
 
     fun askUnknown() {
         val id = "j-9" + clock.random.nextInt(1_000_000)
-        call(UserRequest.Query(id), 2000) { a ->
-            if (a?.status == 200 &&
-                id !in specs
-            ) {
-                simulation.rules.broken("invented", "$id was answered with 200")
-            }
+        call(UserRequest.Query(id), 2000) { response ->
+            val isInvented = response?.status == 200 && id !in specs
+            if (isInvented) simulation.rules.broken("invented", "$id was answered with 200")
         }
     }
 
-    private fun told(id: String, a: Effect.Response?, askedAt: Long): String? {
-        if (a == null) return null
-        if (a.status == 404) simulation.rules.notFound(id, saidAt)
-        if (a.status != 200 && a.status != 201) return null
-        val status = Fields.of(Pack.decode(a.body ?: return null), "answer").text("status")
+    private fun told(id: String, response: Effect.Response?, askedAt: Long): String? {
+        if (response == null) return null
+        if (response.status == 404) simulation.rules.notFound(id, saidAt)
+        if (response.status != 200 && response.status != 201) return null
+        val status = Fields.of(Pack.decode(response.body ?: return null), "answer").text("status")
         simulation.rules.told(id, status, askedAt)
         val before = said.getOrPut(id) { ArrayList() }
         if (before.lastOrNull() != status) before.add(status)
