--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -59,22 +59,22 @@
 
     override fun onDeposed() = targets.term.end()
 
-    override fun onMachineGone(machine: Machine) = targets.reconciler.machineGone(machine)
+    override fun onMachineGone(machine: Machine) = targets.reconciler.onMachineGone(machine)
 
     override fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
         targets.reconciler.onNewEpoch(machine, knewOurFencingToken)
 
-    override fun onMarkerSettled(marker: DispatchMarker) = targets.dispatch.settled(marker)
+    override fun onMarkerReleased(marker: DispatchMarker) = targets.dispatch.onMarkerReleased(marker)
 
-    override fun onMarkersDurable(machine: Machine) = targets.commands.send(machine)
+    override fun onStartsReady(machine: Machine) = targets.commands.send(machine)
 
-    override fun onAttemptBegun(machine: Machine) = targets.fleet.reached(machine)
+    override fun onStartObserved(machine: Machine) = targets.fleet.reached(machine)
 
     override fun onJobDone(job: OpenJob) = targets.requests.finished(job)
 
     override fun onJobCancelled(job: OpenJob) {
-        targets.reconciler.recorded(job, job.done)
-        if (!job.live.isEmpty()) targets.commands.stopAll(job)
+        targets.reconciler.onOutcomesRecorded(job, job.progress.snapshot())
+        if (!job.tasks.noneLive) targets.commands.stopAll(job)
     }
 
     /** The write of the next placement round, if one is due. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -45,14 +45,14 @@
 
     /** Jobs with ready tasks, most urgent first. */
     fun waiting(): List<OpenJob> {
-        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.notBefore <= context.steady }
+        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
         return waiting.sortedWith(
             compareBy(
                 { if (starvation.goesFirst(it)) -1 else it.spec.priority.ordinal },
                 { if (starvation.goesFirst(it)) 0 else standing(it).ordinal },
                 { if (starvation.goesFirst(it)) starvation.turn(it) else due(it) },
-                { if (starvation.goesFirst(it)) it.creditSinceWall else it.acceptedWall },
-                { it.entry.id },
+                { if (starvation.goesFirst(it)) it.credit.sinceWall else it.acceptedWall },
+                { it.entry.index },
             ),
         )
     }
@@ -60,24 +60,25 @@
     /** Whether neither of two jobs has to go before the other. */
     fun alike(a: OpenJob, b: OpenJob): Boolean {
         if (starvation.goesFirst(a) || starvation.goesFirst(b) || a.spec.priority != b.spec.priority) return false
-        if (objectives.startsCount(a) != objectives.startsCount(b)) return false
+        if (objectives.awaitsPromptStart(a) != objectives.awaitsPromptStart(b)) return false
         return standing(a) == standing(b) && (canWait(a) || standing(a) == Candidate.LATE)
     }
 
     fun withinGuarantee(job: OpenJob): Boolean = job in guaranteed
 
     /** Whether the job is within its team's guarantee, and users would still see it start in time. */
-    fun freshGuarantee(job: OpenJob): Boolean = withinGuarantee(job) && objectives.freshGuarantee(job, context.now.wall)
+    fun freshGuarantee(job: OpenJob): Boolean =
+        withinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
 
     /** Whether the job leaves the room free that is kept for urgent work to come. */
     fun yields(job: OpenJob): Boolean {
-        if (job.spec.priority < Priority.STANDARD || objectives.startsCount(job)) return false
-        return !withinGuarantee(job) && !pressing(job, 0.0) && !job.waitsLong(context.now.wall)
+        if (job.spec.priority < Priority.STANDARD || objectives.awaitsPromptStart(job)) return false
+        return !withinGuarantee(job) && !pressing(job, 0.0) && !job.credit.waitsLong(context.now.wall)
     }
 
     /** Whether a job that waits for [waitS] more seconds would start or end too late. */
     fun pressing(job: OpenJob, waitS: Double): Boolean {
-        if (objectives.startsCount(job) || withinGuarantee(job)) return true
+        if (objectives.awaitsPromptStart(job) || withinGuarantee(job)) return true
         val due = due(job)
         if (due == Long.MAX_VALUE) return false
         return context.now.wall + (waitS + job.spec.expectedS * LATE_FACTOR) * MS_PER_S > due
@@ -91,7 +92,7 @@
             if (job.cancelling || job.complete) continue
             val c = cpus.merge(job.team, job.taskResources.cpus * job.spec.tasks, Double::plus) ?: 0.0
             val g = gpus.merge(job.team, job.taskResources.gpus * job.spec.tasks, Double::plus) ?: 0.0
-            if (quotas.guarantees(job.team, c, g)) guaranteed.add(job)
+            if (quotas.withinGuarantee(job.team, c, g)) guaranteed.add(job)
         }
     }
 
@@ -104,9 +105,9 @@
      */
     private fun standing(job: OpenJob): Candidate =
         when {
-            objectives.startable(job, context.now.wall) -> Candidate.IN_TIME_TO_START
+            objectives.canStartInTime(job, context.now.wall) -> Candidate.IN_TIME_TO_START
             freshGuarantee(job) -> Candidate.IN_TIME_TO_START
-            objectives.mustStart(job, context.now.wall) -> Candidate.IN_TIME_TO_START
+            objectives.startDeadlineNear(job, context.now.wall) -> Candidate.IN_TIME_TO_START
             hopeless(job) || job in givenUp -> Candidate.LATE
             withinGuarantee(job) -> Candidate.GUARANTEED
             else -> Candidate.COMMON
@@ -124,7 +125,7 @@
      */
     private fun findGivenUp() {
         givenUp.clear()
-        val started = jobs.open.filter { it.placeable || !it.live.isEmpty() }
+        val started = jobs.open.filter { it.placeable || !it.tasks.noneLive }
         for ((pool, jobs) in started.groupBy { Pool(it.onlyType, it.spec.priority) }) {
             val cpus = cpusOf(pool.type)
             if (cpus > 0) giveUpAmong(jobs, cpus)
@@ -135,13 +136,13 @@
         val chosen = PriorityQueue<Load>(compareBy { -it.seconds })
         var sum = 0.0
         for (job in jobs.filter { due(it) != Long.MAX_VALUE && !hopeless(it) }.sortedBy { due(it) }) {
-            val seconds = (job.spec.tasks - job.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
+            val seconds = (job.spec.tasks - job.progress.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
             chosen.add(Load(job, seconds))
             sum += seconds
             if (context.now.wall + maxOf(sum, job.spec.expectedS) * SURE_FACTOR * MS_PER_S <= due(job)) continue
             val largest = chosen.poll()
             sum -= largest.seconds
-            if (largest.job.live.isEmpty()) givenUp.add(largest.job)
+            if (largest.job.tasks.noneLive) givenUp.add(largest.job)
         }
     }
 
@@ -150,7 +151,7 @@
      * in time goes first: running what is late anyway would only make the rest late too.
      */
     private fun hopeless(job: OpenJob): Boolean {
-        if (objectives.startable(job, context.now.wall)) return false
+        if (objectives.canStartInTime(job, context.now.wall)) return false
         val due = due(job)
         return due != Long.MAX_VALUE && context.now.wall + job.spec.expectedS * SURE_FACTOR * MS_PER_S > due
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -29,7 +29,7 @@
     /** A replica whose [old] attempt was told to stop, and the machine that holds room for it. */
     private class Move(val old: Attempt, val target: Machine) {
         val job: OpenJob get() = old.job
-        val oldGone: Boolean get() = old.settled || old.phase == Attempt.Phase.EXITED
+        val oldGone: Boolean get() = old.resolved || old.phase == Attempt.Phase.EXITED
     }
 
     private val moves = ArrayList<Move>()
@@ -52,7 +52,7 @@
             moves.remove(move)
             if (!mayStart(move, placeable, allocations)) continue // it is placed like any other task that is ready
             hold(move)
-            val task = move.job.ready.nextSetBit(0)
+            val task = move.job.tasks.nextReady(0)
             allocations.add(Allocation(move.job, move.target, intArrayOf(task), fromCredit = false))
         }
         return allocations
@@ -77,7 +77,7 @@
                     break
                 }
                 if (target != null) moves.add(Move(attempt, target).also(::hold))
-                attempt.stopping = true
+                attempt.requestStop()
                 stoppedOn.add(attempt.machine)
             }
         }
@@ -87,7 +87,7 @@
     private fun leaves(m: Machine): Boolean =
         m.state == Machine.State.UP && (m.noticeAt != Machine.NEVER || m.draining || m.cordoned)
 
-    private fun toBeMoved(a: Attempt): Boolean = a.job.service && wanted(a.job) && a.onMachine && !a.stopping
+    private fun toBeMoved(a: Attempt): Boolean = a.job.service && wanted(a.job) && a.onMachine && !a.stopRequested
 
     private fun wanted(job: OpenJob): Boolean = !job.cancelling && job.entry.state == JobState.OPEN
 
@@ -97,7 +97,7 @@
 
     private fun mayStart(move: Move, placeable: List<Machine>, given: List<Allocation>): Boolean {
         val job = move.job
-        if (!job.placeable || job.notBefore > context.steady || move.target !in placeable) return false
+        if (!job.placeable || job.backoff.notBefore > context.steady || move.target !in placeable) return false
         if (!job.taskResources.fitsIn(move.target.left) || !mayUse(job, move.target)) return false
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked || !zones.admits(move.target.zone)) return false
@@ -122,9 +122,9 @@
     /** Whether a replica of the same service other than [attempt] is down, or was told to stop. */
     private fun othersDown(attempt: Attempt): Boolean {
         val job = attempt.job
-        val stopping = moves.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.settled }
+        val stopping = moves.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.resolved }
         val itself = if (attempt.phase == Attempt.Phase.RUNNING) 0 else 1
-        return job.spec.tasks - job.running + stopping - itself > 0
+        return job.spec.tasks - job.tasks.running + stopping - itself > 0
     }
 
     /** Whether [count] replicas of the service can still be moved one after the other before the machine is gone. */
--- a/src/test/kotlin/org/chalkhollow/core/jobs/QuotasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/QuotasTest.kt
@@ -21,8 +21,8 @@
             quotas.headroom(0, taskResources, Resources(4.0, 0.0, 0.0)),
             "headroom after one task and 4 CPUs in use",
         )
-        assertTrue(quotas.guarantees(0, 8.0, 0.0))
-        assertFalse(quotas.guarantees(0, 8.1, 0.0))
+        assertTrue(quotas.withinGuarantee(0, 8.0, 0.0))
+        assertFalse(quotas.withinGuarantee(0, 8.1, 0.0))
         assertEquals(0, quotas.headroom(-1, taskResources, nothing), "headroom of a team that the settings do not know")
     }
 }
