--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -68,7 +68,7 @@
 
     override fun onStartsReady(machine: Machine) = targets.commands.send(machine)
 
-    override fun onStartObserved(machine: Machine) = targets.fleet.reached(machine)
+    override fun onStartObserved(machine: Machine) = targets.fleet.confirmReachable(machine)
 
     override fun onJobDone(job: OpenJob) = targets.requests.onJobDone(job)
 
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -10,9 +10,6 @@
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.ExitCause
-import org.chalkhollow.model.JobSpec
-import org.chalkhollow.model.Priority
-import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 import org.chalkhollow.model.TaskStatus
 import org.chalkhollow.model.Team
@@ -28,28 +25,7 @@
     private val reconciler = AttemptReconciler(context, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
 
     private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
-        val spec =
-            JobSpec(
-                id,
-                "w",
-                "t",
-                shape,
-                Priority.STANDARD,
-                10,
-                Resources(1.0, 0.0, 1.0),
-                "i",
-                1.0,
-                null,
-                null,
-                false,
-                false,
-                true,
-                5.0,
-                0.0,
-                0.0,
-                null,
-            )
-        jobs.accept(spec, onRefused = {}) {}
+        jobs.accept(jobSpec(id, shape), onRefused = {}) {}
         jobs.urgentWrites
             .next(StateWriter.Room(10, 10_000))
             ?.onDurable
@@ -64,9 +40,9 @@
         val job = job("j-1")
         val m =
             Machine(0, "n-1").also {
-                it.state = Machine.State.UP
-                it.epoch = 1
-                it.seq = 1
+                it.markUp()
+                it.lease.beginEpoch(1)
+                it.lease.advanceStatus(1)
             }
         val numbers = listOf(131L, 100L, 69L)
         numbers.forEachIndexed {
@@ -97,7 +73,7 @@
     // A service that had been passed over kept what it was given from all others that were, for as long as it ran.
     @Test
     fun `a replica does not count against the share of work that was passed over`() {
-        val m = Machine(0, "n-1").also { it.state = Machine.State.UP }
+        val m = Machine(0, "n-1").also { it.markUp() }
         val batch = reconciler.reserve(job("j-1"), 0, 100, m, null, fromCredit = true)
         val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, fromCredit = true)
         for (attempt in listOf(batch, replica)) attempt.entered(Attempt.Phase.RUNNING, context.steady)
