--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -21,7 +21,7 @@
     options: OperatorSettings,
     incarnation: Long,
     start: Now,
-    /** When this process began, by the steady clock; an earlier life of this controller had ended by then. */
+    /** When this process began, by the steady clock; an earlier process of this controller had ended by then. */
     begunAt: Long = start.steady,
 ) {
     private val modules = ControllerModules(settings, options, incarnation, start, begunAt)
@@ -35,7 +35,7 @@
     fun step(now: Now, input: Input): List<Effect> {
         context.now = now
         dispatch(input)
-        if (leadership.role == Leadership.Role.LEADER && mayBringWrites(input)) modules.writer.pump()
+        if (leadership.role == Leadership.Role.LEADER && mayCauseWrites(input)) modules.writer.pump()
         modules.lateEffects.stepDone()
         return context.drain()
     }
@@ -63,10 +63,11 @@
     }
 
     /**
-     * Whether a transaction may be due after [input]. Most heartbeats change nothing, and asking all sources for writes
-     * after each of them was the largest part of a leader's work; what falls due by time alone waits for the next tick.
+     * Whether a transaction may be due because of [input]. Most heartbeats change nothing, and asking all sources for
+     * writes after each of them was the largest part of a leader's work; what falls due by time alone waits for the
+     * next tick.
      */
-    private fun mayBringWrites(input: Input): Boolean {
+    private fun mayCauseWrites(input: Input): Boolean {
         if (input !is Input.Heartbeat) return true
         val changed = context.changes != changesPumped
         changesPumped = context.changes
@@ -83,7 +84,7 @@
     }
 
     /** Whether this controller is entitled to act as the leader at this moment. */
-    fun leads(now: Now): Boolean {
+    fun isLeader(now: Now): Boolean {
         context.now = now
         return leadership.entitled()
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/ClientHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ClientHandler.kt
@@ -111,7 +111,7 @@
 
     /** A controller that does not lead names the leader whatever a report says, so it need not read it. */
     private fun heartbeat(body: ByteArray, responder: HttpResponder) {
-        if (!context.controller.leads(context.clock())) return call(responder) { Input.UnreadHeartbeat(it) }
+        if (!context.controller.isLeader(context.clock())) return call(responder) { Input.UnreadHeartbeat(it) }
         val heartbeat =
             try {
                 heartbeats.read(body)
--- a/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/PartsTest.kt
@@ -307,7 +307,7 @@
             }
             pending.addAll(c.step(Now(10, 10), Input.State(e.ticket, reply)))
         }
-        assertTrue(c.leads(Now(20, 20)))
+        assertTrue(c.isLeader(Now(20, 20)))
         val heartbeat = WorkerHeartbeat("n-1", "127.0.0.1:9", "x", "z", false, 1, 1, 1, null, emptyList())
         val answer = c.step(Now(20, 20), Input.Heartbeat(7, heartbeat)).filterIsInstance<Effect.Response>().single()
         assertEquals(200, answer.status)
--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -11,21 +11,22 @@
 /** Nothing waits for good beside machines that have room for it. */
 class WaitingTest {
     private fun calm(capacity: Int, objectives: List<Objective> = emptyList()): Simulation {
-        val r = Simulation(17, OperatorSettings(idleReturnS = 900.0), capacity = capacity, objectives = objectives)
-        r.network.loss = 0.0
-        r.network.late = 0.0
-        r.begin(0, 1, machines = 0)
-        repeat(capacity) { r.cloud.add(r.types[0], r.zones[it % 2], false, 0) }
-        return r
+        val simulation =
+            Simulation(17, OperatorSettings(idleReturnS = 900.0), capacity = capacity, objectives = objectives)
+        simulation.network.loss = 0.0
+        simulation.network.late = 0.0
+        simulation.begin(0, 1, machines = 0)
+        repeat(capacity) { simulation.cloud.add(simulation.types[0], simulation.zones[it % 2], false, 0) }
+        return simulation
     }
 
     // Machines on which a job had failed were kept from it for good, though what was wrong there was over.
     @Test
-    fun `a job that failed on every machine runs once they are well again`() {
-        val r = calm(capacity = 3)
-        r.clock.runUntil(8000)
+    fun `a job that failed on every machine runs once they are healthy again`() {
+        val simulation = calm(capacity = 3)
+        simulation.clock.runUntil(8000)
         // One long task on each machine, so that none idles and is exchanged for another.
-        r.users.submit {
+        simulation.users.submit {
             it.copy(
                 id = "j-2",
                 tasks = 3,
@@ -38,9 +39,9 @@
                 expectedS = 400.0,
             )
         }
-        r.clock.runUntil(40_000)
-        r.cloud.workers.forEach { it.sick = true }
-        r.users.submit {
+        simulation.clock.runUntil(40_000)
+        simulation.cloud.workers.forEach { it.sick = true }
+        simulation.users.submit {
             it.copy(
                 id = "j-1",
                 tasks = 6,
@@ -53,19 +54,19 @@
                 expectedS = 4.0,
             )
         }
-        r.clock.runUntil(52_000)
-        r.cloud.workers.forEach { it.sick = false }
-        r.clock.runUntil(140_000)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(1, r.rules.doneCount, "it still waits: ${r.rules.pending()}")
+        simulation.clock.runUntil(52_000)
+        simulation.cloud.workers.forEach { it.sick = false }
+        simulation.clock.runUntil(140_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(1, simulation.rules.doneCount, "it still waits: ${simulation.rules.pending()}")
     }
 
     // Room for as much urgent work as comes at a time was kept free from other work without end.
     @Test
     fun `room that is kept for urgent work is not kept from a job that waits long`() {
-        val r = calm(capacity = 2, objectives = listOf(Objective("wait", "urgent", 3.0, 0.9)))
-        r.clock.runUntil(8000)
-        r.users.submit {
+        val simulation = calm(capacity = 2, objectives = listOf(Objective("wait", "urgent", 3.0, 0.9)))
+        simulation.clock.runUntil(8000)
+        simulation.users.submit {
             it.copy(
                 id = "j-1",
                 workload = "urgent",
@@ -80,8 +81,8 @@
                 expectedS = 3.0,
             )
         }
-        r.clock.runUntil(20_000)
-        r.users.submit {
+        simulation.clock.runUntil(20_000)
+        simulation.users.submit {
             it.copy(
                 id = "j-2",
                 workload = "other",
@@ -98,27 +99,27 @@
                 dueS = null,
             )
         }
-        r.clock.runUntil(110_000)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(2, r.rules.doneCount, "it still waits: ${r.rules.pending()}")
+        simulation.clock.runUntil(110_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(2, simulation.rules.doneCount, "it still waits: ${simulation.rules.pending()}")
     }
 
     // Room kept for services was kept without end as well; seed 1046 of the days with services among the jobs.
     @Test
     fun `room that is kept for services is not kept from a job that waits long`() {
-        val r = calm(capacity = 2)
-        r.clock.runUntil(8000)
+        val simulation = calm(capacity = 2)
+        simulation.clock.runUntil(8000)
         val service =
-            r.users.submitService {
+            simulation.users.submitService {
                 it.copy(
                     team = "red",
                     tasks = 4,
                     taskResources = Resources(2.0, 0.0, 1.0),
                 )
             }
-        r.clock.runUntil(25_000)
-        assertEquals(4, r.rules.services.up(service))
-        r.users.submit {
+        simulation.clock.runUntil(25_000)
+        assertEquals(4, simulation.rules.services.up(service))
+        simulation.users.submit {
             it.copy(
                 id = "j-2",
                 workload = "other",
@@ -135,9 +136,9 @@
                 dueS = null,
             )
         }
-        r.rules.calmFrom = 25_000
-        r.clock.runUntil(125_000)
-        assertEquals(emptyList<String>(), r.rules.violations)
-        assertEquals(1, r.rules.doneCount, "it still waits: ${r.rules.pending()}")
+        simulation.rules.calmFrom = 25_000
+        simulation.clock.runUntil(125_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(1, simulation.rules.doneCount, "it still waits: ${simulation.rules.pending()}")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What comes late, repeated or from another life changes nothing, and is counted. */
+/** What comes late, repeated or from another incarnation changes nothing, and is counted. */
 class DroppedInputsTest {
     private class Events : Leadership.Events {
         override fun prepare(revision: Long) = Unit
@@ -51,11 +51,11 @@
 
     /** Three controllers after their first election, on a network that loses nothing. */
     private fun simulation(seed: Long): Simulation =
-        Simulation(seed).also { r ->
-            r.network.loss = 0.0
-            r.network.late = 0.0
-            r.begin(0, 1)
-            r.clock.runUntil(15_000)
+        Simulation(seed).also { simulation ->
+            simulation.network.loss = 0.0
+            simulation.network.late = 0.0
+            simulation.begin(0, 1)
+            simulation.clock.runUntil(15_000)
         }
 
     private val Simulation.leader: SimulatedController get() = nodes.single { it.leads }
@@ -68,46 +68,54 @@
     }
 
     @Test
-    fun `reports that are late, repeated or of an ended session are counted`() {
-        val r = simulation(1)
-        r.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
-        r.clock.runUntil(40_000)
-        val worker = r.cloud.workers.single { it.onMachine().isNotEmpty() }
+    fun `heartbeats that are late, repeated or of an ended epoch are counted`() {
+        val simulation = simulation(1)
+        simulation.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
+        simulation.clock.runUntil(40_000)
+        val worker = simulation.cloud.workers.single { it.onMachine().isNotEmpty() }
         val old = worker.keepReport()
-        r.clock.runUntil(50_000)
-        assertEquals(mapOf(DroppedInput.HEARTBEAT_LATE to 1L), dropsOf(r.leader) { old(r.leader) })
-        assertEquals(mapOf(DroppedInput.HEARTBEAT_REPEATED to 1L), dropsOf(r.leader) { worker.repeatLastReport() })
+        simulation.clock.runUntil(50_000)
+        assertEquals(mapOf(DroppedInput.HEARTBEAT_LATE to 1L), dropsOf(simulation.leader) { old(simulation.leader) })
+        assertEquals(
+            mapOf(DroppedInput.HEARTBEAT_REPEATED to 1L),
+            dropsOf(simulation.leader) { worker.repeatLastReport() },
+        )
         worker.reboot()
-        r.clock.runUntil(65_000)
-        assertEquals(mapOf(DroppedInput.HEARTBEAT_OTHER_INCARNATION to 1L), dropsOf(r.leader) { old(r.leader) })
+        simulation.clock.runUntil(65_000)
+        assertEquals(
+            mapOf(DroppedInput.HEARTBEAT_OTHER_INCARNATION to 1L),
+            dropsOf(simulation.leader) {
+                old(simulation.leader)
+            },
+        )
     }
 
     @Test
-    fun `a report in the answer to a command that is older than the last one is counted`() {
-        val r = simulation(2)
-        r.network.heldMs = 1400L..1450L
-        r.network.held = 1.0
+    fun `a heartbeat in the reply to a command that is older than the last one is counted`() {
+        val simulation = simulation(2)
+        simulation.network.heldMs = 1400L..1450L
+        simulation.network.held = 1.0
         val drops =
-            dropsOf(r.leader) {
-                repeat(20) { r.users.submit { it.copy(types = null, zone = null, expectedS = 1.0) } }
-                r.clock.runUntil(60_000)
+            dropsOf(simulation.leader) {
+                repeat(20) { simulation.users.submit { it.copy(types = null, zone = null, expectedS = 1.0) } }
+                simulation.clock.runUntil(60_000)
             }
         assertTrue((drops[DroppedInput.HEARTBEAT_LATE] ?: 0) > 0, "$drops")
     }
 
     @Test
-    fun `a passed on request's answer that comes again or was never asked for is counted`() {
-        val r = simulation(3)
-        val follower = r.nodes.first { !it.leads }
-        val leader = r.indexAt(follower.label, r.leader.label)
-        val answers = ArrayList<PeerMessage.ForwardedResponse>()
-        r.onFrame = { frame -> (Frames.decode(frame) as? PeerMessage.ForwardedResponse)?.let(answers::add) }
+    fun `a response to a forwarded request that comes again or was never requested is counted`() {
+        val simulation = simulation(3)
+        val follower = simulation.nodes.first { !it.leads }
+        val leader = simulation.indexAt(follower.label, simulation.leader.label)
+        val responses = ArrayList<PeerMessage.ForwardedResponse>()
+        simulation.onFrame = { frame -> (Frames.decode(frame) as? PeerMessage.ForwardedResponse)?.let(responses::add) }
         follower.user(UserRequest.Query("j-000001")) {}
-        r.clock.runUntil(16_000)
-        val answer = answers.single()
-        val again = Frames.encode(answer)
+        simulation.clock.runUntil(16_000)
+        val response = responses.single()
+        val again = Frames.encode(response)
         assertEquals(mapOf(DroppedInput.MESSAGE_LATE to 1L), dropsOf(follower) { follower.peer(leader, again) })
-        val foreign = Frames.encode(PeerMessage.ForwardedResponse(answer.seq - 1_000_000, 200, ByteArray(0), 0))
+        val foreign = Frames.encode(PeerMessage.ForwardedResponse(response.seq - 1_000_000, 200, ByteArray(0), 0))
         assertEquals(
             mapOf(DroppedInput.MESSAGE_OTHER_INCARNATION to 1L),
             dropsOf(follower) { follower.peer(leader, foreign) },
@@ -115,10 +123,10 @@
     }
 
     @Test
-    fun `votes, promises and releases that nobody waits for are counted`() {
+    fun `votes, follower leases and releases that nobody waits for are counted`() {
         val leadership = leadership(4)
         val record = LeadershipRecord("p0", 1, 5, 9).value()
-        var ask: PeerMessage.VoteRequest? = null
+        var request: PeerMessage.VoteRequest? = null
         for (t in 0L..5000L step 100) {
             context.now = Now(t, t)
             leadership.tick()
@@ -128,10 +136,10 @@
                         Input.State(e.ticket, StateReply.Found(KeyValue(LeadershipRecord.KEY, record, 4))),
                     )
                 }
-                if (e is Effect.Send) ask = e.message as? PeerMessage.VoteRequest ?: ask
+                if (e is Effect.Send) request = e.message as? PeerMessage.VoteRequest ?: request
             }
         }
-        val asked = checkNotNull(ask) { "no votes were asked for" }
+        val asked = checkNotNull(request) { "no votes were asked for" }
         val vote = PeerMessage.VoteResponse(asked.fencingToken, asked.seq, granted = true)
         leadership.onPeer(0, vote)
         assertDropped(emptyMap())
@@ -164,13 +172,13 @@
     fun `a reply to a write of a term that is over is counted`() {
         var durable = false
         val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
-        val log = StateWriter(context, limits, options, leadership(0), listOf(StateWriter.Source { write }))
+        val writer = StateWriter(context, limits, options, leadership(0), listOf(StateWriter.Source { write }))
         context.now = Now(1000, 1000)
-        log.start(LeadershipRecord("m", 77, 1, 0), 1)
+        writer.start(LeadershipRecord("m", 77, 1, 0), 1)
         context.now = Now(2000, 2000)
-        log.pump()
+        writer.pump()
         val call = context.drain().filterIsInstance<Effect.State>().single()
-        log.stop()
+        writer.stop()
         context.reply(Input.State(call.ticket, StateReply.Committed(2)))
         assertEquals(false, durable)
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
--- a/src/test/kotlin/org/chalkhollow/core/requests/UndecidedRequestsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/UndecidedRequestsTest.kt
@@ -53,7 +53,7 @@
                 }
             pending.addAll(c.step(Now(10, 10), Input.State(e.ticket, reply)))
         }
-        assertEquals(lists, c.leads(Now(20, 20)))
+        assertEquals(lists, c.isLeader(Now(20, 20)))
         return c
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -33,7 +33,7 @@
     private var timers = 0
 
     val alive: Boolean get() = controller != null
-    val leads: Boolean get() = controller?.leads(now()) == true
+    val leads: Boolean get() = controller?.isLeader(now()) == true
 
     /** What this process has dropped since it began. */
     val dropped: Map<DroppedInput, Long> get() = checkNotNull(controller) { "$label does not run" }.gauges.dropped
@@ -90,7 +90,7 @@
 
     /** A worker's report in its wire form. */
     fun heartbeat(worker: String, body: ByteArray, answer: (Effect.Response) -> Unit): Boolean {
-        if (controller?.leads(now()) == false) return call(answer) { Input.UnreadHeartbeat(it) }
+        if (controller?.isLeader(now()) == false) return call(answer) { Input.UnreadHeartbeat(it) }
         val heartbeat = heartbeats.getOrPut(worker) { HeartbeatReader() }.read(body)
         return call(answer) { Input.Heartbeat(it, heartbeat) }
     }
