--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.core
 
 import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.peer.PeerMessage
--- a/src/main/kotlin/org/chalkhollow/core/requests/Responder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/Responder.kt
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.HttpStatus
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.wire.Pack
--- a/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
@@ -19,24 +19,26 @@
           "state":{"rps":80,"write_rps":20,"value_kb":8,"txn_ops":12},"cloud":{"rps":3,"list_lag_s":5}}}
     """
 
-    private fun complaint(text: String): String =
-        assertThrows(BadSettings::class.java) { PlatformSettings.parse(text, "s.json") }.message.orEmpty()
+    private fun errorOf(text: String): String =
+        assertThrows(
+            InvalidSettingsException::class.java,
+        ) { PlatformSettingsParser.parse(text, "s.json") }.message.orEmpty()
 
     @Test
     fun `the platform's settings are read and unknown fields ignored`() {
-        val s = PlatformSettings.parse(good, "s.json")
+        val s = PlatformSettingsParser.parse(good, "s.json")
         assertEquals(8192, s.stateLimits.valueBytes)
         assertEquals(Address("127.0.0.1", 3), s.peers.single().address)
     }
 
     @Test
-    fun `a complaint is one line that names the field`() {
-        assertTrue("facts.workers.lease_s" in complaint(good.replace("\"lease_s\":10", "\"lease_s\":-1")))
-        assertTrue("facts.workers.lease_s is missing" in complaint(good.replace("\"lease_s\":10,", "")))
-        assertTrue("facts.teams[0].cpus_max" in complaint(good.replace("\"cpus_max\":16", "\"cpus_max\":4")))
-        assertTrue("client_listen" in complaint(good.replace("127.0.0.1:1\"", "nowhere\"")))
-        assertTrue("not JSON" in complaint("{"))
-        assertTrue('\n' !in complaint(good.replace("\"rps\":80", "\"rps\":\"many\"")))
+    fun `an error is one line that names the field`() {
+        assertTrue("facts.workers.lease_s" in errorOf(good.replace("\"lease_s\":10", "\"lease_s\":-1")))
+        assertTrue("facts.workers.lease_s is missing" in errorOf(good.replace("\"lease_s\":10,", "")))
+        assertTrue("facts.teams[0].cpus_max" in errorOf(good.replace("\"cpus_max\":16", "\"cpus_max\":4")))
+        assertTrue("client_listen" in errorOf(good.replace("127.0.0.1:1\"", "nowhere\"")))
+        assertTrue("not JSON" in errorOf("{"))
+        assertTrue('\n' !in errorOf(good.replace("\"rps\":80", "\"rps\":\"many\"")))
     }
 
     private fun next(json: String) = good.replace("\"txn_ops\":12", "\"txn_ops\":12,\"next\":$json")
@@ -46,7 +48,7 @@
         val now = StateLimits(80.0, 20.0, 8192, 12)
 
         fun limits(json: String) =
-            PlatformSettings
+            PlatformSettingsParser
                 .parse(next(json), "s.json")
                 .also {
                     assertEquals(now, it.stateLimitsNow)
@@ -58,11 +60,11 @@
         )
         assertEquals(now.copy(valueBytes = 1536), limits("""{"value_kb":1.5}"""))
         for (none in listOf("{}", "null", """{"rps":null}""")) assertEquals(now, limits(none))
-        assertEquals(now, PlatformSettings.parse(good, "s.json").stateLimits)
+        assertEquals(now, PlatformSettingsParser.parse(good, "s.json").stateLimits)
     }
 
     @Test
-    fun `nonsense in next is complained of in one line that names the field`() {
+    fun `nonsense in next is refused in one line that names the field`() {
         for ((json, field) in listOf(
             "7" to "facts.state.next",
             "[]" to "facts.state.next",
@@ -73,7 +75,7 @@
             """{"txn_ops":{}}""" to "facts.state.next.txn_ops",
             """{"txn_ops":2}""" to "facts.state.next.txn_ops",
         )) {
-            val line = complaint(next(json))
+            val line = errorOf(next(json))
             assertTrue("field $field " in line, line)
             assertTrue('\n' !in line)
         }
@@ -91,19 +93,24 @@
 
     @Test
     fun `operators' settings are protobuf text, and an unknown field is an error with its place`() {
-        assertEquals(OperatorSettings(), OperatorText.parse("# nothing\n", "o"))
-        assertEquals(30.0, OperatorText.parse("idle_return_s: 30\nsample_size: 4", "o").idleReturnS)
-        val unknown = assertThrows(BadSettings::class.java) { OperatorText.parse("sample_size: 4\n  colour: 3", "o") }
+        assertEquals(OperatorSettings(), OperatorSettingsParser.parse("# nothing\n", "o"))
+        assertEquals(30.0, OperatorSettingsParser.parse("idle_return_s: 30\nsample_size: 4", "o").idleReturnS)
+        val unknown =
+            assertThrows(
+                InvalidSettingsException::class.java,
+            ) { OperatorSettingsParser.parse("sample_size: 4\n  colour: 3", "o") }
         assertTrue('\n' !in unknown.message.orEmpty())
         assertTrue("line 2, column 3" in unknown.message.orEmpty(), unknown.message)
-        assertThrows(BadSettings::class.java) { OperatorText.parse("sample_size: 0", "o") }
-        assertThrows(BadSettings::class.java) { OperatorText.parse("leader_renew_ms: 1900", "o") }
+        assertThrows(InvalidSettingsException::class.java) { OperatorSettingsParser.parse("sample_size: 0", "o") }
+        assertThrows(
+            InvalidSettingsException::class.java,
+        ) { OperatorSettingsParser.parse("leader_renew_ms: 1900", "o") }
     }
 
     @Test
     fun `the example file states the defaults`() {
         val example =
-            OperatorText.load(
+            OperatorSettingsParser.load(
                 java.nio.file.Path
                     .of("docs/operator-settings.example.txtpb"),
             )
