--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.attempts
 
-import org.chalkhollow.core.leadership.StepDownReason
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
@@ -11,6 +10,7 @@
 import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.core.leadership.StepDownReason
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.model.Command
 import org.chalkhollow.model.WorkerHeartbeat
