--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -19,8 +19,8 @@
 
 /**
  * Passes the events of leadership, jobs, attempts and machines on to who acts on them. Those modules need each other:
- * the reconciler hears of machines that are gone, and the fleet of attempts that have begun. So each is given this
- * dispatcher at construction, and the dispatcher is given its targets by [bind] once all of them exist. Built by
+ * the reconciler is notified of machines that are gone, and the fleet of attempts that have begun. So each is given
+ * this dispatcher at construction, and the dispatcher is given its targets by [bind] once all of them exist. Built by
  * [ControllerModules].
  */
 internal class EventDispatcher :
@@ -28,7 +28,7 @@
     MachineEvents,
     AttemptEvents,
     JobEvents {
-    /** Who is told; [placement] gives the write of a placement round. */
+    /** The receivers of events; [placement] gives the write of a placement round. */
     class Targets(
         val snapshot: CandidateSnapshot,
         val term: LeaderTerm,
@@ -43,7 +43,7 @@
     private var bound: Targets? = null
     private val targets: Targets get() = checkNotNull(bound) { "an event came before the dispatcher was bound" }
 
-    /** Sets who is told; to be called once, before the first input. */
+    /** Sets the receivers of events; to be called once, before the first input. */
     fun bind(targets: Targets) {
         check(bound == null) { "the dispatcher is bound already" }
         bound = targets
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptEvents.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.cluster.DispatchMarker
 import org.chalkhollow.core.cluster.Machine
 
-/** What [AttemptReconciler] reports of attempts. */
+/** Events of attempts, published by [AttemptReconciler]. */
 interface AttemptEvents {
     /** One of the attempts that [marker] lists needs it no more. */
     fun onMarkerReleased(marker: DispatchMarker)
@@ -14,7 +14,7 @@
     /** [machine] has started an attempt as this leader commanded: our commands reach it. */
     fun onStartObserved(machine: Machine)
 
-    /** For those that need not hear of attempts. */
+    /** Ignores all events. */
     object None : AttemptEvents {
         override fun onMarkerReleased(marker: DispatchMarker) = Unit
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -13,12 +13,13 @@
 import java.util.BitSet
 
 /**
- * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. Squares it with what machines report:
- * an attempt is resolved, and its task free to be placed again, only on proof that it runs nowhere and never will.
+ * Owns what is known of attempts: reserved, marker persisted, start sent, on a machine, exited. Reconciles it with
+ * heartbeats: an attempt is resolved, and its task free to be placed again, only on proof that it runs nowhere and
+ * never will.
  *
  * This is the one entry to the parts that keep attempts. [DispatchLog] calls it for reservations and markers,
  * [HeartbeatHandler] and [WorkerCommandSender] for heartbeats, and the controller's event dispatcher when machines are
- * gone or outcomes are recorded. It reports to [AttemptEvents].
+ * gone or outcomes are recorded. It publishes [AttemptEvents].
  */
 class AttemptReconciler(
     context: CoreContext,
--- a/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
@@ -5,7 +5,7 @@
 
 /**
  * The moment of an input, in milliseconds: [steady] never jumps and counts from an arbitrary start of this process,
- * [wall] is the time of day since the Unix epoch and is only for what people and stored records are told.
+ * [wall] is the time of day since the Unix epoch and is only for logs, status and stored records.
  */
 data class Now(val steady: Long, val wall: Long)
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -128,7 +128,7 @@
     /** The machine carried out a direct command: our messages reach it. */
     fun confirmReachable(machine: Machine) = reachability.onProof(machine)
 
-    /** Whether it is in doubt that our messages reach [machine], so that it is to be probed; true once in a while. */
+    /** Whether it is uncertain that our messages reach [machine], so that it is to be probed; true once in a while. */
     fun shouldProbe(machine: Machine): Boolean {
         if (machine.state != Machine.State.UP || !hasShownOurFencingToken(machine)) return false
         return context.steady - machine.lease.heartbeatAt < leaseMs && reachability.startProbe(machine)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.core.cluster.Machine
 
-/** What [Fleet] and [MachineTable] report of machines. */
+/** Events of machines, published by [Fleet] and [MachineTable]. */
 interface MachineEvents {
     /** Everything on [machine] is certainly gone: it was deleted, or its lease has expired. */
     fun onMachineGone(machine: Machine)
@@ -10,7 +10,7 @@
     /** [machine] began a new epoch; [knewOurFencingToken] tells whether it had shown our token in the one before. */
     fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean)
 
-    /** For those that need not hear of machines. */
+    /** Ignores all events. */
     object None : MachineEvents {
         override fun onMachineGone(machine: Machine) = Unit
 
--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -18,7 +18,7 @@
     private val context: CoreContext,
     private val jobs: JobTable,
     private val events: JobEvents,
-    /** Hears which tasks' completions are durable, so that workers may forget them. */
+    /** Called when tasks' completions are durable, so that workers may forget them. */
     private val onRecorded: (OpenJob, BitSet) -> Unit,
 ) {
     fun next(room: TransactionBudget): Write? {
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobEvents.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.core.cluster.OpenJob
 
-/** What [CompletionWriter] and [JobCancellation] report of jobs. */
+/** Events of jobs, published by [CompletionWriter] and [JobCancellation]. */
 interface JobEvents {
     /** The completion of all tasks of [job] is durable. */
     fun onJobDone(job: OpenJob)
@@ -10,7 +10,7 @@
     /** The cancellation of [job] is durable. */
     fun onJobCancelled(job: OpenJob)
 
-    /** For those that need not hear of jobs. */
+    /** Ignores all events. */
     object None : JobEvents {
         override fun onJobDone(job: OpenJob) = Unit
 
--- a/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
@@ -22,7 +22,7 @@
     /** By peer: until when its lease is good. */
     private val leaseUntil = LongArray(peerCount) { NEVER }
 
-    /** By peer: when the newest lease was requested that came with word that the state service serves that peer. */
+    /** By peer: when the newest lease was requested with which the peer confirmed that the state service serves it. */
     private val servedAt = LongArray(peerCount) { NEVER }
 
     /** By peer: whether it has read all that this leader wrote, so that it could take over at once. */
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
@@ -32,7 +32,7 @@
     private var releasedFencingToken = 0L
     private var releasedAt = NEVER
 
-    /** Reads the record when it is due; [onReply] is told when that was asked, and the reply. */
+    /** Reads the record when it is due; [onReply] gets the moment of the request, and the reply. */
     fun readIfDue(onReply: (Long, StateReply) -> Unit) {
         val requestedAt = context.steady
         if (readInFlight || requestedAt < nextReadAt) return
--- a/src/main/kotlin/org/chalkhollow/core/leadership/StepDownReason.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/StepDownReason.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core.leadership
 
-/** Why a leader gives up its term. [description] goes to the log. */
+/** Why a leader steps down. [description] goes to the log. */
 sealed interface StepDownReason {
     val description: String
 
--- a/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.fleet.Fleet
 
-/** What operators are told of machines. Owns nothing; called by [StatusReport]. */
+/** What the status report shows of machines. Owns nothing; called by [StatusReport]. */
 internal class FleetReport(private val fleet: Fleet, private val names: Interners) {
     /** Machines that are alike to an operator. */
     private data class Group(val type: String, val zone: String, val spot: Boolean, val state: String)
--- a/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
@@ -6,7 +6,7 @@
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.model.JobState
 
-/** What operators are told of jobs and services. Owns nothing; called by [StatusReport] and for gauges. */
+/** What the status report shows of jobs and services. Owns nothing; called by [StatusReport] and for gauges. */
 internal class JobReport(
     private val context: CoreContext,
     private val jobs: JobTable,
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -5,7 +5,7 @@
 import org.chalkhollow.model.Team
 
 /**
- * What operators are told of one controller, and by the leader of the cluster. Owns nothing: it puts together what the
+ * What operators see of one controller and, on the leader, of the cluster. Owns nothing: it puts together what the
  * other modules know. Called by the controller for the `status` command.
  */
 internal class StatusReport(
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What an operator is told of one controller; only the leader knows of jobs, machines and teams. */
+/** The status of one controller, for operators; only the leader knows of jobs, machines and teams. */
 @Serializable
 data class StatusView(
     val label: String,
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -18,8 +18,8 @@
 import org.chalkhollow.wire.UserCodec
 
 /**
- * Serves users' requests on the leader. Submissions and cancellations are idempotent, and a user is told only what is
- * durable. Owns the callers who wait for that. Called by [RequestHandler] while the leader is entitled and has loaded
+ * Serves users' requests on the leader. Submissions and cancellations are idempotent, and a response states only what
+ * is durable. Owns the callers who wait for that. Called by [RequestHandler] while the leader is entitled and has loaded
  * the stored records.
  */
 internal class JobRequests(
@@ -72,7 +72,7 @@
     }
 
     /**
-     * A user hears 400 only for a job that was not accepted: a repetition gets the job's status, however it reads.
+     * A user gets 400 only for a job that was not accepted: a repetition gets the job's status, however it reads.
      */
     private fun refuseInvalid(call: Int, jobId: String) {
         val known = jobs.find(jobId)
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -57,7 +57,7 @@
     val dueS: Double?,
 )
 
-/** The state of a job as it is stored; users are told only what is stored. */
+/** The state of a job as it is stored; responses to users state only what is stored. */
 enum class JobState { OPEN, DONE, CANCELLED }
 
 /** A team's quota: the CPUs and GPUs that it is guaranteed, and the most that it may use. */
--- a/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
@@ -87,7 +87,7 @@
                 } catch (e: CancellationException) {
                     throw e
                 } catch (expected: Exception) {
-                    // Out of sockets, for one. Not only IOException, and a loop that ends would leave us deaf.
+                    // Out of sockets, for one. Not only IOException, and a loop that ends would leave us unreachable.
                     delay(RETRY_MS)
                     continue
                 }
--- a/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
@@ -5,8 +5,8 @@
 import io.ktor.utils.io.readInt
 
 /**
- * Hears of frames of other controllers that were dropped; `peer` is the label, or null before the connection has said
- * whose it is.
+ * Callbacks for frames of other controllers that were dropped; `peer` is the label, or null before the connection has
+ * said whose it is.
  */
 interface DroppedFrameListener {
     /** A frame that could not be read, and why. */
@@ -16,7 +16,7 @@
     fun onUnknownKind(peer: String?, kind: String)
 }
 
-/** Hears of the messages of other controllers, which are named by their index in the settings. */
+/** Callbacks for the messages of other controllers, which are named by their index in the settings. */
 interface PeerMessageListener {
     /** The first message on a connection. */
     fun onHello(peer: Int, hello: PeerMessage.Hello)
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -25,7 +25,7 @@
 class EventLoop :
     CoroutineDispatcher(),
     Delay {
-    /** Hears that a channel is ready. */
+    /** Called when a channel is ready. */
     interface ReadyListener {
         /** Whether leadership depends on this channel, so that it goes before all others. */
         val isControl: Boolean get() = false
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
@@ -14,7 +14,7 @@
     private val clock: () -> Long,
     private val events: Events,
 ) {
-    /** Hears of what the server does. */
+    /** Callbacks for what the server does. */
     interface Events {
         /** A connection is about to be accepted. */
         fun beforeAccept()
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
@@ -33,7 +33,7 @@
 ) : TcpConnection.Receiver,
     HttpResponder,
     Runnable {
-    /** Hears of what becomes of the connection and its requests. */
+    /** Callbacks for the end of the connection and of its requests. */
     interface Events {
         fun onClosed(connection: HttpServerConnection)
 
--- a/src/main/kotlin/org/chalkhollow/runtime/ResponseDecoder.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ResponseDecoder.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.Pack
 
-/** Decodes responses of the services and of workers; [onMalformed] hears of each that is malformed. */
+/** Decodes responses of the services and of workers; [onMalformed] is called for each that is malformed. */
 class ResponseDecoder(private val onMalformed: (MalformedMessageException) -> Unit) {
     /** What [decode] makes of a response, or [ifMalformed], which should say that there was no response. */
     inline fun <T> decode(ifMalformed: T, decode: () -> T): T =
--- a/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
@@ -18,7 +18,7 @@
     private val channel: SocketChannel,
     override val isControl: Boolean = false,
 ) : EventLoop.ReadyListener {
-    /** Hears of what arrives on a connection. */
+    /** Callbacks for what arrives on a connection. */
     interface Receiver {
         /** The first [size] of [bytes] have arrived; the array is used again after the call. */
         fun onBytes(bytes: ByteArray, size: Int)
