--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -27,6 +27,7 @@
 import org.chalkhollow.core.placement.Placement
 import org.chalkhollow.core.requests.RequestHandler
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.WriteProducer
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
 
@@ -49,7 +50,7 @@
     private val names = Interners().apply { settings.teams.forEach { teams.intern(it.name) } }
 
     val leadership = Leadership(context, label, peerLabels, incarnation, options, start.steady, begunAt, events)
-    private val snapshot = CandidateSnapshot(context, StoredRecords.PREFIXES) { leadership.onPrepared() }
+    private val snapshot = CandidateSnapshot(context, StoredRecords.PREFIXES) { leadership.onSnapshotComplete() }
 
     val jobs = JobTable(context, names, limits)
     private val cancellation = JobCancellation(jobs, limits, events)
@@ -61,7 +62,7 @@
     private val reconciler = AttemptReconciler(context, jobs, quotas, events) { leadership.fencingToken }
     private val completions = CompletionWriter(context, jobs, events, reconciler::onOutcomesRecorded)
     private val dispatch = DispatchLog(limits, reconciler, fleet)
-    val writer = StateWriter(context, limits, options, leadership, writeSources())
+    val writer = StateWriter(context, limits, options, leadership, writeProducers())
     private val planner = CommandPlanner(reconciler)
     private val commands =
         WorkerCommandSender(context, settings, leadership, writer, dispatch, fleet, reconciler, planner)
@@ -108,14 +109,14 @@
      * is accepted and cancelled, and tasks for their placement. Completions follow; until they are durable, workers
      * merely keep them in their heartbeats. Garbage collection comes last, nobody waits for it.
      */
-    private fun writeSources(): List<StateWriter.Source> =
+    private fun writeProducers(): List<WriteProducer> =
         listOf(
-            StateWriter.Source(jobs.urgentWrites::next),
-            StateWriter.Source(events::nextPlacement),
-            StateWriter.Source(completions::next),
-            StateWriter.Source(staticMachines::next),
-            StateWriter.Source(images::next),
-            StateWriter.Source(dispatch::nextGarbage),
-            StateWriter.Source(jobs.garbage::next),
+            WriteProducer(jobs.urgentWrites::next),
+            WriteProducer(events::nextPlacement),
+            WriteProducer(completions::next),
+            WriteProducer(staticMachines::next),
+            WriteProducer(images::next),
+            WriteProducer(dispatch::nextGarbage),
+            WriteProducer(jobs.garbage::next),
         )
 }
--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -1,9 +1,9 @@
 package org.chalkhollow.core
 
 import org.chalkhollow.core.common.Effect
-import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.peer.PeerMessage
 
 /**
--- a/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
@@ -5,11 +5,13 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.placement.Placement
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.core.storage.WriteProducer
 
 /**
  * Decides when a placement round runs, and gives its dispatch markers to the next transaction: they are durable before
- * any start is sent. Called by [StateWriter] as one of its sources.
+ * any start is sent. Called by [StateWriter] as one of its producers.
  */
 internal class PlacementStep(
     private val context: CoreContext,
@@ -18,13 +20,13 @@
     private val placement: Placement,
     private val commands: WorkerCommandSender,
     private val dispatch: DispatchLog,
-) : StateWriter.Source {
+) : WriteProducer {
     private var nextRoundAt = 0L
 
     /** [CoreContext.changes] when the last round ran. */
     private var changesPlaced = -1L
 
-    override fun next(room: StateWriter.Room): Write? {
+    override fun next(room: TransactionBudget): Write? {
         if (!term.loaded || room.ops < 1 || !isDue()) return null
         changesPlaced = context.changes
         nextRoundAt = context.steady + ROUND_MS + context.overload.tickDelayMs * ROUND_DELAY_PER_LATE_MS
--- a/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
@@ -13,7 +13,7 @@
 import org.chalkhollow.core.jobs.ProgressPageRecord
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.KeyValue
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 
 /**
  * Rebuilds a new leader's modules from the records that earlier leaders wrote to the state service. Owns no state;
@@ -45,7 +45,7 @@
         try {
             loadByKey(row)
             true
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             context.emit(Effect.LogEvent(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
             false
         }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.core.cluster.DispatchMarker
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
@@ -43,7 +43,7 @@
      * Reserves what fits of [allocations] and gives the markers to write for it; null when nothing fits. What does not
      * fit stays ready for the next round.
      */
-    fun writeMarkers(allocations: List<Allocation>, room: StateWriter.Room): Write? {
+    fun writeMarkers(allocations: List<Allocation>, room: TransactionBudget): Write? {
         val builder = DispatchMarkerBuilder(maxMarkerBytes, room.ops, room.bytes, ::nextMarker)
         val packed = builder.pack(allocations)
         if (packed.isEmpty()) return null
@@ -98,7 +98,7 @@
     }
 
     /** Removes one marker that no attempt needs any more. */
-    fun nextGarbage(room: StateWriter.Room): Write? {
+    fun nextGarbage(room: TransactionBudget): Write? {
         if (room.ops < 1) return null
         val key = garbage.removeFirstOrNull() ?: return null
         return Write(listOf(Change(key, null)), onRefused = { garbage.add(key) }) {}
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerRecord.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 
 /**
  * The stored form of a dispatch marker: the number that its attempts have in common, and which tasks may have been
@@ -44,7 +44,7 @@
     /** The rows of [stored] in their order, each read when it is asked for. */
     fun rows(stored: KeyValue): Sequence<Row> =
         fields(stored).list(ROWS).asSequence().map { item ->
-            val parts = item as? List<*> ?: throw Malformed("${stored.key} is not a dispatch marker")
+            val parts = item as? List<*> ?: throw MalformedMessageException("${stored.key} is not a dispatch marker")
             Row(parts[0].toString(), parts[1].toString(), parts[2].toString())
         }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -2,10 +2,10 @@
 
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.common.CoreContext
-import org.chalkhollow.core.common.HttpStatus
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.ImageLocations
 import org.chalkhollow.core.leadership.Leadership
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.Pack
@@ -32,7 +32,7 @@
     private var emptyResponseToken = -1L
 
     fun onHeartbeat(call: Int, heartbeat: WorkerHeartbeat) {
-        leadership.heartbeatTraffic.note(context.steady)
+        leadership.heartbeatTraffic.received(context.steady)
         if (!leadership.entitled()) return redirect(call)
         val machine = fleet.observe(heartbeat)
         if (machine == null || machine.availability.quarantined) return context.respond(call, HttpStatus.UNAVAILABLE)
@@ -53,7 +53,7 @@
 
     /** A heartbeat that was not read: it came while this controller did not lead. */
     fun onUnread(call: Int) {
-        leadership.heartbeatTraffic.note(context.steady)
+        leadership.heartbeatTraffic.received(context.steady)
         redirect(call)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -3,6 +3,7 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
@@ -82,7 +83,7 @@
     val known: Boolean get() = recorded || !isFirstLeader
 
     /** The write that is due, if [room] has a place for it. */
-    fun next(room: StateWriter.Room): Write? {
+    fun next(room: TransactionBudget): Write? {
         val write = pendingWrite ?: return null
         if (room.ops < 1 || room.bytes < limits.valueBytes) return null
         pendingWrite = null
--- /dev/null
+++ b/src/test/kotlin/org/chalkhollow/LargeFleetTest.kt
@@ -0,0 +1,91 @@
+package org.chalkhollow
+
+import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.MassFault
+import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.anywhere
+import org.chalkhollow.simulation.largeFleet
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+
+/** Large jobs and fleets: the limits of the state service, and failures of many machines at once. */
+class LargeFleetTest {
+    // The fake of the state service checks every value's and transaction's size.
+    @Test
+    fun `an array of 100,000 tasks keeps to the state service's limits, also across leaders`() {
+        val simulation = Simulation(5)
+        simulation.begin(3, 10_000)
+        simulation.clock.after(6000) {
+            simulation.users.submit {
+                it.anywhere().copy(
+                    tasks = 100_000,
+                    expectedS = 0.5,
+                )
+            }
+        }
+        simulation.clock.after(40_000) { simulation.nodes.filter { it.leads }.forEach { it.crash() } }
+        simulation.clock.runUntil(90_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertTrue(simulation.rules.completions > 200, "only ${simulation.rules.completions} tasks were completed")
+    }
+
+    @Test
+    fun `a day of several hundred machines and five controllers`() {
+        val simulation = Simulation(9, controllers = 5, capacity = 380, scale = 25)
+        simulation.network.copies = 0.005
+        simulation.begin(20, 40_000, machines = 300)
+        repeat(30) {
+            simulation.clock.after(
+                simulation.clock.between(0, 60_000),
+            ) { simulation.users.submit { it.copy(tasks = it.tasks * 8, together = false) } }
+        }
+        FaultInjection(simulation).draw(12, 10_000, 80_000)
+        simulation.clock.after(90_000) { simulation.network.copies = 0.0 }
+        simulation.rules.calmFrom = 130_000
+        simulation.clock.runUntil(220_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(emptyList<String>(), simulation.rules.starved())
+        assertEquals(emptyList<String>(), simulation.rules.pending(), "jobs without an end")
+        assertTrue(simulation.rules.completions > 1400, "only ${simulation.rules.completions} tasks were completed")
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = [3, 5])
+    fun `mass failures of 1,600 machines break no rule and lose no job`(controllers: Int) {
+        val simulation = largeFleet(20L + controllers, controllers, 1600)
+        simulation.network.copies = 0.002
+        simulation.begin(20, 60_000, machines = 800)
+        repeat(800) { simulation.cloud.add(simulation.types[it % 2], simulation.zones[it / 2 % 2], true, 0) }
+        repeat(80) {
+            simulation.clock.after(
+                simulation.clock.between(0, 100_000),
+            ) { simulation.users.submit { it.copy(tasks = it.tasks * 16, together = false) } }
+        }
+        val faults = FaultInjection(simulation)
+        val massFaults =
+            listOf(
+                MassFault.MACHINES_DIE,
+                MassFault.MACHINES_HANG,
+                MassFault.CONTROLLERS_RESTART,
+                MassFault.SPOT_MACHINES_TAKEN,
+                MassFault.ZONE_CUT_OFF,
+                MassFault.LEADER_CUT_FROM_MACHINES,
+                MassFault.ROLLING_RESTART,
+                MassFault.CONTROLLERS_RESTART,
+            )
+        for ((i, kind) in massFaults.withIndex()) {
+            simulation.clock.after(12_000L + i * 13_000) {
+                faults.mass(kind)
+            }
+        }
+        simulation.clock.after(150_000) { simulation.network.copies = 0.0 }
+        simulation.rules.calmFrom = 190_000
+        simulation.clock.runUntil(280_000)
+        assertEquals(emptyList<String>(), simulation.rules.violations)
+        assertEquals(emptyList<String>(), simulation.rules.starved())
+        assertTrue(simulation.rules.completions > 5000, "only ${simulation.rules.completions} tasks were completed")
+    }
+}
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -9,19 +9,20 @@
 import org.chalkhollow.core.operations.ControllerGauges
 import org.chalkhollow.core.storage.StateWriter
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.core.storage.WriteProducer
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.model.KeyValuePage
 import org.chalkhollow.model.ListedPage
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
-import org.chalkhollow.runtime.Meters
-import org.chalkhollow.runtime.ReplyReader
+import org.chalkhollow.runtime.Metrics
+import org.chalkhollow.runtime.ResponseDecoder
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.simulation.SimulatedController
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -29,15 +30,15 @@
 /** What comes late, repeated or from another incarnation changes nothing, and is counted. */
 class DroppedInputsTest {
     private class Events : Leadership.Events {
-        override fun prepare(revision: Long) = Unit
+        override fun requestSnapshot(revision: Long) = Unit
 
-        override fun prepared(revision: Long) = true
+        override fun snapshotComplete(revision: Long) = true
 
-        override fun unprepare() = Unit
+        override fun discardSnapshot() = Unit
 
-        override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) = Unit
+        override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) = Unit
 
-        override fun onDeposed() = Unit
+        override fun onSteppedDown() = Unit
     }
 
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
@@ -73,12 +74,12 @@
         simulation.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
         simulation.clock.runUntil(40_000)
         val worker = simulation.cloud.workers.single { it.onMachine().isNotEmpty() }
-        val old = worker.keepReport()
+        val old = worker.keepHeartbeat()
         simulation.clock.runUntil(50_000)
         assertEquals(mapOf(DroppedInput.HEARTBEAT_LATE to 1L), dropsOf(simulation.leader) { old(simulation.leader) })
         assertEquals(
             mapOf(DroppedInput.HEARTBEAT_REPEATED to 1L),
-            dropsOf(simulation.leader) { worker.repeatLastReport() },
+            dropsOf(simulation.leader) { worker.repeatLastHeartbeat() },
         )
         worker.reboot()
         simulation.clock.runUntil(65_000)
@@ -172,11 +173,11 @@
     fun `a reply to a write of a term that is over is counted`() {
         var durable = false
         val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
-        val writer = StateWriter(context, limits, options, leadership(0), listOf(StateWriter.Source { write }))
+        val writer = StateWriter(context, limits, options, leadership(0), listOf(WriteProducer { write }))
         context.now = Now(1000, 1000)
         writer.start(LeadershipRecord("m", 77, 1, 0), 1)
         context.now = Now(2000, 2000)
-        writer.pump()
+        writer.flush()
         val call = context.drain().filterIsInstance<Effect.State>().single()
         writer.stop()
         context.reply(Input.State(call.ticket, StateReply.Committed(2)))
@@ -191,7 +192,7 @@
         val call = context.drain().filterIsInstance<Effect.State>().single()
         snapshot.begin(8)
         context.reply(Input.State(call.ticket, StateReply.Page(KeyValuePage(emptyList(), false))))
-        assertEquals(false, snapshot.complete(7))
+        assertEquals(false, snapshot.isComplete(7))
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
 
@@ -215,20 +216,20 @@
 
     @Test
     fun `a reply that cannot be read counts as none, and is counted`() {
-        val meters = Meters()
-        val replies = ReplyReader { meters.malformedReply() }
-        assertEquals(1, replies.read(ifMalformed = 0) { 1 })
-        assertEquals(0, replies.read(ifMalformed = 0) { throw Malformed("junk") })
-        assertTrue("chalkhollow_replies_malformed_total 1.0" in lines(meters, emptyMap()))
+        val metrics = Metrics()
+        val decoder = ResponseDecoder { metrics.malformedReply() }
+        assertEquals(1, decoder.decode(ifMalformed = 0) { 1 })
+        assertEquals(0, decoder.decode(ifMalformed = 0) { throw MalformedMessageException("junk") })
+        assertTrue("chalkhollow_replies_malformed_total 1.0" in lines(metrics, emptyMap()))
     }
 
     @Test
     fun `every count is among the metrics`() {
         val counts = DroppedInput.entries.associateWith { it.ordinal + 1L }
-        val lines = lines(Meters(), counts)
+        val lines = lines(Metrics(), counts)
         for ((input, count) in counts) assertTrue("chalkhollow_${input.metric}_total $count" in lines, input.metric)
     }
 
-    private fun lines(meters: Meters, dropped: Map<DroppedInput, Long>): List<String> =
-        meters.text(ControllerGauges(false, 0, 0, 0, 0, dropped = dropped)).lines()
+    private fun lines(metrics: Metrics, dropped: Map<DroppedInput, Long>): List<String> =
+        metrics.text(ControllerGauges(false, 0, 0, 0, 0, dropped = dropped)).lines()
 }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
@@ -5,6 +5,7 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Now
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.KeyValue
@@ -99,7 +100,7 @@
         fun next(): Write? {
             val moment = context.steady + 2000
             context.now = Now(moment, moment)
-            val room = StateWriter.Room(11, 40 * 1024)
+            val room = TransactionBudget(11, 40 * 1024)
             return jobs.urgentWrites.next(room) ?: completions.next(room) ?: jobs.garbage.next(room)
         }
 
--- a/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Now
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -14,7 +14,7 @@
     private val context = CoreContext(1).apply { now = Now(0, 0) }
     private val writes = UrgentWrites(context)
     private val garbage = KeyGarbageCollector(writes)
-    private val ample = StateWriter.Room(10, 10_000)
+    private val ample = TransactionBudget(10, 10_000)
 
     private fun write(vararg keys: String) = Write(keys.map { Change(it, null) }, onRefused = {}) {}
 
@@ -23,7 +23,7 @@
         val large = write("a", "b")
         writes.add(large)
         writes.add(write("c"))
-        assertNull(writes.next(StateWriter.Room(1, 10_000)))
+        assertNull(writes.next(TransactionBudget(1, 10_000)))
         assertSame(large, writes.next(ample))
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -16,7 +16,7 @@
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Priority
@@ -79,7 +79,7 @@
             )
         jobs.accept(change(spec), onRefused = {}) {}
         jobs.urgentWrites
-            .next(StateWriter.Room(10, 10_000))
+            .next(TransactionBudget(10, 10_000))
             ?.onDurable
             ?.invoke()
         return checkNotNull(jobs.find("j-1")?.open)
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
@@ -52,7 +52,7 @@
             )
         jobs.accept(spec, onRefused = {}) {}
         jobs.urgentWrites
-            .next(StateWriter.Room(10, 10_000))
+            .next(TransactionBudget(10, 10_000))
             ?.onDurable
             ?.invoke()
         return checkNotNull(jobs.find(id)?.open)
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestForwarderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestForwarderTest.kt
@@ -13,15 +13,15 @@
 
 class RequestForwarderTest {
     private object NoEvents : Leadership.Events {
-        override fun prepare(revision: Long) = Unit
+        override fun requestSnapshot(revision: Long) = Unit
 
-        override fun prepared(revision: Long) = false
+        override fun snapshotComplete(revision: Long) = false
 
-        override fun unprepare() = Unit
+        override fun discardSnapshot() = Unit
 
-        override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) = Unit
+        override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) = Unit
 
-        override fun onDeposed() = Unit
+        override fun onSteppedDown() = Unit
     }
 
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
