--- a/src/test/kotlin/org/chalkhollow/LayersTest.kt
+++ b/src/test/kotlin/org/chalkhollow/LayersTest.kt
@@ -117,7 +117,7 @@
                 linkedMapOf(
                     "common" to emptySet(),
                     "cluster" to setOf("common"),
-                    "leadership" to setOf("common", "cluster"),
+                    "leadership" to setOf("common"),
                     "storage" to setOf("common", "leadership"),
                     "jobs" to setOf("common", "cluster", "storage"),
                     "fleet" to setOf("common", "cluster", "storage"),
