--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
@@ -18,7 +18,7 @@
         /**
          * The record in [row].
          *
-         * @throws org.chalkhollow.wire.Malformed if it cannot be read
+         * @throws org.chalkhollow.wire.MalformedMessageException if it cannot be read
          */
         fun of(row: KeyValue): LeadershipRecord {
             val fields = Fields.of(row.value, "leadership record")
