--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -55,7 +55,7 @@
 
     private fun onPeer(from: Int, message: PeerMessage) {
         when (message) {
-            is PeerMessage.Hello -> modules.versions.greeted(from, message)
+            is PeerMessage.Hello -> modules.versions.onHello(from, message)
             is PeerMessage.ForwardedRequest -> modules.requests.onForwardedRequest(from, message)
             is PeerMessage.ForwardedResponse -> modules.requests.onForwardedResponse(message)
             else -> leadership.onPeer(from, message)
--- a/src/main/kotlin/org/chalkhollow/core/operations/ControllerVersions.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/ControllerVersions.kt
@@ -11,7 +11,7 @@
     private val known = arrayOfNulls<Int>(peers.size)
 
     /** A peer has introduced itself; one from before versions were told counts as 0. */
-    fun greeted(peer: Int, hello: PeerMessage.Hello) {
+    fun onHello(peer: Int, hello: PeerMessage.Hello) {
         known[peer] = hello.version
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -19,8 +19,8 @@
 
 /**
  * Serves users' requests on the leader. Submissions and cancellations are idempotent, and a response states only what
- * is durable. Owns the callers who wait for that. Called by [RequestHandler] while the leader is entitled and has loaded
- * the stored records.
+ * is durable. Owns the callers who wait for that. Called by [RequestHandler] while the leader is entitled and has
+ * loaded the stored records.
  */
 internal class JobRequests(
     context: CoreContext,
