--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -39,9 +39,9 @@
     }
 
     /**
-     * A new leader hears from the machines before it scales out. The first leader of all has no earlier leader's
-     * machines to wait for: once those that were there before have sent heartbeats, or when there are none, what is
-     * missing is requested at once.
+     * A new leader waits for heartbeats of the machines before it scales out. The first leader of all has no earlier
+     * leader's machines to wait for: once those that were there before have sent heartbeats, or when there are none,
+     * what is missing is requested at once.
      */
     private fun mayScaleOut(): Boolean {
         if (!staticMachines.known) return false
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -68,8 +68,8 @@
 
     /**
      * [machine] is in a new epoch, which ends what was in the one before. That says nothing of what an earlier leader
-     * started: while the epoch that we knew is only told by heartbeats of before our fencing token, old copies among
-     * them, its starts may be in the new one. An earlier version took them for gone, and they ran twice.
+     * started: while the epoch that we knew is only known from heartbeats of before our fencing token, old copies
+     * among them, its starts may be in the new one. An earlier version took them for gone, and they ran twice.
      */
     fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
         resolveEnded(machine, inherited = knewOurFencingToken)
@@ -120,8 +120,8 @@
             machine.attempts.all { it.onMachine }
 
     /**
-     * Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came out
-     * the same, the one's completion was taken for the other's.
+     * Attempts are distinguished by all that names them. An earlier version mixed it into one number; where two came
+     * out the same, the one's completion was taken for the other's.
      */
     private fun attemptsByIdentity(machine: Machine): Map<Identity, Attempt> {
         val known = HashMap<Identity, Attempt>(machine.attempts.size * 2)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -18,10 +18,10 @@
 
 /**
  * Owns the commands that go straight to workers, beside the responses to their heartbeats: starts as soon as their
- * marker is durable, stops, and probes whether a machine hears us. One without a reply may be carried out as long as
- * our fencing token holds, so the outcome of its attempt stays unknown until the attempt is reported, its machine's
- * epoch ends, or the fencing token is advanced. At most one call with commands is under way to a machine. Called when
- * starts are ready, placement preempts or a job is cancelled, and periodically while this controller leads.
+ * marker is durable, stops, and probes whether our messages reach a machine. One without a reply may be carried out as
+ * long as our fencing token holds, so the outcome of its attempt stays unknown until the attempt is in a heartbeat, its
+ * machine's epoch ends, or the fencing token is advanced. At most one call with commands is under way to a machine.
+ * Called when starts are ready, placement preempts or a job is cancelled, and periodically while this controller leads.
  */
 class WorkerCommandSender(
     private val context: CoreContext,
@@ -83,7 +83,7 @@
         machines.take(MAX_CALLS).forEach(::send)
     }
 
-    /** Calls machines that may not hear us, without commands: a reply shows that they do. */
+    /** Calls machines that our messages may not reach, without commands: a reply shows that they do. */
     fun probeDoubtful() {
         var callsLeft = MAX_CALLS
         for (machine in fleet.machines) {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -85,7 +85,7 @@
         }
 
     /**
-     * A new leader has not heard from machines that have long been up: they are given time to find it. An earlier
+     * A new leader has no heartbeats yet of machines that have long been up: they are given time to find it. An earlier
      * version deleted those that a list named before their first heartbeat came in.
      */
     private fun neverCameUp(machine: Machine): Boolean {
--- a/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
@@ -7,7 +7,7 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Owns the follower leases that this leader holds, and what the peers told with them: whether the state service serves
+ * Owns the follower leases that this leader holds, and what the peers sent with them: whether the state service serves
  * them, and whether they could take over at once. A follower lease counts from when it was requested, so it ends here
  * before it ends at the peer that granted it. Called by [LeaderLease].
  */
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
@@ -8,8 +8,8 @@
 
 /**
  * Owns what a follower has seen of the leadership record: its content, since when it has not changed, and whether the
- * leader that wrote it has told that it stepped down. A lease counts from when we first saw a revision, which is after
- * it was written, so it has certainly expired when that long has passed here. Called by [Election], and by
+ * leader that wrote it has released it by stepping down. A lease counts from when we first saw a revision, which is
+ * after it was written, so it has certainly expired when that long has passed here. Called by [Election], and by
  * [Leadership] and [PeerRequestHandler] for what they learn.
  */
 class LeadershipRecordWatch(private val context: CoreContext, private val options: OperatorSettings, startedAt: Long) {
@@ -26,8 +26,7 @@
     private var answeredAt = NEVER
 
     /**
-     * The last fencing token whose leader has told us that it stepped down: its lease binds nobody, however lately it
-     * wrote.
+     * The last fencing token whose leader has released its lease: it binds nobody, however lately that leader wrote.
      */
     private var releasedFencingToken = 0L
     private var releasedAt = NEVER
@@ -88,14 +87,14 @@
     /** For how long the record has not changed. */
     fun unchangedMs(): Long = context.steady - unchangedSince
 
-    /** The leader of [fencingToken] has told that it stepped down. */
+    /** The leader of [fencingToken] has stepped down and released its lease. */
     fun onRelease(fencingToken: Long) {
         releasedFencingToken = fencingToken
         releasedAt = context.steady
         nextReadAt = context.steady
     }
 
-    /** Whether the leader of [record] stepped down, told so [sinceMs] ago or before, and the record was read since. */
+    /** Whether the leader of [record] released its lease [sinceMs] ago or before, and the record was read since. */
     fun isReleased(record: LeadershipRecord, sinceMs: Long): Boolean =
         record.fencingToken == releasedFencingToken &&
             context.steady - releasedAt >= sinceMs &&
--- a/src/main/kotlin/org/chalkhollow/core/operations/ControllerGauges.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/ControllerGauges.kt
@@ -11,7 +11,7 @@
     /** Jobs that this controller knows, open or over. */
     val jobs: Int,
     val machines: Int,
-    /** By the controller's label; null while a peer has not told its version. */
+    /** By the controller's label; null while the version of a peer is unknown. */
     val versions: Map<String, Int?> = emptyMap(),
     val replicas: ReplicaCounts = ReplicaCounts(wanted = 0, up = 0),
     /** How many inputs were dropped since this process began. */
--- a/src/main/kotlin/org/chalkhollow/core/operations/ControllerVersions.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/ControllerVersions.kt
@@ -10,7 +10,7 @@
     /** By the peer's index. */
     private val known = arrayOfNulls<Int>(peers.size)
 
-    /** A peer has introduced itself; one from before versions were told counts as 0. */
+    /** A peer has introduced itself; one from before versions were sent counts as 0. */
     fun onHello(peer: Int, hello: PeerMessage.Hello) {
         known[peer] = hello.version
     }
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
@@ -26,7 +26,7 @@
 @Serializable
 data class ServiceView(val name: String, val services: Int, val wanted: Int, val up: Int, val down: List<String>)
 
-/** The version that one controller runs; null when it has not told this one yet. */
+/** The version that one controller runs; null while it is unknown here. */
 @Serializable
 data class ControllerView(val label: String, val version: Int?)
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -43,7 +43,7 @@
     val unplaced = ArrayList<UnplacedTasks>()
     val overQuota = ArrayList<ReplicasOverQuota>()
 
-    /** Machines on which replicas were told to stop, since room for them was found elsewhere. */
+    /** Machines on which replicas were commanded to stop, since room for them was found elsewhere. */
     val stoppedOn = ArrayList<Machine>()
     private val machines get() = room.machines
     private var freeCpus = machines.sumOf { it.roundRoom.cpus }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -142,7 +142,7 @@
         target.availability.recordIdle(idle = false, context.steady)
     }
 
-    /** Whether a replica of the same service other than [attempt] is down, or was told to stop. */
+    /** Whether a replica of the same service other than [attempt] is down, or was commanded to stop. */
     private fun othersDown(attempt: Attempt): Boolean {
         val job = attempt.job
         val stopping = migrations.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.resolved }
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -146,8 +146,8 @@
         }
 
     /**
-     * Responds to callers whose write takes too long, and to all when the state service does not take writes: they hear
-     * so now, though what is under way may still be applied.
+     * Responds to callers whose write takes too long, and to all when the state service does not take writes: they get
+     * 503 now, though what is under way may still be applied.
      */
     fun expire() {
         for (waiting in allWaiting) {
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -76,8 +76,7 @@
     fun stalled(): Boolean = failingSince != NEVER && context.steady - failingSince > STALL_MS
 
     /**
-     * Whether the last transaction took long, or the one under way does: no time to give up leadership and ask for it
-     * again.
+     * Whether the last transaction took long, or the one under way does: no time to step down and campaign again.
      */
     fun slow(): Boolean =
         failingSince != NEVER || lastTookMs > SLOW_MS ||
--- a/src/main/kotlin/org/chalkhollow/core/storage/TransactionComposer.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/TransactionComposer.kt
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Every transaction counts one more in the record, also in place of a refused one: a late copy of that is told from
-     * it.
+     * Every transaction counts one more in the record, also in place of a refused one: a late copy of that is
+     * distinguished from it.
      */
     fun compose(writes: List<Write>): Transaction {
         record = record.copy(writes = record.writes + 1)
