--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
@@ -87,7 +87,7 @@
             scenario.at(FaultScenario.START_MS) { scenario.state.lateWrites(0.4, 40_000) }
             try {
                 scenario.clock.runUntil(120_000)
-            } catch (e: IllegalStateException) {
+            } catch (expected: IllegalStateException) {
                 seen.add("fake") // a fake found its protocol broken
             }
             seen.addAll(rules(scenario.simulation))
--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
@@ -50,7 +50,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,0", "2,16000,0", "3,22000,0", "4,22000,300")
-    fun `jobs are called off while a leader is refused alone, and an outage follows the handover`(
+    fun `jobs are cancelled while the state service refuses only the leader, and an outage follows the failover`(
         seed: Long,
         leaseMs: Long,
         slowMs: Long,
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,22000", "140,8000")
-    fun `jobs are called off just before a leader is refused alone, and an outage follows the handover`(
+    fun `jobs are cancelled just before the state service refuses only the leader, and an outage follows`(
         seed: Long,
         leaseMs: Long,
     ) {
@@ -108,7 +108,7 @@
 
     @ParameterizedTest
     @CsvSource("1,300", "2,900", "3,2000", "4,4000", "225,900")
-    fun `the state service is slow and then out while users cancel and ask`(seed: Long, slowMs: Long) {
+    fun `the state service is slow and then unavailable while users cancel and query`(seed: Long, slowMs: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin()
         scenario.at(START_MS) { scenario.state.slow(slowMs, 15_000) }
@@ -120,7 +120,10 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
-    fun `the state service refuses the leader and is then out while users cancel and ask`(seed: Long, leaseMs: Long) {
+    fun `the state service refuses the leader and is then unavailable while users cancel and query`(
+        seed: Long,
+        leaseMs: Long,
+    ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 7000 + seed % 5 * 500) } }
@@ -132,7 +135,10 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
-    fun `jobs are called off when the leader is refused, and a second later all are`(seed: Long, leaseMs: Long) {
+    fun `jobs are cancelled when the state service refuses the leader, and a second later everybody`(
+        seed: Long,
+        leaseMs: Long,
+    ) {
         for (lead in listOf(0L, 150L)) {
             for (outAfter in listOf(800L, 1000L, 1300L)) {
                 val scenario = FaultScenario(seed, leaseMs)
@@ -146,7 +152,7 @@
         }
     }
 
-    // The leader gave up the lead to raise its generation, which it cannot in an outage: every machine lost its lease.
+    // The leader stepped down to raise its fencing token, which it cannot in an outage: every machine lost its lease.
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `a held up start of a cancelled job meets an outage, and costs its machine's lease alone`(seed: Long) {
--- a/src/test/kotlin/org/chalkhollow/ConcurrentLeaderFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentLeaderFaultsTest.kt
@@ -13,7 +13,7 @@
 class ConcurrentLeaderFaultsTest {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `controllers hand over and back, all end, and one returns, also within a second`(seed: Long) {
+    fun `leadership moves back and forth, all controllers crash, and one returns, also within a second`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin()
         scenario.at(START_MS) { scenario.crashLeader(400) }
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
-    fun `all controllers are away for longer than the lease`(seed: Long, leaseMs: Long) {
+    fun `all controllers are down for longer than the lease`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS - 100) { scenario.cancelNow(2) }
@@ -53,7 +53,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,16000,true")
-    fun `a leader is cut from the state service and its peers while workers and users reach it`(
+    fun `a leader is cut off from the state service and its peers while workers and users reach it`(
         seed: Long,
         leaseMs: Long,
         holds: Boolean,
@@ -99,9 +99,9 @@
     }
 
     /**
-     * A leader is refused by the state service and holds its lead by the promise of the one peer that it still reaches;
+     * A leader is refused by the state service and stays leader by the lease of the one follower that it still reaches;
      * that peer is refused as well, ends, is back after [awayMs], and is asked for its vote by the third. No message is
-     * lost by chance: the bound on the time until somebody leads does not cover a take-over whose reply is lost.
+     * lost by chance: the bound on the time until somebody leads does not cover a failover whose reply is lost.
      */
     private fun voterReturns(seed: Long, awayMs: Long) {
         val scenario = FaultScenario(seed)
@@ -123,7 +123,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `a peer that promised not to vote ends, and is asked for its vote when it is back`(seed: Long) {
+    fun `a peer that granted a follower lease crashes, and is asked for its vote when it is back`(seed: Long) {
         for (awayMs in 50L..650L step 100) voterReturns(seed, awayMs)
     }
 
@@ -162,7 +162,7 @@
 
     @ParameterizedTest
     @CsvSource("1,false", "2,false", "3,false", "1,true", "2,true", "3,true")
-    fun `an old leader asks a peer that has voted for its follower, also one that has ended since`(
+    fun `an old leader asks a peer that has voted for its successor, also one that has restarted since`(
         seed: Long,
         ends: Boolean,
     ) {
--- a/src/test/kotlin/org/chalkhollow/ConcurrentMachineFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMachineFaultsTest.kt
@@ -12,7 +12,7 @@
 class ConcurrentMachineFaultsTest {
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,22000,false")
-    fun `a team at its limit changes leaders while machines can't be asked and a job is called off`(
+    fun `the leader changes while a team is at its limit, machines are unreachable and a job is cancelled`(
         seed: Long,
         leaseMs: Long,
         holds: Boolean,
@@ -170,7 +170,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,22000,false")
-    fun `a leader ends while machines with long tasks can't be reached or don't hear the new one`(
+    fun `a leader crashes while machines with long tasks can't be reached or don't hear the new one`(
         seed: Long,
         leaseMs: Long,
         deaf: Boolean,
--- a/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
@@ -18,10 +18,10 @@
  * after each step.
  */
 class ConcurrentMessageFaultsTest {
-    // Cancellations once travelled only in answers to reports: nobody has any use for what runs until then.
+    // Cancellations once travelled only in answers to heartbeats: nobody has any use for what runs until then.
     @Test
-    fun `what is cancelled stops at once, not with the next report`() {
-        val simulation = Simulation(3, leaseMs = 30_000, toldLeaseS = 30.0, reportMs = 9000)
+    fun `what is cancelled stops at once, not with the next heartbeat`() {
+        val simulation = Simulation(3, leaseMs = 30_000, toldLeaseS = 30.0, heartbeatMs = 9000)
         simulation.withReliableNetwork()
         simulation.begin(0, 1)
         var id = ""
@@ -45,7 +45,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `cancellations, questions and repeated submissions meet the end of jobs`(seed: Long) {
+    fun `cancellations, queries and repeated submissions coincide with the ends of jobs`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.users.cancelAtEnd = 0.6
         scenario.begin(jobs = 60, long = 3)
@@ -69,7 +69,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
-    fun `reports are held back until a new leader has acted`(seed: Long, leaseMs: Long) {
+    fun `heartbeats are held back until a new leader has acted`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         for (at in listOf(-4000L, -800L, -100L)) {
@@ -88,7 +88,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,8000", "322,22000")
-    fun `old reports come after newer ones, also of earlier sessions and attempts`(seed: Long, leaseMs: Long) {
+    fun `old heartbeats come after newer ones, also of earlier epochs and attempts`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.network.copies = 0.05
         scenario.begin()
@@ -113,12 +113,12 @@
     }
 
     /**
-     * A new leader gets a report of a machine's earlier session, then an old one of this session, then the machine's
+     * A new leader gets a heartbeat of a machine's earlier epoch, then an old one of this epoch, then the machine's
      * own.
      */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `old reports of two sessions reach a new leader before the machine's own`(seed: Long) {
+    fun `old heartbeats of two epochs reach a new leader before the machine's own`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.simulation.withReliableNetwork()
         scenario.begin(jobs = 0, long = 6)
--- a/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
@@ -12,7 +12,7 @@
 class DuplicateMessagesTest {
     // An earlier version took each copy for a renewal of the lease, so what ran there was never started elsewhere.
     @Test
-    fun `copies of its last report do not keep a dead machine alive, nor for a new leader`() {
+    fun `copies of its last heartbeat do not keep a dead machine alive, nor for a new leader`() {
         val simulation = Simulation(12)
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
@@ -40,7 +40,7 @@
     // A worker that has forgotten an attempt begins it again when a copy of its start comes; seed 5361 of the random
     // runs let a team exceed its limit that way.
     @Test
-    fun `a copy of a start begins nothing that was stopped, however late it comes`() {
+    fun `a copy of a start command restarts nothing that was stopped, however late it comes`() {
         val simulation = Simulation(22)
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
@@ -64,6 +64,6 @@
         }
         simulation.clock.runUntil(90_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(6, simulation.rules.starts, "a cancelled task was begun again")
+        assertEquals(6, simulation.rules.starts, "a cancelled task was started again")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
@@ -41,16 +41,16 @@
         assertEquals(again, simulation.rules.starts - 30)
     }
 
-    // Waiting for the lease to lapse made one job in five late where spot machines are often taken without a word.
+    // Waiting for the lease to expire made one job in five late where spot machines are often taken without a word.
     @Test
-    fun `what was on a dead machine begins elsewhere before its lease would have lapsed`() {
+    fun `tasks of a dead machine start elsewhere before its lease would have expired`() {
         beginAgain(
             25_000 + 16_000,
         ) { simulation, busy -> busy.onMachine().size.also { simulation.cloud.kill(busy.name) } }
     }
 
     @Test
-    fun `what cannot be over before the cloud takes its machine begins elsewhere at once`() {
+    fun `tasks that cannot finish before the cloud takes their machine start elsewhere at once`() {
         beginAgain(25_000 + 9000) { simulation, busy ->
             busy.onMachine().size.also {
                 busy.noticeAt =
@@ -73,7 +73,7 @@
 
     // A leader that no worker reaches renews no lease; an earlier version led on while all leases ran out.
     @Test
-    fun `a leader that the workers do not reach makes way before their leases run out`() {
+    fun `a leader that the workers do not reach steps down before their leases expire`() {
         val simulation = largeFleet(31, 3, 40)
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 40)
@@ -89,6 +89,6 @@
         simulation.clock.after(25_000) { FaultInjection(simulation).mass(MassFault.LEADER_CUT_FROM_MACHINES) }
         simulation.clock.runUntil(62_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(30, simulation.rules.starts, "tasks were lost with their machines' leases and begun again")
+        assertEquals(30, simulation.rules.starts, "tasks were lost with their machines' leases and started again")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/OperatorStatusTest.kt
+++ b/src/test/kotlin/org/chalkhollow/OperatorStatusTest.kt
@@ -11,7 +11,7 @@
 /** The status that operators read. */
 class OperatorStatusTest {
     @Test
-    fun `operators are told who leads and why a job waits`() {
+    fun `the status says who leads and why a job waits`() {
         val simulation = Simulation(8)
         simulation.begin(0, 1)
         val plain: (JobSpec) -> JobSpec = {
--- a/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
@@ -16,7 +16,7 @@
     // CPUs were once counted over all machines: what was stopped left too little room for the other, went back to where
     // it had been, and was stopped again, five times a second.
     @Test
-    fun `nothing is stopped where that makes no room for what it is stopped for`() {
+    fun `nothing is preempted where that makes no room for what it is preempted for`() {
         val simulation = Simulation(21, capacity = 4, objectives = listOf(Objective("guarantee", null, 60.0, 0.9)))
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
--- a/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
@@ -74,7 +74,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a notice that leaves time moves one replica after the other`(seed: Long) {
+    fun `a spot notice that leaves time moves one replica after the other`(seed: Long) {
         val day = Day(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
         val taken = day.mostLoaded()
         val replicas = day.replicasOn(taken).size
@@ -95,10 +95,10 @@
         day.holds()
     }
 
-    // Replicas on a machine set aside stayed there for good, and it was never returned.
+    // Replicas on a quarantined machine stayed there for good, and it was never returned.
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a faulty machine is emptied one replica after the other`(seed: Long) {
+    fun `a quarantined machine is drained one replica after the other`(seed: Long) {
         val day = Day(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
         val faulty = day.mostLoaded()
         assertTrue(day.replicasOn(faulty).size > 1)
@@ -166,7 +166,7 @@
     private companion object {
         const val READY_MS = 25_000L
 
-        /** A stop, the report of its end, a marker and a start; then the image. */
+        /** A stop, the heartbeat with its end, a marker and a start; then the image. */
         const val REACT_MS = 1500L
         const val FETCH_MS = 3000L
     }
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -64,7 +64,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
-    fun `limits that fall below what was announced are lived with`(seed: Long) {
+    fun `limits that fall below what was announced are tolerated`(seed: Long) {
         val simulation = Simulation(seed, stateLimits = now)
         val upgrade = RollingUpgrade(simulation, next, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
         day(simulation, upgrade, faults = 6)
--- a/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
@@ -36,7 +36,7 @@
     }
 
     @Test
-    fun `late copies of reports that pass for new ones are noticed`() {
+    fun `late copies of heartbeats that pass for new ones are noticed`() {
         val seen = HashSet<String>()
         for (seed in 1L..6L) {
             val simulation = Simulation(seed, copiesLookNew = true)
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a controller that takes promises for longer than they hold makes two leaders`() {
+    fun `a controller that takes follower leases for longer than they hold makes two leaders`() {
         val seen = HashSet<String>()
         for (seed in 1L..12L) {
             val simulation = Simulation(seed, oddOptions = OperatorSettings(followerLeaseMs = 20_000))
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -45,7 +45,7 @@
     }
 
     /** What befalls a machine, and whether its lease has to be over before its replicas may begin elsewhere. */
-    enum class Fault(private val waitsForLease: Boolean, private val reportMs: Long = 2500) {
+    enum class Fault(private val waitsForLease: Boolean, private val heartbeatMs: Long = 2500) {
         DIES(true) {
             override fun strike(simulation: Simulation, worker: FakeWorker) = simulation.cloud.kill(worker.name)
         },
@@ -54,8 +54,8 @@
         },
 
         /**
-         * It runs its tasks until its lease is over, and says so in its next report to the leader: every 5 s it gives
-         * one up and turns to the next of three controllers.
+         * It runs its tasks until its lease expires, and says so in its next heartbeat to the leader: every 5 s it
+         * gives one up and turns to the next of three controllers.
          */
         DEAF(false, 15_000) {
             override fun strike(simulation: Simulation, worker: FakeWorker) {
@@ -83,19 +83,19 @@
         }, ;
 
         /**
-         * How long a replica may be down. A report is due every 2 s, give or take a quarter, and what one tells is
+         * How long a replica may be down. A heartbeat is due every 2 s, give or take a quarter, and what one tells is
          * placed, written down and started within [REACT_MS]; an image takes 3 s at most. What waits for the lease
          * waits for as long as that is, and 0.1% for clocks that drift.
          */
         fun mostDownMs(leaseMs: Long) =
-            (if (waitsForLease) leaseMs + leaseMs / 1000 else reportMs) + REACT_MS + FETCH_MS
+            (if (waitsForLease) leaseMs + leaseMs / 1000 else heartbeatMs) + REACT_MS + FETCH_MS
 
         abstract fun strike(simulation: Simulation, worker: FakeWorker)
     }
 
     @ParameterizedTest
     @EnumSource
-    fun `a service runs elsewhere when something befalls its machine`(fault: Fault) {
+    fun `a service runs elsewhere when its machine fails`(fault: Fault) {
         val broken = ArrayList<String>()
         for ((seed, leaseMs) in listOf(1L to 8000L, 2L to 16_000L, 3L to 22_000L)) {
             val running = Running(seed, leaseMs, spot = fault == Fault.TAKEN)
@@ -203,7 +203,7 @@
 
     @ParameterizedTest
     @CsvSource("1,true", "2,true", "3,true", "4,false", "5,false", "6,false")
-    fun `spread and together hold through many moves`(seed: Long, spread: Boolean) {
+    fun `spread and together hold through many migrations`(seed: Long, spread: Boolean) {
         val (simulation, _) = moves(seed, spread, 10_000)
         assertTrue(simulation.rules.starts > 40, "only ${simulation.rules.starts} starts")
     }
@@ -225,7 +225,7 @@
         "9,false",
         "10,false",
     )
-    fun `no move takes longer than the lease and a new machine`(seed: Long, spread: Boolean) {
+    fun `no migration takes longer than the lease and a new machine`(seed: Long, spread: Boolean) {
         val (simulation, ids) = moves(seed, spread, 35_000, neverUp = 0.0)
         val most = Fault.DIES.mostDownMs(8000) + BOOT_MS
         for (id in ids) {
--- a/src/test/kotlin/org/chalkhollow/ServicesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicesTest.kt
@@ -62,7 +62,7 @@
                 "round $round: replica $index ran as attempt $before, now as $after",
             )
         }
-        // Noticed by the next report, half a second later at most, placed, written down, started, and its image
+        // Noticed by the next heartbeat, half a second later at most, placed, written down, started, and its image
         // fetched.
         val down = simulation.rules.services.longestDownMs(id, 25_000)
         assertTrue(down <= REACT_MS + FETCH_MS, "down for $down ms")
@@ -76,7 +76,7 @@
     }
 
     @Test
-    fun `operators are told how many replicas are up and why one is down`() {
+    fun `the status says how many replicas are up and why one is down`() {
         val simulation = quietSimulation(4, machines = 10, capacity = 10)
         // As urgent as the service, so that it does not give way: 36 of the team's 40 CPUs.
         simulation.users.submit { it.asBatch("red", 18, 2.0, 300.0).copy(priority = Priority.PRODUCTION) }
--- a/src/test/kotlin/org/chalkhollow/StarvationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/StarvationTest.kt
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `nothing is put off for ever by more urgent work`() {
+    fun `no job is starved by more urgent work`() {
         assertEquals(emptyList<String>(), overload(90.0).rules.starved().filter { "wide" in it })
         assertTrue(
             overload(1e6).rules.starved().any {
--- a/src/test/kotlin/org/chalkhollow/compat/Recording.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/Recording.kt
@@ -73,7 +73,7 @@
         }
         FaultInjection(simulation).draw(4, 50_000, 70_000)
         simulation.clock.after(25_000) {
-            // an election, and a leader that makes way
+            // an election, and a leader that steps down
             simulation.nodes.firstOrNull { it.leads }?.let { n ->
                 n.crash()
                 simulation.clock.after(6000) { n.start() }
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
@@ -27,10 +27,10 @@
     fun call(node: String, op: CloudOp, reply: (CloudReply) -> Unit) {
         var answered = false
 
-        fun answer(r: CloudReply) {
+        fun answer(result: CloudReply) {
             if (!answered) {
                 answered = true
-                reply(r)
+                reply(result)
             }
         }
         clock.after(TIMEOUT_MS) { answer(CloudReply.NoResponse) }
@@ -85,21 +85,21 @@
 
     private fun list(): ListedPage =
         ListedPage(
-            machines.entries.filter { clock.time - it.value.at > LAG_MS }.map { (name, r) ->
+            machines.entries.filter { clock.time - it.value.at > LAG_MS }.map { (name, rented) ->
                 val status =
                     when {
-                        r.failed -> ListedMachine.Status.FAILED
-                        clock.time >= r.upAt -> ListedMachine.Status.RUNNING
+                        rented.failed -> ListedMachine.Status.FAILED
+                        clock.time >= rented.upAt -> ListedMachine.Status.RUNNING
                         else -> ListedMachine.Status.STARTING
                     }
                 ListedMachine(
                     name,
                     name,
-                    r.worker.type.name,
-                    r.worker.zone,
-                    r.worker.spot,
+                    rented.worker.type.name,
+                    rented.worker.zone,
+                    rented.worker.spot,
                     status,
-                    (clock.time - r.at) / 1000.0,
+                    (clock.time - rented.at) / 1000.0,
                 )
             },
             false,
@@ -107,9 +107,9 @@
 
     /** A machine dies: it stays in the list, for a while as running. */
     fun kill(name: String) {
-        val r = machines[name] ?: return
-        r.worker.gone()
-        clock.after(8000) { r.failed = true }
+        val rented = machines[name] ?: return
+        rented.worker.gone()
+        clock.after(8000) { rented.failed = true }
     }
 
     companion object {
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -43,8 +43,7 @@
     /** What is stored under [prefix]. */
     fun stored(prefix: String): Map<String, Any?> =
         keys.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.associate {
-            it.key to
-                it.value.value
+            it.key to it.value.value
         }
 
     /** What the [lowered] limits say to [op]; null when it is within them. */
@@ -97,32 +96,22 @@
     fun call(node: String, op: StateOp, reply: (StateReply) -> Unit) {
         var answered = false
 
-        fun answer(r: StateReply) {
+        fun answer(result: StateReply) {
             if (!answered) {
                 answered = true
-                reply(r)
+                reply(result)
             }
         }
         clock.after(TIMEOUT_MS) { answer(StateReply.NoResponse) }
         network.send(node, NAME) {
             if (op is StateOp.Commit) {
                 network.copyAfter()?.let { late ->
-                    clock.after(late) {
-                        if (clock.time >=
-                            outageUntil
-                        ) {
-                            execute(op)
-                        }
-                    }
+                    clock.after(late) { if (clock.time >= outageUntil) execute(op) }
                 }
             }
             if (clock.time < slowUntil) {
                 clock.after(clock.between(slowMs / 4, slowMs / 2)) {
-                    serve(node, op) { r ->
-                        clock.after(
-                            clock.between(slowMs / 4, slowMs),
-                        ) { answer(r) }
-                    }
+                    serve(node, op) { result -> clock.after(clock.between(slowMs / 4, slowMs)) { answer(result) } }
                 }
             } else {
                 serve(node, op, ::answer)
@@ -144,9 +133,7 @@
     }
 
     private fun executeOnceUp(op: StateOp) {
-        if (clock.time <
-            outageUntil
-        ) {
+        if (clock.time < outageUntil) {
             clock.after(outageUntil - clock.time + clock.between(1, 50)) { executeOnceUp(op) }
         } else {
             execute(op)
@@ -178,21 +165,21 @@
         beyondLowered(op)?.let { return it }
         check(op.changes.size <= limits.txnOps) { "${op.changes.size} changes in a transaction" }
         check(op.conditions.size <= limits.txnOps * 4) { "${op.conditions.size} conditions in a transaction" }
-        for (c in op.changes) onWrite(c.key, c.value?.let(Pack::encode))
+        for (change in op.changes) onWrite(change.key, change.value?.let(Pack::encode))
         val failed = op.conditions.filter { (keys[it.key]?.revision ?: 0L) != it.revision }.map { it.key }
         if (failed.isNotEmpty() && !ignoresConditions) return StateReply.Conflict(failed)
         revision++
         var bytes = 0
-        for (c in op.changes) {
-            if (c.value == null) {
-                keys.remove(c.key)
+        for (change in op.changes) {
+            if (change.value == null) {
+                keys.remove(change.key)
                 continue
             }
-            val packed = Pack.encode(c.value)
-            check(packed.size <= limits.valueBytes) { "value of ${c.key} has ${packed.size} bytes" }
+            val packed = Pack.encode(change.value)
+            check(packed.size <= limits.valueBytes) { "value of ${change.key} has ${packed.size} bytes" }
             bytes += packed.size
             // Values go through the wire's form, so that what is read is what a process would read.
-            keys[c.key] = Entry(Pack.decode(packed), revision)
+            keys[change.key] = Entry(Pack.decode(packed), revision)
         }
         check(bytes <= 64 * 1024) { "$bytes bytes in a transaction" }
         return StateReply.Committed(revision)
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -69,7 +69,7 @@
     val usable: Boolean
         get() =
             present && !hanging && !sick && noticeAt == 0L && clock.time >= muteUntil &&
-                clock.time - leaseFrom < simulation.reportMs * 2 + 1000
+                clock.time - leaseFrom < simulation.heartbeatMs * 2 + 1000
 
     val hanging: Boolean get() = clock.time < hangUntil
 
@@ -177,7 +177,7 @@
         copyLater(heartbeat)
         val sentAt = clock.time
         lastHeartbeatAt = sentAt
-        heartbeatDueAt = sentAt + clock.between(simulation.reportMs * 3 / 4, simulation.reportMs * 5 / 4)
+        heartbeatDueAt = sentAt + clock.between(simulation.heartbeatMs * 3 / 4, simulation.heartbeatMs * 5 / 4)
         inFlight = true
         val node = simulation.nodes[target]
         var settled = false
--- a/src/test/kotlin/org/chalkhollow/simulation/RandomDay.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RandomDay.kt
@@ -14,7 +14,7 @@
     return simulation
 }
 
-/** Machines by the hundred that report every 4 s under a lease of 22 s. */
+/** Machines by the hundred that send a heartbeat every 4 s under a lease of 22 s. */
 fun largeFleet(seed: Long, controllers: Int, machines: Int) =
     Simulation(
         seed,
@@ -24,6 +24,6 @@
         controllers = controllers,
         capacity = machines + 50,
         scale = machines / 12,
-        reportMs = 4000,
+        heartbeatMs = 4000,
         stateLimits = StateLimits(180.0, 40.0, 8192, 12),
     )
--- a/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
@@ -32,15 +32,17 @@
                 .filter { it.phase == TaskStatus.Phase.RUNNING }
                 .mapTo(HashSet()) { it.name }
         for (spec in services) {
-            for (name in names(spec)) {
-                val since = upSince[name]
-                if (name in running) {
-                    if (since == null) upSince[name] = clock.time
-                } else if (since != null) {
-                    upSince.remove(name)
-                    spans.getOrPut(name) { ArrayList() }.add(since..clock.time)
-                }
-            }
+            for (name in names(spec)) note(name, name in running)
+        }
+    }
+
+    private fun note(name: String, runs: Boolean) {
+        val since = upSince[name]
+        if (runs) {
+            if (since == null) upSince[name] = clock.time
+        } else if (since != null) {
+            upSince.remove(name)
+            spans.getOrPut(name) { ArrayList() }.add(since..clock.time)
         }
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -97,7 +97,8 @@
         return call(answer) { Input.Heartbeat(it, heartbeat) }
     }
 
-    fun user(ask: UserRequest, answer: (Effect.Response) -> Unit): Boolean = call(answer) { Input.User(it, ask) }
+    fun user(request: UserRequest, answer: (Effect.Response) -> Unit): Boolean =
+        call(answer) { Input.User(it, request) }
 
     private fun call(answer: (Effect.Response) -> Unit, input: (Int) -> Input): Boolean {
         if (!alive) return false
--- a/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -26,11 +26,11 @@
     /** How many machines there may be, and how many times the teams' usual limits hold. */
     capacity: Int = 14,
     scale: Int = 1,
-    /** How often workers report. */
-    val reportMs: Long = 2000,
+    /** How often workers send heartbeats. */
+    val heartbeatMs: Long = 2000,
     private val stateLimits: StateLimits = StateLimits(80.0, 20.0, 8192, 12),
     private val objectives: List<Objective> = emptyList(),
-    /** Sabotage for tests of the checks: late copies of reports pass for new ones. */
+    /** Sabotage for tests of the checks: late copies of heartbeats pass for new ones. */
     val copiesLookNew: Boolean = false,
     /** Options of one controller that differ from the others'; only in tests of the checks. */
     private val oddOptions: OperatorSettings? = null,
@@ -96,8 +96,7 @@
             cloud = Address("127.0.0.1", 5),
             teams = limits.map { it.copy(cpusMax = it.cpusMax * factor) },
             objectives = objectives,
-            heartbeatIntervalS =
-                reportMs / 1000.0,
+            heartbeatIntervalS = heartbeatMs / 1000.0,
             leaseS = leaseS,
             cancelS = 25.0,
             stateLimits = stateLimits,
@@ -108,47 +107,50 @@
         )
 
     fun peerOf(label: String, index: Int): SimulatedController =
-        nodes.first {
-            it.label ==
-                labels.filter { l -> l != label }[index]
-        }
+        nodes.first { node -> node.label == labels.filter { it != label }[index] }
 
     fun indexAt(label: String, of: String): Int = labels.filter { it != label }.indexOf(of)
 
-    fun direct(node: String, e: Effect.WorkerCommand, reply: (CommandReply) -> Unit) {
-        var settled = false
+    /** Sends [message] of controller [node] to its worker; [reply] comes once, at the latest after the time-out. */
+    fun direct(node: String, message: Effect.WorkerCommand, reply: (CommandReply) -> Unit) {
+        var answered = false
 
-        fun settle(r: CommandReply) {
-            if (!settled) {
-                settled = true
-                reply(r)
+        fun answer(result: CommandReply) {
+            if (!answered) {
+                answered = true
+                reply(result)
             }
         }
         val sentAt = clock.time
-        clock.after(3000) { settle(CommandReply.NoResponse) }
-        network.send(node, e.address) {
-            fun arrive() {
-                cloud.worker(e.address)?.direct(e, sentAt) { r ->
-                    network.send(e.address, node) {
-                        val held = network.holdUp()
-                        if (held > 0) clock.after(held) { settle(r) } else settle(r)
-                    }
+        clock.after(COMMAND_TIMEOUT_MS) { answer(CommandReply.NoResponse) }
+        network.send(node, message.address) {
+            afterHoldUp {
+                cloud.worker(message.address)?.direct(message, sentAt) { result ->
+                    network.send(message.address, node) { afterHoldUp { answer(result) } }
                 }
             }
-            val held = network.holdUp()
-            if (held > 0) clock.after(held) { arrive() } else arrive()
         }
     }
 
+    /** Runs [deliver] now, or later if the network holds it up. */
+    private fun afterHoldUp(deliver: () -> Unit) {
+        val held = network.holdUp()
+        if (held > 0) clock.after(held, deliver) else deliver()
+    }
+
     /**
      * Starts everything, the controllers after [firstMs]; [jobs] jobs arrive over [overMs]. Machines that the cloud
      * lists when the controllers begin, 3 s after they were added, are the operator's own, and stay.
      */
     fun begin(jobs: Int, overMs: Long, machines: Int = 4, firstMs: Long = 0) {
         repeat(machines) { cloud.add(types[0], zones[it % 2], false, 0) }
-        nodes.forEach { n -> clock.after(firstMs + clock.between(0, 500)) { n.start() } }
+        for (node in nodes) clock.after(firstMs + clock.between(0, 500)) { node.start() }
         repeat(jobs) { clock.after(clock.between(0, overMs)) { users.arrive() } }
         repeat(jobs / 3) { clock.after(clock.between(0, overMs)) { users.askUnknown() } }
         clock.afterEach = rules::check
     }
+
+    private companion object {
+        const val COMMAND_TIMEOUT_MS = 3000L
+    }
 }
