--- a/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
@@ -33,19 +33,19 @@
     var startedAt = 0L
         private set
 
-    /** This controller was elected; nothing was written since the leadership record had revision [basis]. */
-    fun start(fencingToken: Long, revision: Long, writes: Long, basis: Long) {
+    /** This controller was elected; nothing was written since the leadership record had revision [snapshotRevision]. */
+    fun start(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) {
         commands.newTerm()
         startedAt = context.steady
         records.reset(fencingToken)
         writer.start(ownRecord.copy(fencingToken = fencingToken, writes = writes), revision)
         context.emit(Effect.Timing("takeover", snapshot.ageMs))
-        for (row in snapshot.take(basis)) {
-            if (records.load(row)) writer.seen(row.key, row.revision)
+        for (row in snapshot.take(snapshotRevision)) {
+            if (records.load(row)) writer.rememberRevision(row.key, row.revision)
         }
         loaded = true
         leadership.ready = true
-        requests.open = true
+        requests.open()
         records.complete()
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
@@ -5,7 +5,6 @@
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.MS_PER_S
-import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.JobState
 import java.util.BitSet
@@ -50,15 +49,15 @@
             ExitCause.ERROR -> onFailed(attempt)
             ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) onReplicaEnded(attempt)
             ExitCause.FULL -> attempt.machine.fullUntil = context.steady + FULL_MACHINE_MS
-            ExitCause.BUSY, ExitCause.NO_SUCH ->
-                job.backoff.pauseUntil(context.steady + REFUSED_START_MS)
+            ExitCause.BUSY, ExitCause.NO_SUCH -> job.backoff.pauseUntil(context.steady + REFUSED_START_MS)
             ExitCause.HALTED -> Unit
         }
     }
 
     private fun onReplicaEnded(attempt: Attempt) {
+        val job = attempt.job
         val placedForMs = context.steady - attempt.placedAt
-        attempt.job.backoff.replicaEnded(attempt.machine.id, context.steady, placedForMs, attempt.job.spec.tasks)
+        job.backoff.replicaEnded(attempt.machine.id, context.steady, placedForMs, job.spec.tasks)
     }
 
     private fun onFailed(attempt: Attempt) {
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
@@ -51,7 +51,7 @@
         private set
 
     /** The machine held the image when the attempt was placed. */
-    val imageWasHeld = job.image in machine.held
+    val imageWasHeld = job.image in machine.cachedImages
 
     /** It ended by completing: started once more it would only end once more. */
     var completed = false
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobEvents.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.core.cluster.OpenJob
 
-/** What [JobTable] reports of jobs. */
+/** What [CompletionWriter] and [JobCancellation] report of jobs. */
 interface JobEvents {
     /** The completion of all tasks of [job] is durable. */
     fun onJobDone(job: OpenJob)
--- a/src/main/kotlin/org/chalkhollow/core/jobs/KeyGarbageCollector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/KeyGarbageCollector.kt
@@ -1,6 +1,7 @@
 package org.chalkhollow.core.jobs
 
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 
@@ -18,7 +19,7 @@
         removals.add(removal(key))
     }
 
-    fun next(room: StateWriter.Room): Write? {
+    fun next(room: TransactionBudget): Write? {
         val write = removals.firstOrNull() ?: return null
         return if (write.fits(room)) removals.removeFirst() else null
     }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/UrgentWrites.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/UrgentWrites.kt
@@ -3,13 +3,14 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.EncodedSize
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 
 /** After how long a write is tried again that the state service refused. */
 internal const val REFUSED_RETRY_MS = 3000L
 
 /** Whether the write fits into what is left of the transaction. */
-internal fun Write.fits(room: StateWriter.Room): Boolean =
+internal fun Write.fits(room: TransactionBudget): Boolean =
     changes.size <= room.ops && changes.sumOf { EncodedSize.of(it) } <= room.bytes
 
 /**
@@ -39,7 +40,7 @@
     }
 
     /** The first write, unless it does not fit: then none, since the order is kept. */
-    fun next(room: StateWriter.Room): Write? {
+    fun next(room: TransactionBudget): Write? {
         while (refused.isNotEmpty() && context.steady >= refused.first().retryAt) add(refused.removeFirst().write)
         val write = queue.firstOrNull() ?: return null
         return if (write.fits(room)) queue.removeFirst() else null
--- a/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.model.KeyValuePage
 import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.settings.PlatformSettings
+import org.chalkhollow.settings.PlatformSettingsParser
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -19,7 +19,7 @@
     @Test
     fun `a response that a leader decided on before it stood still is not sent after its lease`() {
         val settings =
-            PlatformSettings.parse(
+            PlatformSettingsParser.parse(
                 """{"label":"a","location":"z","client_listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
               "seeds":[{"label":"b","location":"z","endpoint":"127.0.0.1:3"},{"label":"c","location":"z","endpoint":"127.0.0.1:4"}],
               "external":{"cloud":"127.0.0.1:5","state":"127.0.0.1:6"},
--- a/src/test/kotlin/org/chalkhollow/core/leadership/CandidateSnapshotTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/CandidateSnapshotTest.kt
@@ -29,10 +29,10 @@
         answer("x/1", more = true)
         snapshot.begin(8)
         answer("x/1", "x/2")
-        assertFalse(snapshot.complete(8), "complete before the last prefix was read")
+        assertFalse(snapshot.isComplete(8), "complete before the last prefix was read")
         answer("y/1")
-        assertTrue(snapshot.complete(8), "incomplete although all was read")
-        assertFalse(snapshot.complete(7), "complete for a revision that is past")
+        assertTrue(snapshot.isComplete(8), "incomplete although all was read")
+        assertFalse(snapshot.isComplete(7), "complete for a revision that is past")
         assertEquals(listOf("x/1", "x/2", "y/1"), snapshot.take(8).map { it.key })
         assertEquals(1, completed, "times that the snapshot was complete")
     }
--- a/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipBench.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipBench.kt
@@ -27,22 +27,22 @@
     /** Whether a snapshot that is asked for is read at once, or never. */
     var reads = true
 
-    override fun prepare(revision: Long) {
+    override fun requestSnapshot(revision: Long) {
         if (reads) preparedFor = revision
     }
 
-    override fun prepared(revision: Long) = preparedFor == revision
+    override fun snapshotComplete(revision: Long) = preparedFor == revision
 
-    override fun unprepare() {
+    override fun discardSnapshot() {
         preparedFor = null
     }
 
-    override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) {
-        assertEquals(preparedFor, basis)
+    override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) {
+        assertEquals(preparedFor, snapshotRevision)
         elected = fencingToken
     }
 
-    override fun onDeposed() {
+    override fun onSteppedDown() {
         deposed = true
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Where room is kept free for services. */
+/** Where headroom is reserved for services. */
 class ReplicasTest {
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val settings = Simulation(1).settings
@@ -52,20 +52,20 @@
             )
         jobs.accept(spec, onRefused = {}) {}
         jobs.urgentWrites
-            .next(StateWriter.Room(10, 10_000))
+            .next(TransactionBudget(10, 10_000))
             ?.onDurable
             ?.invoke()
         return checkNotNull(jobs.find(id)?.open)
     }
 
     private fun machine(name: String, zone: Int, cpus: Double): Machine =
-        fleet.known(name).also {
-            it.zone = zone
-            it.left = Resources(cpus, 0.0, 64.0)
+        fleet.getOrAdd(name).also {
+            it.describe(Machine.UNKNOWN, zone, isSpot = false)
+            it.roundRoom = Resources(cpus, 0.0, 64.0)
         }
 
     @Test
-    fun `room is kept in every zone, on machines that hold the image first, then on the fullest`() {
+    fun `headroom is reserved in every zone, on machines that hold the image first, then on the fullest`() {
         val job = service("j-1", 6)
         service("j-2", 4)
         val fullest = machine("n-1", 0, 2.0)
@@ -73,12 +73,12 @@
         val holder = machine("n-3", 0, 2.0).also { it.images.add(job.image) }
         val otherZone = machine("n-4", 1, 8.0)
         val machines = listOf(fullest, fuller, holder, otherZone)
-        assertEquals(6.0, replicas.keepRoom(machines))
-        assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.left.cpus })
-        replicas.giveBack()
-        assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.left.cpus })
-        val spot = machine("n-5", 0, 1.0).also { it.spot = true }
-        replicas.keepRoom(listOf(spot))
-        assertEquals(1.0, spot.left.cpus, "its services may not use spot machines")
+        assertEquals(6.0, replicas.reserveHeadroom(machines))
+        assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.roundRoom.cpus })
+        replicas.releaseHeadroom()
+        assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.roundRoom.cpus })
+        val spot = machine("n-5", 0, 1.0).also { it.describe(it.type, it.zone, isSpot = true) }
+        replicas.reserveHeadroom(listOf(spot))
+        assertEquals(1.0, spot.roundRoom.cpus, "its services may not use spot machines")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -5,7 +5,7 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Resources
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
 
@@ -250,7 +250,7 @@
         val parsed =
             try {
                 UserCodec.job(raw)
-            } catch (expected: Malformed) {
+            } catch (expected: MalformedMessageException) {
                 return
             }
         simulation.rules.broken("accepted_unfit", "${parsed.id} without $lacks was read as a job")
