--- a/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
@@ -22,15 +22,16 @@
      * Whether a task failed on [machine] lately. What was wrong there may be over: an earlier version kept such a
      * machine from the job for good, and a job that had failed everywhere waited for ever beside machines with room.
      */
-    fun avoids(machine: Int, t: Long): Boolean = failedAt.containsKey(machine) && t - failedAt.get(machine) < AVOID_MS
+    fun avoids(machine: Int, now: Long): Boolean =
+        failedAt.containsKey(machine) && now - failedAt.get(machine) < AVOID_MS
 
     /** Whether tasks failed on several machines lately. */
-    fun failsOnSeveralMachines(t: Long): Boolean =
-        failedAt.size >= SEVERAL_MACHINES && failedAt.values.count { t - it < AVOID_MS } >= SEVERAL_MACHINES
+    fun failsOnSeveralMachines(now: Long): Boolean =
+        failedAt.size >= SEVERAL_MACHINES && failedAt.values.count { now - it < AVOID_MS } >= SEVERAL_MACHINES
 
-    /** Nothing is placed before [t], nor before any moment that was named earlier. */
-    fun pauseUntil(t: Long) {
-        notBefore = maxOf(notBefore, t)
+    /** Nothing is placed before [moment], nor before any moment that was named earlier. */
+    fun pauseUntil(moment: Long) {
+        notBefore = maxOf(notBefore, moment)
     }
 
     fun taskCompleted() {
@@ -41,20 +42,20 @@
      * A task failed on [machine]. One machine's faults should not hold a job up; a job that fails wherever it goes
      * waits longer and longer.
      */
-    fun taskFailed(machine: Int, t: Long) {
-        failedAt.put(machine, t)
+    fun taskFailed(machine: Int, now: Long) {
+        failedAt.put(machine, now)
         failures++
-        if (failsOnSeveralMachines(t)) pauseUntil(t + backoffMs(failures / FAILURES_PER_DOUBLING))
+        if (failsOnSeveralMachines(now)) pauseUntil(now + backoffMs(failures / FAILURES_PER_DOUBLING))
     }
 
     /**
      * One of a service's [replicas] ended by itself on [machine], [placedForMs] after it was placed. It runs again
      * elsewhere, and later and later if that happens again and again.
      */
-    fun replicaEnded(machine: Int, t: Long, placedForMs: Long, replicas: Int) {
-        failedAt.put(machine, t)
+    fun replicaEnded(machine: Int, now: Long, placedForMs: Long, replicas: Int) {
+        failedAt.put(machine, now)
         failures = if (placedForMs > STABLE_REPLICA_MS) 0 else failures + 1
-        if (failures > replicas) notBefore = t + backoffMs(failures / replicas)
+        if (failures > replicas) notBefore = now + backoffMs(failures / replicas)
     }
 
     private fun backoffMs(doublings: Int): Long = FIRST_BACKOFF_MS shl minOf(doublings, MAX_DOUBLINGS)
--- a/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
@@ -66,9 +66,9 @@
         cancelling = true
     }
 
-    /** A task completed at [t], by the steady clock; it is written with the next transaction that has room. */
-    fun completeTask(index: Int, t: Long) {
-        if (restoreCompletion(index)) pages.taskDone(index, t)
+    /** A task completed at [now], by the steady clock; it is written with the next transaction that has room. */
+    fun completeTask(index: Int, now: Long) {
+        if (restoreCompletion(index)) pages.taskDone(index, now)
     }
 
     /** Marks a task as done whose completion is durable; false when it was before, or when there is no such task. */
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
@@ -36,12 +36,12 @@
     val stored: IntSet get() = storedFirstTasks
 
     /** Whether some progress is not written yet, and may be tried now. */
-    fun mayWrite(t: Long): Boolean = !completionInFlight && !dirty.isEmpty && t >= retryAt
+    fun mayWrite(now: Long): Boolean = !completionInFlight && !dirty.isEmpty && now >= retryAt
 
     fun firstTask(page: Int): Int = page * tasksPerPage
 
-    internal fun taskDone(index: Int, t: Long) {
-        if (dirty.isEmpty) dirtySince = t
+    internal fun taskDone(index: Int, now: Long) {
+        if (dirty.isEmpty) dirtySince = now
         dirty.set(index / tasksPerPage)
     }
 
@@ -54,12 +54,12 @@
         if (from % tasksPerPage != 0 || done.length() <= tasksPerPage) return
         val own = from / tasksPerPage
         oversized.set(own)
-        var i = done.nextSetBit(tasksPerPage)
-        while (i >= 0 && from + i < tasks) {
-            val page = (from + i) / tasksPerPage
+        var offset = done.nextSetBit(tasksPerPage)
+        while (offset >= 0 && from + offset < tasks) {
+            val page = (from + offset) / tasksPerPage
             rewritten.set(page)
             dirty.set(page)
-            i = done.nextSetBit(firstTask(page + 1) - from)
+            offset = done.nextSetBit(firstTask(page + 1) - from)
         }
         dirty.set(own)
     }
@@ -80,9 +80,9 @@
         return page
     }
 
-    fun pageSent(page: Int, t: Long) {
+    fun pageSent(page: Int, now: Long) {
         dirty.clear(page)
-        dirtySince = t
+        dirtySince = now
     }
 
     fun pageWritten(page: Int) {
--- a/src/test/kotlin/org/chalkhollow/core/cluster/FailureBackoffTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/FailureBackoffTest.kt
@@ -10,7 +10,7 @@
 
     @Test
     fun `a machine where a task failed is avoided for a while`() {
-        backoff.taskFailed(machine = 7, t = 1_000)
+        backoff.taskFailed(machine = 7, now = 1_000)
         assertTrue(backoff.avoids(7, 45_999))
         assertFalse(backoff.avoids(7, 46_000))
         assertFalse(backoff.avoids(8, 1_000), "nothing failed there")
@@ -18,18 +18,18 @@
 
     @Test
     fun `one machine's faults do not hold the job up, those of several do, and longer and longer`() {
-        repeat(10) { backoff.taskFailed(machine = 1, t = 1_000) }
-        backoff.taskFailed(machine = 2, t = 1_000)
+        repeat(10) { backoff.taskFailed(machine = 1, now = 1_000) }
+        backoff.taskFailed(machine = 2, now = 1_000)
         assertEquals(0, backoff.notBefore)
-        backoff.taskFailed(machine = 3, t = 1_000)
+        backoff.taskFailed(machine = 3, now = 1_000)
         assertEquals(1_000L + (1_000 shl 4), backoff.notBefore, "12 failures double the wait 4 times")
-        repeat(30) { backoff.taskFailed(machine = 3, t = 1_000) }
+        repeat(30) { backoff.taskFailed(machine = 3, now = 1_000) }
         assertEquals(1_000L + (1_000 shl 5), backoff.notBefore, "it is doubled 5 times at most")
     }
 
     @Test
     fun `a completion ends the count of failures, and a pause is never shortened`() {
-        repeat(3) { backoff.taskFailed(machine = it, t = 0) }
+        repeat(3) { backoff.taskFailed(machine = it, now = 0) }
         assertEquals(2_000, backoff.notBefore)
         backoff.taskCompleted()
         assertEquals(0, backoff.failures)
@@ -39,11 +39,11 @@
 
     @Test
     fun `replicas that end soon are held up once more of them ended than the service has`() {
-        repeat(2) { backoff.replicaEnded(machine = it, t = 1_000, placedForMs = 100, replicas = 2) }
+        repeat(2) { backoff.replicaEnded(machine = it, now = 1_000, placedForMs = 100, replicas = 2) }
         assertEquals(0, backoff.notBefore)
-        backoff.replicaEnded(machine = 0, t = 1_000, placedForMs = 100, replicas = 2)
+        backoff.replicaEnded(machine = 0, now = 1_000, placedForMs = 100, replicas = 2)
         assertEquals(3_000, backoff.notBefore)
-        backoff.replicaEnded(machine = 0, t = 1_000, placedForMs = 15_001, replicas = 2)
+        backoff.replicaEnded(machine = 0, now = 1_000, placedForMs = 15_001, replicas = 2)
         assertEquals(0, backoff.failures, "one that ran for long did not fail at its start")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
@@ -14,19 +14,19 @@
 
     @Test
     fun `completions are gathered from the first that is not written`() {
-        pages.taskDone(3, t = 100)
-        pages.taskDone(25, t = 200)
+        pages.taskDone(3, now = 100)
+        pages.taskDone(25, now = 200)
         assertEquals(100, pages.dirtySince)
         assertEquals(0, pages.nextToWrite())
-        pages.pageSent(0, t = 300)
+        pages.pageSent(0, now = 300)
         assertEquals(300, pages.dirtySince)
         assertEquals(2, pages.nextToWrite())
     }
 
     @Test
     fun `a refused page is dirty again, and is tried from the given moment on`() {
-        pages.taskDone(3, t = 100)
-        pages.pageSent(0, t = 100)
+        pages.taskDone(3, now = 100)
+        pages.pageSent(0, now = 100)
         assertFalse(pages.mayWrite(100))
         pages.pageRefused(0, retryAt = 500)
         assertFalse(pages.mayWrite(499))
@@ -50,7 +50,7 @@
         while (pages.mayWrite(0)) {
             val page = pages.nextToWrite()
             order.add(page)
-            pages.pageSent(page, t = 0)
+            pages.pageSent(page, now = 0)
             pages.pageWritten(page)
         }
         assertEquals(listOf(3, 1, 0), order)
