--- a/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -76,7 +76,7 @@
 
     /** A controller that does not lead names the leader whatever a heartbeat says, so it need not decode it. */
     private fun heartbeat(body: ByteArray, responder: HttpResponder) {
-        if (!context.controller.leads(SteadyClock.now())) return step(responder) { Input.UnreadHeartbeat(it) }
+        if (!context.controller.isLeader(SteadyClock.now())) return step(responder) { Input.UnreadHeartbeat(it) }
         val heartbeat =
             try {
                 heartbeats.read(body)
--- a/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
@@ -41,7 +41,7 @@
                 }
             pending.addAll(controller.step(Now(10, 10), Input.State(effect.ticket, reply)))
         }
-        assertTrue(controller.leads(Now(20, 20)))
+        assertTrue(controller.isLeader(Now(20, 20)))
         val heartbeat = WorkerHeartbeat("n-1", "127.0.0.1:9", "x", "z", false, 1, 1, 1, null, emptyList())
         val effects = controller.step(Now(20, 20), Input.Heartbeat(7, heartbeat))
         val response = effects.filterIsInstance<Effect.Response>().single()
