--- a/src/main/kotlin/org/chalkhollow/core/fleet/UnreachedZones.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/UnreachedZones.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.common.CoreContext
 
-/** Owns which zones are out of reach: most of their machines are silent, so what is rented there could not report. */
+/** Owns which zones are out of reach: most of their machines are silent, so nothing rented there could be reached. */
 class UnreachedZones(
     private val context: CoreContext,
     private val table: MachineTable,
