--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -13,12 +13,13 @@
 import java.util.BitSet
 
 /**
- * Owns what is known of attempts: reserved, marked, sent, on a machine, exited. Squares it with what machines report:
- * an attempt is resolved, and its task free to be placed again, only on proof that it runs nowhere and never will.
+ * Owns what is known of attempts: reserved, marker persisted, start sent, on a machine, exited. Reconciles it with
+ * heartbeats: an attempt is resolved, and its task free to be placed again, only on proof that it runs nowhere and
+ * never will.
  *
  * This is the one entry to the parts that keep attempts. [DispatchLog] calls it for reservations and markers,
  * [HeartbeatHandler] and [WorkerCommandSender] for heartbeats, and the controller's event dispatcher when machines are
- * gone or outcomes are recorded. It reports to [AttemptEvents].
+ * gone or outcomes are recorded. It publishes [AttemptEvents].
  */
 class AttemptReconciler(
     context: CoreContext,
@@ -67,8 +68,8 @@
 
     /**
      * [machine] is in a new epoch, which ends what was in the one before. That says nothing of what an earlier leader
-     * started: while the epoch that we knew is only told by heartbeats of before our fencing token, old copies among
-     * them, its starts may be in the new one. An earlier version took them for gone, and they ran twice.
+     * started: while the epoch that we knew is only known from heartbeats of before our fencing token, old copies
+     * among them, its starts may be in the new one. An earlier version took them for gone, and they ran twice.
      */
     fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
         resolveEnded(machine, inherited = knewOurFencingToken)
@@ -119,8 +120,8 @@
             machine.attempts.all { it.onMachine }
 
     /**
-     * Attempts are told apart by all that names them. An earlier version mixed it into one number; where two came out
-     * the same, the one's completion was taken for the other's.
+     * Attempts are distinguished by all that names them. An earlier version mixed it into one number; where two came
+     * out the same, the one's completion was taken for the other's.
      */
     private fun attemptsByIdentity(machine: Machine): Map<Identity, Attempt> {
         val known = HashMap<Identity, Attempt>(machine.attempts.size * 2)
--- a/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
@@ -7,7 +7,7 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Owns the follower leases that this leader holds, and what the peers told with them: whether the state service serves
+ * Owns the follower leases that this leader holds, and what the peers sent with them: whether the state service serves
  * them, and whether they could take over at once. A follower lease counts from when it was requested, so it ends here
  * before it ends at the peer that granted it. Called by [LeaderLease].
  */
@@ -22,7 +22,7 @@
     /** By peer: until when its lease is good. */
     private val leaseUntil = LongArray(peerCount) { NEVER }
 
-    /** By peer: when the newest lease was requested that came with word that the state service serves that peer. */
+    /** By peer: when the newest lease was requested with which the peer confirmed that the state service serves it. */
     private val servedAt = LongArray(peerCount) { NEVER }
 
     /** By peer: whether it has read all that this leader wrote, so that it could take over at once. */
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What an operator is told of one controller; only the leader knows of jobs, machines and teams. */
+/** The status of one controller, for operators; only the leader knows of jobs, machines and teams. */
 @Serializable
 data class StatusView(
     val label: String,
@@ -26,7 +26,7 @@
 @Serializable
 data class ServiceView(val name: String, val services: Int, val wanted: Int, val up: Int, val down: List<String>)
 
-/** The version that one controller runs; null when it has not told this one yet. */
+/** The version that one controller runs; null while it is unknown here. */
 @Serializable
 data class ControllerView(val label: String, val version: Int?)
 
