--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -76,7 +76,7 @@
     /** Whether some attempt may be on it. */
     val busy: Boolean get() = !usage.isEmpty
 
-    /** Whether nothing of its past is left to be seen to; what is over and merely not forgotten yet does not count. */
+    /** Whether nothing on it needs attention; what has ended and is merely not forgotten yet does not count. */
     val vacant: Boolean get() = attempts.all { it.finished }
 
     fun describe(machineType: Int, inZone: Int, isSpot: Boolean) {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -65,7 +65,7 @@
     /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
     fun leastBootMs(): Long = inventory.leastBootMs
 
-    /** Whether every machine that the cloud lists as up has reported; never before a list was read. */
+    /** Whether every machine that the cloud lists as up has sent a heartbeat; never before a list was read. */
     fun heardFromAllListed(): Boolean = inventory.heardFromAllListed()
 
     /** Machines that take new tasks, see [MachineTable.placeable]. */
