--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -13,8 +13,9 @@
 import org.chalkhollow.core.leadership.CandidateSnapshot
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.requests.RequestHandler
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
+import org.chalkhollow.core.storage.WriteProducer
 
 /**
  * Passes the events of leadership, jobs, attempts and machines on to who acts on them. Those modules need each other:
@@ -36,7 +37,7 @@
         val commands: WorkerCommandSender,
         val fleet: Fleet,
         val requests: RequestHandler,
-        val placement: StateWriter.Source,
+        val placement: WriteProducer,
     )
 
     private var bound: Targets? = null
@@ -48,16 +49,16 @@
         bound = targets
     }
 
-    override fun prepare(revision: Long) = targets.snapshot.begin(revision)
+    override fun requestSnapshot(revision: Long) = targets.snapshot.begin(revision)
 
-    override fun prepared(revision: Long): Boolean = targets.snapshot.complete(revision)
+    override fun snapshotComplete(revision: Long): Boolean = targets.snapshot.isComplete(revision)
 
-    override fun unprepare() = targets.snapshot.drop()
+    override fun discardSnapshot() = targets.snapshot.discard()
 
-    override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) =
-        targets.term.start(fencingToken, revision, writes, basis)
+    override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) =
+        targets.term.start(fencingToken, revision, writes, snapshotRevision)
 
-    override fun onDeposed() = targets.term.end()
+    override fun onSteppedDown() = targets.term.end()
 
     override fun onMachineGone(machine: Machine) = targets.reconciler.onMachineGone(machine)
 
@@ -68,9 +69,9 @@
 
     override fun onStartsReady(machine: Machine) = targets.commands.send(machine)
 
-    override fun onStartObserved(machine: Machine) = targets.fleet.reached(machine)
+    override fun onStartObserved(machine: Machine) = targets.fleet.confirmReachable(machine)
 
-    override fun onJobDone(job: OpenJob) = targets.requests.finished(job)
+    override fun onJobDone(job: OpenJob) = targets.requests.onJobDone(job)
 
     override fun onJobCancelled(job: OpenJob) {
         targets.reconciler.onOutcomesRecorded(job, job.progress.snapshot())
@@ -78,5 +79,5 @@
     }
 
     /** The write of the next placement round, if one is due. */
-    fun nextPlacement(room: StateWriter.Room): Write? = targets.placement.next(room)
+    fun nextPlacement(room: TransactionBudget): Write? = targets.placement.next(room)
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
@@ -45,7 +45,7 @@
         if (attempt.phase == Attempt.Phase.START_SENT && !attempt.inherited) events.onStartObserved(machine)
         val wasRunning = attempt.running
         attempt.entered(phase, context.steady)
-        if (phase == Attempt.Phase.RUNNING && attempt.job.image >= 0) machine.held.add(attempt.job.image)
+        if (phase == Attempt.Phase.RUNNING && attempt.job.image >= 0) machine.cachedImages.add(attempt.job.image)
         if (attempt.running && !wasRunning) onRunning(attempt)
         if (!attempt.running && wasRunning) attempt.job.tasks.runEnded()
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -1,20 +1,20 @@
 package org.chalkhollow.core.attempts
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.DispatchMarker
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
 
 /**
- * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value, before
- * any of them is started, so that a later leader knows what may run; a marker is removed once none of its attempts
- * needs it. Called by [Controller] for each placement round and while a new leader loads.
+ * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value,
+ * before any of them is started, so that a later leader knows what may run; a marker is removed once none of its
+ * attempts needs it. Called for each placement round, while a new leader loads, and when an attempt needs its marker
+ * no more.
  */
 class DispatchLog(
     private val limits: StateLimits,
@@ -43,7 +43,7 @@
      * Reserves what fits of [allocations] and gives the markers to write for it; null when nothing fits. What does not
      * fit stays ready for the next round.
      */
-    fun writeMarkers(allocations: List<Allocation>, room: StateWriter.Room): Write? {
+    fun writeMarkers(allocations: List<Allocation>, room: TransactionBudget): Write? {
         val builder = DispatchMarkerBuilder(maxMarkerBytes, room.ops, room.bytes, ::nextMarker)
         val packed = builder.pack(allocations)
         if (packed.isEmpty()) return null
@@ -98,7 +98,7 @@
     }
 
     /** Removes one marker that no attempt needs any more. */
-    fun nextGarbage(room: StateWriter.Room): Write? {
+    fun nextGarbage(room: TransactionBudget): Write? {
         if (room.ops < 1) return null
         val key = garbage.removeFirstOrNull() ?: return null
         return Write(listOf(Change(key, null)), onRefused = { garbage.add(key) }) {}
@@ -113,7 +113,7 @@
         marker.hold() // until the whole marker is read
         for (row in DispatchMarkerRecord.rows(stored)) {
             val job = jobs.findForMarker(row.jobId) ?: continue
-            val machine = fleet.known(row.machineName)
+            val machine = fleet.getOrAdd(row.machineName)
             for (index in IndexRanges.decode(row.ranges)) {
                 if (index >= job.spec.tasks || job.progress.isDone(index)) continue
                 reconciler.reserveInherited(job, index, marker.number, machine, marker)
--- a/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.core.common
 
 import org.chalkhollow.model.JobSpec
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.UserCodec
 
 /** What a user asks of one job. */
@@ -26,11 +26,14 @@
     class Cancel(override val jobId: String) : UserRequest
 
     companion object {
+        /** After how many seconds a user who got 503 may repeat the request. */
+        const val RETRY_AFTER_S = 1
+
         /** What [body] asks as a submission, or null when it is malformed and names no job. */
         fun ofSubmission(body: ByteArray): UserRequest? =
             try {
                 Submit(UserCodec.job(body), body)
-            } catch (e: Malformed) {
+            } catch (e: MalformedMessageException) {
                 UserCodec.idIn(body)?.let { Invalid(it, body, e.message) }
             }
     }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -3,6 +3,7 @@
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.Change
 import org.chalkhollow.model.JobState
@@ -20,7 +21,7 @@
     /** Hears which tasks' completions are durable, so that workers may forget them. */
     private val onRecorded: (OpenJob, BitSet) -> Unit,
 ) {
-    fun next(room: StateWriter.Room): Write? {
+    fun next(room: TransactionBudget): Write? {
         if (room.ops < 1) return null
         // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
         var gathered: OpenJob? = null
@@ -32,7 +33,7 @@
         return gathered?.let { nextPage(it, room) }
     }
 
-    private fun jobCompletion(job: OpenJob, room: StateWriter.Room): Write? {
+    private fun jobCompletion(job: OpenJob, room: TransactionBudget): Write? {
         val done = job.progress.snapshot()
         val change = Change(JobRecord.key(job.spec.id), JobRecord.encodeDone(job.spec))
         val onRefused = { job.pages.completionRefused(retryAt = context.steady + REFUSED_RETRY_MS) }
@@ -48,7 +49,7 @@
         return write
     }
 
-    private fun nextPage(job: OpenJob, room: StateWriter.Room): Write? {
+    private fun nextPage(job: OpenJob, room: TransactionBudget): Write? {
         val page = job.pages.nextToWrite()
         if (page < 0) return null
         val write = pageWrite(job, page)
--- a/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
@@ -21,15 +21,15 @@
     private val lateEffects = LateEffects(leadership)
 
     private object AlwaysPrepared : Leadership.Events {
-        override fun prepare(revision: Long) = Unit
+        override fun requestSnapshot(revision: Long) = Unit
 
-        override fun prepared(revision: Long) = true
+        override fun snapshotComplete(revision: Long) = true
 
-        override fun unprepare() = Unit
+        override fun discardSnapshot() = Unit
 
-        override fun onElected(fencingToken: Long, revision: Long, writes: Long, basis: Long) = Unit
+        override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) = Unit
 
-        override fun onDeposed() = Unit
+        override fun onSteppedDown() = Unit
     }
 
     private val command = Effect.WorkerCommand(1, "a", 1, 1, emptyList())
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -16,7 +16,7 @@
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Priority
@@ -47,12 +47,12 @@
             "a",
             StaticMachines(context, settings.stateLimits),
         ).also { fleet ->
-            fleet.tick(leading = false, unplaced = emptyList(), mayRent = false)
+            fleet.tick(leading = false, unplaced = emptyList(), mayScaleOut = false)
             val request = context.drain().filterIsInstance<Effect.Cloud>().single { it.op == CloudOp.Catalog }
             val small = MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west"))
             context.reply(Input.Cloud(request.ticket, CloudReply.Catalog(listOf(small))))
         }
-    private val moves = ReplicaMigration(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
+    private val migration = ReplicaMigration(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
 
     private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob {
         val taskResources = Resources(2.0, 0.0, 1.0)
@@ -79,23 +79,22 @@
             )
         jobs.accept(change(spec), onRefused = {}) {}
         jobs.urgentWrites
-            .next(StateWriter.Room(10, 10_000))
+            .next(TransactionBudget(10, 10_000))
             ?.onDurable
             ?.invoke()
         return checkNotNull(jobs.find("j-1")?.open)
     }
 
     private fun machine(name: String, zone: Int = 0, cpus: Double = 0.0): Machine =
-        fleet.known(name).also {
-            it.state = Machine.State.UP
-            it.type = 0
-            it.zone = zone
+        fleet.getOrAdd(name).also {
+            it.markUp()
+            it.describe(0, zone, isSpot = false)
             offer(it, cpus)
         }
 
     /** What a placement round finds left of the machine. */
     private fun offer(m: Machine, cpus: Double) {
-        m.left = Resources(cpus, 0.0, 64.0)
+        m.roundRoom = Resources(cpus, 0.0, 64.0)
     }
 
     private fun running(job: OpenJob, index: Int, m: Machine): Attempt =
@@ -108,82 +107,82 @@
     private fun gone(m: Machine) = reconciler.onMachineGone(m)
 
     private fun notice(m: Machine, inMs: Long) {
-        m.noticeAt = context.steady + inMs
+        m.availability.recordSpotNotice(context.steady + inMs)
     }
 
     @Test
-    fun `nothing is stopped while there is no room elsewhere, and room is asked for`() {
+    fun `nothing is stopped while there is no room elsewhere, and room is requested`() {
         val job = service(2)
         val old = machine("n-1")
         val full = machine("n-2", cpus = 1.0)
         val replica = running(job, 0, old)
         running(job, 1, full)
-        assertFalse(moves.pending())
+        assertFalse(migration.pending())
         notice(old, 15_000)
-        assertTrue(moves.pending())
-        val plan = moves.plan(listOf(full))
+        assertTrue(migration.pending())
+        val plan = migration.plan(listOf(full))
         assertFalse(replica.stopRequested)
         assertEquals(emptyList<Machine>(), plan.stoppedOn)
-        assertEquals(listOf(job to 1), plan.lacking.map { it.job to it.count })
+        assertEquals(listOf(job to 1), plan.unplaced.map { it.job to it.count })
         context.now = Now(13_600, 13_600)
-        assertEquals(listOf(old), moves.plan(listOf(full)).stoppedOn, "the notice is nearly over")
+        assertEquals(listOf(old), migration.plan(listOf(full)).stoppedOn, "the notice is nearly over")
         assertTrue(replica.stopRequested)
     }
 
     @Test
-    fun `replicas of a service move one at a time, and the room of each is held until it starts`() {
+    fun `replicas of a service migrate one at a time, and the room of each is held until it starts`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
         val replicas = List(3) { running(job, it, old) }
-        old.draining = true
-        assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
+        old.availability.drain()
+        assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, false, false), replicas.map { it.stopRequested })
-        assertEquals(6.0, other.left.cpus)
+        assertEquals(6.0, other.roundRoom.cpus)
         offer(other, 8.0)
-        assertEquals(emptyList<Allocation>(), moves.start(listOf(other)), "the old attempt is not gone")
-        assertEquals(6.0, other.left.cpus, "the room is held in the next round, too")
-        assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "one is under way")
+        assertEquals(emptyList<Allocation>(), migration.start(listOf(other)), "the old attempt is not gone")
+        assertEquals(6.0, other.roundRoom.cpus, "the room is held in the next round, too")
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "one is under way")
 
         replicas[0].exited(hasCompleted = false)
         job.tasks.runEnded()
         quotas.remove(job.team, job.taskResources)
         job.tasks.attemptReleased(0)
         offer(other, 8.0)
-        val started = moves.start(listOf(other)).single()
+        val started = migration.start(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
-        assertEquals(6.0, other.left.cpus)
-        assertEquals(emptyList<Machine>(), moves.plan(listOf(other)).stoppedOn, "the first does not run again yet")
+        assertEquals(6.0, other.roundRoom.cpus)
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "the first does not run again yet")
         running(job, 0, other)
-        assertEquals(listOf(old), moves.plan(listOf(other)).stoppedOn)
+        assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, true, false), replicas.map { it.stopRequested })
     }
 
     @Test
-    fun `replicas move at once when the notice is too short for one after the other`() {
+    fun `replicas migrate at once when the notice is too short for one after the other`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
         val replicas = List(3) { running(job, it, old) }
         notice(old, 10_000)
-        moves.plan(listOf(other))
+        migration.plan(listOf(other))
         assertTrue(replicas.all { it.stopRequested })
-        assertEquals(2.0, other.left.cpus)
+        assertEquals(2.0, other.roundRoom.cpus)
         gone(old)
         // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
         offer(other, 8.0)
-        val first = moves.start(listOf(other)).single()
+        val first = migration.start(listOf(other)).single()
         running(job, first.tasks.single(), other)
         offer(other, 6.0)
         assertEquals(
             listOf(1),
-            moves
+            migration
                 .start(listOf(other))
                 .single()
                 .tasks
                 .toList(),
         )
-        assertEquals(2.0, other.left.cpus, "room for this one and for the last")
+        assertEquals(2.0, other.roundRoom.cpus, "room for this one and for the last")
     }
 
     @Test
@@ -193,13 +192,13 @@
         val fuller = machine("n-2", cpus = 2.0)
         val holder = machine("n-3", cpus = 4.0).also { it.images.add(job.image) }
         running(job, 0, old)
-        old.cordoned = true
-        moves.plan(listOf(fuller, holder))
-        assertEquals(listOf(2.0, 2.0), listOf(fuller.left.cpus, holder.left.cpus))
+        old.availability.cordon()
+        migration.plan(listOf(fuller, holder))
+        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, holder.roundRoom.cpus))
     }
 
     @Test
-    fun `spread holds for the place to move to, the old attempt left out`() {
+    fun `spread holds for the target, the old attempt left out`() {
         val job = service(4) { it.copy(spread = true) }
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 2.0)
@@ -208,26 +207,26 @@
         running(job, 1, sameZone)
         running(job, 2, otherZone)
         running(job, 3, otherZone)
-        old.draining = true
-        val plan = moves.plan(listOf(otherZone))
+        old.availability.drain()
+        val plan = migration.plan(listOf(otherZone))
         assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
-        assertEquals(listOf(true, false), listOf(0, 1).map { plan.lacking.single().admits(it) })
-        assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
-        assertEquals(0.0, sameZone.left.cpus)
+        assertEquals(listOf(true, false), listOf(0, 1).map { plan.unplaced.single().admits(it) })
+        assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
+        assertEquals(0.0, sameZone.roundRoom.cpus)
     }
 
     @Test
-    fun `together holds for the place to move to`() {
+    fun `together holds for the target`() {
         val job = service(2) { it.copy(together = true) }
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 1.0)
         val otherZone = machine("n-3", zone = 1, cpus = 8.0)
         running(job, 0, old)
         running(job, 1, sameZone)
-        old.draining = true
-        assertEquals(emptyList<Machine>(), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+        old.availability.drain()
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
         offer(sameZone, 2.0)
-        assertEquals(listOf(old), moves.plan(listOf(otherZone, sameZone)).stoppedOn)
+        assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
     }
 
     /** A move whose start would break a rule by now is given up: the replica is placed like any that is ready. */
@@ -242,30 +241,39 @@
             test.running(job, 1, test.machine("n-3", zone = 0))
             test.running(job, 2, test.machine("n-4", zone = 1))
             test.notice(old, 4000)
-            test.moves.plan(listOf(target))
+            test.migration.plan(listOf(target))
             test.gone(old)
             test.change(job, target)
-            return test.moves.start(listOf(target).filter { it.noticeAt == Machine.NEVER }).size
+            return test.migration.start(listOf(target).filter { !it.availability.hasSpotNotice }).size
         }
         assertEquals(1, startAfter { _, _ -> })
-        assertEquals(0, startAfter { _, target -> target.noticeAt = 5000 }, "it is about to be taken itself")
-        assertEquals(0, startAfter { _, target -> target.left = Resources(1.0, 0.0, 64.0) }, "it has no room")
+        assertEquals(
+            0,
+            startAfter {
+                _,
+                target,
+                ->
+                target.availability.recordSpotNotice(5000)
+            },
+            "it is about to be taken itself",
+        )
+        assertEquals(0, startAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) }, "it has no room")
         assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
         assertEquals(0, startAfter { job, _ -> job.beginCancellation() }, "the service is withdrawn")
         assertEquals(0, startAfter { job, _ -> job.backoff.pauseUntil(1000) }, "its replicas fail")
     }
 
     @Test
-    fun `moves do not take a team beyond its limit`() {
+    fun `migrations do not take a team beyond its quota`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
         repeat(3) { running(job, it, old) }
         notice(old, 5000)
-        moves.plan(listOf(other))
+        migration.plan(listOf(other))
         gone(old)
         quotas.add(job.team, job.taskResources, 4)
-        assertEquals(emptyList<Allocation>(), moves.start(listOf(other)))
+        assertEquals(emptyList<Allocation>(), migration.start(listOf(other)))
     }
 
     private companion object {
