--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.fleet
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
@@ -16,7 +15,7 @@
  * Owns what is known of each machine from its heartbeats: its state, its worker's epoch and lease. Nothing on a machine
  * counts as gone before its lease has certainly expired, its epoch has ended, or its deletion is confirmed. What the
  * cloud lists and how the fleet is scaled belongs to its parts: [CloudInventory], [ScaleOut] and [ScaleIn]. Called by
- * [Controller]; the others read the machines here.
+ * the controller; the others read the machines here.
  */
 class Fleet(
     private val context: CoreContext,
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.leadership
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.DroppedInput
 import org.chalkhollow.core.common.Effect
@@ -19,7 +18,7 @@
  *
  * This class owns the transitions between the roles. Its parts are [LeadershipState], [LeadershipRecordWatch],
  * [GrantedFollowerLease], [Election] (the way to leadership), [LeaderLease] (the leader's lease) and
- * [PeerRequestHandler]. Called by [Controller] and, for the outcome of writes, by the state writer.
+ * [PeerRequestHandler]. Called by the controller and, for the outcome of writes, by the state writer.
  */
 class Leadership(
     private val context: CoreContext,
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -1,6 +1,5 @@
 package org.chalkhollow.core.placement
 
-import org.chalkhollow.core.Controller
 import org.chalkhollow.core.attempts.Allocation
 import org.chalkhollow.core.attempts.AttemptReconciler
 import org.chalkhollow.core.cluster.Machine
@@ -18,7 +17,7 @@
  * Owns which ready tasks go where, round by round: [JobOrder] says which job is served first, [PlacementRound] how much
  * it is given, [MachineSelector] on which machines, and [Preemption] what is preempted for those that found no room. A
  * round gives only what teams' quotas and zone constraints allow, counting every attempt that cannot be disproved.
- * Called by [Controller], which persists the dispatch markers of what a round gives before it starts any of it.
+ * Called by the controller, which persists the dispatch markers of what a round gives before it starts any of it.
  */
 class Placement(
     private val context: CoreContext,
