--- a/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
@@ -62,8 +62,8 @@
     /** Every record is loaded. */
     fun complete() {
         jobs.finishLoading()
-        val inDoubt = fleet.machines.sumOf { it.attempts.size }
-        context.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), $inDoubt attempts in doubt")
+        val unknownOutcomes = fleet.machines.sumOf { it.attempts.size }
+        context.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), $unknownOutcomes attempts of unknown outcome")
     }
 
     companion object {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -45,7 +45,7 @@
         recorded = true
         names = HashSet(found)
         pendingWrite = write(found.sorted())
-        context.info("${found.size} machines were here before us")
+        context.info("${found.size} static machines were there before the first rental")
     }
 
     /**
