--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
@@ -4,6 +4,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.FaultScenario
+import org.chalkhollow.simulation.Sabotage
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.simulation.withReliableNetwork
@@ -23,7 +24,8 @@
     @Test
     fun `work that waits though there is room is noticed`() {
         fun played(factor: Double): Set<String> {
-            val simulation = Simulation(3, OperatorSettings(idleReturnS = 900.0), toldLimitFactor = factor)
+            val simulation =
+                Simulation(3, OperatorSettings(idleReturnS = 900.0), sabotage = Sabotage(toldLimitFactor = factor))
             quiet(simulation)
             simulation.begin(0, 1)
             simulation.clock.after(8000) {
@@ -47,7 +49,7 @@
     @Test
     fun `a job that fits no machine and is accepted is noticed`() {
         fun played(phantom: MachineType?): Set<String> {
-            val simulation = Simulation(5, phantomType = phantom)
+            val simulation = Simulation(5, sabotage = Sabotage(phantomType = phantom))
             quiet(simulation)
             simulation.begin(0, 1)
             repeat(10) { i -> simulation.clock.after(10_000L + i * 100) { simulation.users.submitUnfit() } }
--- a/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
@@ -21,7 +21,7 @@
     // Cancellations once travelled only in answers to heartbeats: nobody has any use for what runs until then.
     @Test
     fun `what is cancelled stops at once, not with the next heartbeat`() {
-        val simulation = Simulation(3, leaseMs = 30_000, toldLeaseS = 30.0, heartbeatMs = 9000)
+        val simulation = Simulation(3, leaseMs = 30_000, heartbeatMs = 9000)
         simulation.withReliableNetwork()
         simulation.begin(0, 1)
         var id = ""
--- a/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
+++ b/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
@@ -7,6 +7,7 @@
 import org.chalkhollow.simulation.FaultScenario
 import org.chalkhollow.simulation.MassFault
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -28,14 +29,7 @@
             digest.watch(
                 Simulation(
                     seed,
-                    controllers =
-                        if (seed % 2 ==
-                            0L
-                        ) {
-                            5
-                        } else {
-                            3
-                        },
+                    size = SimulationSize(controllers = if (seed % 2 == 0L) 5 else 3),
                     objectives = objectives,
                 ),
             )
--- a/src/test/kotlin/org/chalkhollow/LargeFleetTest.kt
+++ b/src/test/kotlin/org/chalkhollow/LargeFleetTest.kt
@@ -3,6 +3,7 @@
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.MassFault
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.simulation.largeFleet
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -34,7 +35,7 @@
 
     @Test
     fun `a day of several hundred machines and five controllers`() {
-        val simulation = Simulation(9, controllers = 5, capacity = 380, scale = 25)
+        val simulation = Simulation(9, size = SimulationSize(controllers = 5, capacity = 380, scale = 25))
         simulation.network.copies = 0.005
         simulation.begin(20, 40_000, machines = 300)
         repeat(30) {
--- a/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
@@ -5,6 +5,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.Objective
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.chalkhollow.simulation.addSpotMachines
 import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.simulation.withReliableNetwork
@@ -17,7 +18,12 @@
     // it had been, and was stopped again, five times a second.
     @Test
     fun `nothing is preempted where that makes no room for what it is preempted for`() {
-        val simulation = Simulation(21, capacity = 4, objectives = listOf(Objective("guarantee", null, 60.0, 0.9)))
+        val simulation =
+            Simulation(
+                21,
+                size = SimulationSize(capacity = 4),
+                objectives = listOf(Objective("guarantee", null, 60.0, 0.9)),
+            )
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
         simulation.addSpotMachines(4, listOf("east"))
--- a/src/test/kotlin/org/chalkhollow/RandomDaysTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RandomDaysTest.kt
@@ -2,6 +2,7 @@
 
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.chalkhollow.simulation.playRandomDay
 import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -25,7 +26,24 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20])
     fun `a day with faults breaks no rule and still gets work done`(seed: Long) {
-        val simulation = playRandomDay(Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3), faults = 14)
+        val simulation =
+            playRandomDay(
+                Simulation(
+                    seed,
+                    size =
+                        SimulationSize(
+                            controllers =
+                                if (seed % 3 ==
+                                    0L
+                                ) {
+                                    5
+                                } else {
+                                    3
+                                },
+                        ),
+                ),
+                faults = 14,
+            )
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(emptyList<String>(), simulation.rules.starved())
         assertTrue(simulation.rules.acceptedCount >= 36, "only ${simulation.rules.acceptedCount} jobs were accepted")
--- a/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
@@ -5,6 +5,7 @@
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.FakeWorker
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.chalkhollow.simulation.addSpotMachines
 import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.simulation.withReliableNetwork
@@ -17,7 +18,8 @@
 class ReplicaMigrationDayTest {
     /** A service on spot machines, of which there are no more to be rented. */
     private class Day(seed: Long, machines: Int, tasks: Int, taskResources: Resources, spread: Boolean = true) {
-        val simulation = Simulation(seed, OperatorSettings(idleReturnS = 900.0), capacity = machines)
+        val simulation =
+            Simulation(seed, OperatorSettings(idleReturnS = 900.0), size = SimulationSize(capacity = machines))
         val id: String
 
         init {
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -7,6 +7,7 @@
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.RollingUpgrade
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.wire.Fields
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -55,7 +56,22 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12])
     fun `an upgrade amid faults breaks no rule, serves every job, and exceeds no lowered limit`(seed: Long) {
-        val simulation = Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3, stateLimits = now)
+        val simulation =
+            Simulation(
+                seed,
+                size =
+                    SimulationSize(
+                        controllers =
+                            if (seed % 3 ==
+                                0L
+                            ) {
+                                5
+                            } else {
+                                3
+                            },
+                    ),
+                stateLimits = now,
+            )
         val upgrade = RollingUpgrade(simulation, next, atOnce = 1 + (seed % 2).toInt())
         day(simulation, upgrade, faults = 12)
         served(simulation, upgrade)
@@ -86,7 +102,12 @@
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53])
     fun `a job of 20,000 tasks goes through an upgrade, and no completion that was written is lost`(seed: Long) {
-        val simulation = Simulation(seed, capacity = 60, scale = 12, stateLimits = StateLimits(80.0, 40.0, 4096, 12))
+        val simulation =
+            Simulation(
+                seed,
+                size = SimulationSize(capacity = 60, scale = 12),
+                stateLimits = StateLimits(80.0, 40.0, 4096, 12),
+            )
         val upgrade = RollingUpgrade(simulation, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
         simulation.begin(6, 100_000, machines = 40)
         var id = ""
--- a/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
@@ -2,6 +2,7 @@
 
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.FaultInjection
+import org.chalkhollow.simulation.Sabotage
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.playRandomDay
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -31,7 +32,7 @@
 
     @Test
     fun `a lease taken for shorter than it is makes tasks run twice`() {
-        val seen = violations { seed -> Simulation(seed, leaseMs = 40_000, toldLeaseS = 3.0) }
+        val seen = violations { seed -> Simulation(seed, leaseMs = 40_000, sabotage = Sabotage(toldLeaseS = 3.0)) }
         assertTrue("ran_twice" in seen, "only $seen")
     }
 
@@ -39,7 +40,7 @@
     fun `late copies of heartbeats that pass for new ones are noticed`() {
         val seen = HashSet<String>()
         for (seed in 1L..6L) {
-            val simulation = Simulation(seed, copiesLookNew = true)
+            val simulation = Simulation(seed, sabotage = Sabotage(copiesLookNew = true))
             simulation.network.copies = 0.05
             simulation.begin(40, 100_000)
             simulation.clock.runUntil(200_000)
@@ -52,7 +53,8 @@
     fun `a controller that takes follower leases for longer than they hold makes two leaders`() {
         val seen = HashSet<String>()
         for (seed in 1L..12L) {
-            val simulation = Simulation(seed, oddOptions = OperatorSettings(followerLeaseMs = 20_000))
+            val simulation =
+                Simulation(seed, sabotage = Sabotage(oddOptions = OperatorSettings(followerLeaseMs = 20_000)))
             simulation.begin(0, 1)
             simulation.clock.after(
                 15_000,
@@ -80,7 +82,7 @@
 
     @Test
     fun `a limit taken for higher than it is breaks the quota`() {
-        val seen = violations { seed -> Simulation(seed, toldLimitFactor = 2.0) }
+        val seen = violations { seed -> Simulation(seed, sabotage = Sabotage(toldLimitFactor = 2.0)) }
         assertTrue("quota" in seen, "only $seen")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -4,6 +4,7 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.Sabotage
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -85,7 +86,14 @@
     fun `a service beyond its team's limit is noticed`() {
         val seen =
             listOf(1.0, 2.0).map { factor ->
-                val simulation = started(Simulation(4, OperatorSettings(idleReturnS = 900.0), toldLimitFactor = factor))
+                val simulation =
+                    started(
+                        Simulation(
+                            4,
+                            OperatorSettings(idleReturnS = 900.0),
+                            sabotage = Sabotage(toldLimitFactor = factor),
+                        ),
+                    )
                 repeat(2) { simulation.users.submitService { it.copy(team = "red", tasks = 24, spread = false) } }
                 simulation.clock.runUntil(40_000)
                 simulation.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
@@ -97,7 +105,14 @@
     fun `a replica that runs twice, or on after its service was withdrawn, is noticed`() {
         for (withdrawn in listOf(false, true)) {
             val simulation =
-                started(Simulation(4, OperatorSettings(idleReturnS = 900.0), leaseMs = 100_000, toldLeaseS = 8.0))
+                started(
+                    Simulation(
+                        4,
+                        OperatorSettings(idleReturnS = 900.0),
+                        leaseMs = 100_000,
+                        sabotage = Sabotage(toldLeaseS = 8.0),
+                    ),
+                )
             val id = simulation.users.submitService { it.copy(tasks = 4, spread = false) }
             simulation.clock.runUntil(20_000)
             val worker = simulation.cloud.workers.first { it.onMachine().isNotEmpty() }
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -4,6 +4,7 @@
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.FakeWorker
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.chalkhollow.simulation.addSpotMachines
 import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -21,7 +22,7 @@
      */
     private class Running(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
         val simulation =
-            Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, leaseMs / 1000.0, capacity = 20)
+            Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, size = SimulationSize(capacity = 20))
         val id: String
 
         init {
--- a/src/test/kotlin/org/chalkhollow/ServicesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicesTest.kt
@@ -5,6 +5,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.simulation.FaultInjection
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.chalkhollow.simulation.asBatch
 import org.chalkhollow.simulation.assertRulesHold
 import org.chalkhollow.simulation.quietSimulation
@@ -94,7 +95,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `a faulty day with services among the jobs`(seed: Long) {
-        val simulation = Simulation(seed, controllers = if (seed % 3 == 0L) 5 else 3)
+        val simulation = Simulation(seed, size = SimulationSize(controllers = if (seed % 3 == 0L) 5 else 3))
         simulation.network.copies = 0.01
         simulation.begin(30, 150_000)
         val services = ArrayList<String>()
--- a/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
@@ -17,7 +17,7 @@
     /** Jobs, commands and rules of a run in which one machine hears nothing, after a crash of the leader or not. */
     private fun checkDeafMachine(seed: Long, crash: Boolean, heartbeatMs: Long) {
         val options = OperatorSettings(idleReturnS = 900.0)
-        val simulation = Simulation(seed, options, 22_000, 22.0, heartbeatMs = heartbeatMs).withReliableNetwork()
+        val simulation = Simulation(seed, options, leaseMs = 22_000, heartbeatMs = heartbeatMs).withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
         simulation.addSpotMachines(4, listOf("east"))
         simulation.clock.runUntil(15_000)
--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -5,6 +5,7 @@
 import org.chalkhollow.settings.Objective
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.SimulationSize
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
@@ -12,7 +13,12 @@
 class WaitingTest {
     private fun calm(capacity: Int, objectives: List<Objective> = emptyList()): Simulation {
         val simulation =
-            Simulation(17, OperatorSettings(idleReturnS = 900.0), capacity = capacity, objectives = objectives)
+            Simulation(
+                17,
+                OperatorSettings(idleReturnS = 900.0),
+                size = SimulationSize(capacity = capacity),
+                objectives = objectives,
+            )
         simulation.network.loss = 0.0
         simulation.network.late = 0.0
         simulation.begin(0, 1, machines = 0)
--- a/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
@@ -94,14 +94,7 @@
                 PeerMessage.Hello("a", 2, PeerMessage.VERSION),
                 PeerMessage.Hello("stranger", 3, 9),
             ).map(Frames::encode)
-        val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(f.size).array() + f }
-        runBlocking {
-            try {
-                PeerListener(listOf("a", "b"), dropped, listener).readFrames(ByteReadChannel(bytes))
-            } catch (expected: EOFException) {
-                // The connection ended.
-            }
-        }
+        receive(*frames.toTypedArray())
         assertEquals(listOf(1 to 0, 0 to PeerMessage.VERSION), hellos.map { (peer, hello) -> peer to hello.version })
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -128,7 +128,15 @@
     private fun copyLater(heartbeat: WorkerHeartbeat) {
         val late = simulation.network.copyAfter() ?: return
         clock.after(late) {
-            val looks = if (simulation.copiesLookNew) heartbeat.copy(seq = seq + 1, epoch = epoch) else heartbeat
+            val looks =
+                if (simulation.sabotage.copiesLookNew) {
+                    heartbeat.copy(
+                        seq = seq + 1,
+                        epoch = epoch,
+                    )
+                } else {
+                    heartbeat
+                }
             simulation.nodes[clock.random.nextInt(simulation.nodes.size)].heartbeat(name, WorkerForm.encode(looks)) {}
         }
     }
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
@@ -11,7 +11,8 @@
  */
 class FaultScenario(seed: Long, leaseMs: Long = 16_000, verbose: Boolean = false, controllers: Int = 3) {
     val simulation =
-        Simulation(seed, leaseMs = leaseMs, toldLeaseS = leaseMs / 1000.0, controllers = controllers, verbose = verbose)
+        Simulation(seed, leaseMs = leaseMs, size = SimulationSize(controllers = controllers))
+            .also { it.verbose = verbose }
     val faults = FaultInjection(simulation)
     val clock get() = simulation.clock
     val network get() = simulation.network
--- a/src/test/kotlin/org/chalkhollow/simulation/RandomDay.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RandomDay.kt
@@ -20,10 +20,7 @@
         seed,
         OperatorSettings(idleReturnS = 300.0),
         22_000,
-        22.0,
-        controllers = controllers,
-        capacity = machines + 50,
-        scale = machines / 12,
         heartbeatMs = 4000,
+        size = SimulationSize(controllers, capacity = machines + 50, scale = machines / 12),
         stateLimits = StateLimits(180.0, 40.0, 8192, 12),
     )
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -111,49 +111,46 @@
     private fun feed(input: Input) {
         val effects = controller?.step(now(), input) ?: return
         val askedBy = process
-
-        fun back(make: () -> Input) {
-            if (process == askedBy) feed(make())
-        }
         for (effect in effects) {
             simulation.onEffect(clock.time, label, effect)
-            when (effect) {
-                is Effect.Response -> calls.remove(effect.call)?.invoke(effect)
-                is Effect.State ->
-                    simulation.state.call(
-                        label,
-                        effect.op,
-                    ) { reply -> back { Input.State(effect.ticket, reply) } }
-                is Effect.Cloud ->
-                    simulation.cloud.call(
-                        label,
-                        effect.op,
-                    ) { reply -> back { Input.Cloud(effect.ticket, reply) } }
-                is Effect.WorkerCommand ->
-                    simulation.direct(label, effect) { reply ->
-                        back {
-                            Input.WorkerReply(effect.ticket, reply)
-                        }
-                    }
-                is Effect.Send -> {
-                    val to = simulation.peerOf(label, effect.peer)
-                    val frame = Frames.encode(effect.message)
-                    simulation.onFrame(frame)
-                    simulation.network.send(label, to.label) { to.peer(simulation.indexAt(to.label, label), frame) }
-                }
-                is Effect.Timer -> {
-                    val timer = ++timers
-                    clock.after(effect.at - now().steady + clock.between(0, 3)) {
-                        if (timer ==
-                            timers
-                        ) {
-                            back { Input.Tick }
-                        }
-                    }
-                }
-                is Effect.Timing -> Unit
-                is Effect.LogEvent -> if (simulation.verbose) println("${clock.time} $label ${effect.text}")
-            }
+            carryOut(effect, askedBy)
+        }
+    }
+
+    private fun carryOut(effect: Effect, askedBy: Int) {
+        when (effect) {
+            is Effect.Response -> calls.remove(effect.call)?.invoke(effect)
+            is Effect.State ->
+                simulation.state.call(label, effect.op) { feedBack(askedBy, Input.State(effect.ticket, it)) }
+            is Effect.Cloud ->
+                simulation.cloud.call(label, effect.op) { feedBack(askedBy, Input.Cloud(effect.ticket, it)) }
+            is Effect.WorkerCommand ->
+                simulation.direct(label, effect) { feedBack(askedBy, Input.WorkerReply(effect.ticket, it)) }
+            is Effect.Send -> send(effect)
+            is Effect.Timer -> setTimer(effect, askedBy)
+            is Effect.Timing -> Unit
+            is Effect.LogEvent -> if (simulation.verbose) println("${clock.time} $label ${effect.text}")
+        }
+    }
+
+    /** Feeds [input], the answer to an effect of the process [askedBy], unless another process runs by now. */
+    private fun feedBack(askedBy: Int, input: Input) {
+        if (process == askedBy) feed(input)
+    }
+
+    private fun send(effect: Effect.Send) {
+        val receiver = simulation.peerOf(label, effect.peer)
+        val frame = Frames.encode(effect.message)
+        simulation.onFrame(frame)
+        simulation.network.send(label, receiver.label) {
+            receiver.peer(simulation.indexAt(receiver.label, label), frame)
+        }
+    }
+
+    private fun setTimer(effect: Effect.Timer, askedBy: Int) {
+        val timer = ++timers
+        clock.after(effect.at - now().steady + clock.between(0, 3)) {
+            if (timer == timers) feedBack(askedBy, Input.Tick)
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -12,64 +12,78 @@
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.settings.StateLimits
 
+/** How much there is in a simulation. */
+class SimulationSize(
+    val controllers: Int = 3,
+    /** How many machines there may be. */
+    val capacity: Int = 14,
+    /** How many times the teams' usual limits hold. */
+    val scale: Int = 1,
+)
+
+/** What is wrong on purpose, so that tests of the checks see the rules broken. */
+class Sabotage(
+    /** The lease that the controllers are told in place of the workers' true one. */
+    val toldLeaseS: Double? = null,
+    /** How much more than the teams' true limits the controllers are told. */
+    val toldLimitFactor: Double = 1.0,
+    /** Late copies of heartbeats pass for new ones. */
+    val copiesLookNew: Boolean = false,
+    /** Options of one controller that differ from the others'. */
+    val oddOptions: OperatorSettings? = null,
+    /** A machine type that only the controllers believe in. */
+    val phantomType: MachineType? = null,
+)
+
 /** Controllers, fakes and rules on one virtual clock; [FaultInjection] adds faults. */
 class Simulation(
     seed: Long,
     val options: OperatorSettings = OperatorSettings(idleReturnS = 20.0),
-    /** The workers' true lease, and what the controllers are told; they differ only in tests of the checks. */
     val leaseMs: Long = 8000,
-    toldLeaseS: Double = 8.0,
-    /** How much more than the teams' true limits the controllers are told; 1 except in tests of the checks. */
-    toldLimitFactor: Double = 1.0,
-    val verbose: Boolean = false,
-    controllers: Int = 3,
-    /** How many machines there may be, and how many times the teams' usual limits hold. */
-    capacity: Int = 14,
-    scale: Int = 1,
     /** How often workers send heartbeats. */
     val heartbeatMs: Long = 2000,
+    size: SimulationSize = SimulationSize(),
     private val stateLimits: StateLimits = StateLimits(80.0, 20.0, 8192, 12),
     private val objectives: List<Objective> = emptyList(),
-    /** Sabotage for tests of the checks: late copies of heartbeats pass for new ones. */
-    val copiesLookNew: Boolean = false,
-    /** Options of one controller that differ from the others'; only in tests of the checks. */
-    private val oddOptions: OperatorSettings? = null,
-    /** Sabotage for tests of the checks: a machine type that only the controllers believe in. */
-    phantomType: MachineType? = null,
+    val sabotage: Sabotage = Sabotage(),
 ) {
     val clock = VirtualClock(seed)
     val network = Network(clock)
     val zones = listOf("east", "west")
-    val limits = listOf("red", "blue").map { Team(it, 16.0 * scale, 40.0 * scale, 0.0, 0.0) }
+    val limits = listOf("red", "blue").map { Team(it, 16.0 * size.scale, 40.0 * size.scale, 0.0, 0.0) }
     val cancelMs = 25_000L
     val types =
         listOf(
             MachineType("small", Resources(8.0, 0.0, 64.0), 1.0, 20.0, 0.5, 0.2, 5.0, zones),
             MachineType("large", Resources(16.0, 0.0, 64.0), 1.0, 20.0, 1.2, 0.5, 6.0, zones),
         )
-    private val labels = List(controllers) { "abcde"[it].toString() }
-    val settings = settingsOf("a", toldLeaseS, toldLimitFactor)
+    private val labels = List(size.controllers) { "abcde"[it].toString() }
+    private val toldLeaseS = sabotage.toldLeaseS ?: (leaseMs / 1000.0)
+    val settings = settingsOf("a", toldLeaseS, sabotage.toldLimitFactor)
     val state = FakeStateService(clock, network, settings.stateLimits)
     val cloud =
         FakeCloud(
             clock,
             network,
             types,
-            types + listOfNotNull(phantomType),
-            capacity,
+            types + listOfNotNull(sabotage.phantomType),
+            size.capacity,
         ) { name, type, zone, spot -> FakeWorker(this, name, type, zone, spot, leaseMs) }
     val nodes =
         labels.map {
             SimulatedController(
                 this,
                 it,
-                settingsOf(it, toldLeaseS, toldLimitFactor),
-                oddOptions?.takeIf { _ -> it == "b" } ?: options,
+                settingsOf(it, toldLeaseS, sabotage.toldLimitFactor),
+                sabotage.oddOptions?.takeIf { _ -> it == "b" } ?: options,
             )
         }
     val users = Users(this)
     val rules = Rules(this)
 
+    /** Whether log lines, faults and commands are printed. */
+    var verbose = false
+
     /** Told of every start of a controller. */
     var onStart: (SimulatedController) -> Unit = {}
 
--- a/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
@@ -85,20 +85,22 @@
         }
     }
 
+    /** Asserts that [job], in which [field] is null or missing, is read only if that field is optional. */
+    private fun assertReadWithout(field: String, job: Map<String, Any?>) {
+        if (field in OPTIONAL_FIELDS) {
+            assertEquals("j-000412", read(job).id)
+        } else {
+            assertThrows(MalformedMessageException::class.java, { read(job) }, "${job["shape"]} without $field")
+        }
+    }
+
     @Test
     fun `every field is required but the three that may be null or omitted, in every shape`() {
-        val optional = setOf("flavours", "site", "dueS")
         for (shape in listOf("batch", "group", "service")) {
+            val job = good + ("shape" to shape)
             for (field in good.keys) {
-                val job = good + ("shape" to shape)
-                val without = listOf(job + (field to null)) + if (field == "shape") emptyList() else listOf(job - field)
-                for (map in without) {
-                    if (field in optional) {
-                        assertEquals("j-000412", read(map).id)
-                    } else {
-                        assertThrows(MalformedMessageException::class.java, { read(map) }, "$shape without $field")
-                    }
-                }
+                assertReadWithout(field, job + (field to null))
+                if (field != "shape") assertReadWithout(field, job - field)
             }
         }
         assertThrows(MalformedMessageException::class.java) { read(good - "shape") }
@@ -155,4 +157,8 @@
         assertEquals(TaskStatus("j-1", 7, 3, TaskStatus.Phase.EXITED, ExitCause.ERROR), task)
         assertThrows(MalformedMessageException::class.java) { WorkerCodec.heartbeat(Pack.encode(heartbeat - "tenure")) }
     }
+
+    private companion object {
+        val OPTIONAL_FIELDS = setOf("flavours", "site", "dueS")
+    }
 }
