--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
@@ -6,6 +6,7 @@
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Now
 import org.chalkhollow.core.jobs.Quotas
+import org.chalkhollow.core.openJob
 import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.Shape
 import org.chalkhollow.model.Team
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -1,14 +1,15 @@
 package org.chalkhollow.core.attempts
 
+import org.chalkhollow.core.acceptDurably
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Now
+import org.chalkhollow.core.jobSpec
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
-import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.Shape
 import org.chalkhollow.model.TaskStatus
@@ -24,14 +25,7 @@
     private val jobs = JobTable(context, names, StateLimits(80.0, 20.0, 8192, 12))
     private val reconciler = AttemptReconciler(context, jobs, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0)))) { 1 }
 
-    private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob {
-        jobs.accept(jobSpec(id, shape), onRefused = {}) {}
-        jobs.urgentWrites
-            .next(TransactionBudget(10, 10_000))
-            ?.onDurable
-            ?.invoke()
-        return checkNotNull(jobs.find(id)?.open)
-    }
+    private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob = jobs.acceptDurably(jobSpec(id, shape))
 
     // Job, index and number were once mixed into one number: index 0 with number n + 31 and index 1 with number n came
     // out the same, so the completion of the one was taken for the other's, and a job was said to be done that was not.
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
@@ -2,6 +2,7 @@
 
 import org.chalkhollow.core.cluster.Attempt
 import org.chalkhollow.core.cluster.Machine
+import org.chalkhollow.core.openJob
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilderTest.kt
@@ -4,6 +4,7 @@
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.EncodedSize
+import org.chalkhollow.core.openJob
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.model.Shape
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/org/chalkhollow/core/jobs/JobCancellationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/JobCancellationTest.kt
@@ -30,7 +30,7 @@
 
     @Test
     fun `a cancelled job's record leaves out the machine types when it does not fit`() {
-        val job = jobSpec(5, types = List(40) { "type-number-$it-" + "x".repeat(20) })
+        val job = storedJob(5).copy(types = List(40) { "type-number-$it-" + "x".repeat(20) })
         assertTrue(cancelled(job, 8192).has("flavours"))
         stored.clear()
         val small = cancelled(job, 1024)
@@ -48,7 +48,7 @@
 
     @Test
     fun `a cancellation that is refused is tried smaller, then again and again`() {
-        val leader = stored.Leader(8192).accept(jobSpec(5))
+        val leader = stored.Leader(8192).accept(storedJob(5))
         leader.cancellation.cancel(leader.job) {}
         val sizes = ArrayList<Int>()
         repeat(8) {
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ProgressPagesTest.kt
@@ -23,7 +23,7 @@
         for (seed in 1L..3L) {
             stored.clear()
             val tasks = 40_000
-            val old = stored.Leader(before).accept(jobSpec(tasks))
+            val old = stored.Leader(before).accept(storedJob(tasks))
             val first = aboutAThird(tasks, seed)
             old.done(first)
             old.writeAll()
@@ -49,7 +49,7 @@
 
     @Test
     fun `a page that the state service refuses is written again, later and with what was done since`() {
-        val leader = stored.Leader(8192).accept(jobSpec(40_000))
+        val leader = stored.Leader(8192).accept(storedJob(40_000))
         leader.done(listOf(1, 2))
         val refused = checkNotNull(leader.next())
         refused.onRefused()
@@ -67,7 +67,7 @@
 
     @Test
     fun `an end that the state service refuses is written later, and pages of others go on`() {
-        val leader = stored.Leader(8192).accept(jobSpec(2))
+        val leader = stored.Leader(8192).accept(storedJob(2))
         leader.done(0..1)
         checkNotNull(leader.next()).onRefused()
         assertEquals(null, leader.next())
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
@@ -1,7 +1,9 @@
 package org.chalkhollow.core.jobs
 
-import org.chalkhollow.core.cluster.JobEntry
 import org.chalkhollow.core.cluster.OpenJob
+import org.chalkhollow.core.jobSpec
+import org.chalkhollow.core.openJob
+import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.Objective
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -23,10 +25,8 @@
             ),
         ) { 30_000 }
 
-    private fun job(workload: String, dueS: Double?, shape: Shape = Shape.ARRAY): OpenJob {
-        val spec = jobSpec(10, workload, shape, dueS = dueS)
-        return OpenJob(JobEntry(0, 10), spec, 0, -1, null, -1, acceptedWall = 0, tasksPerPage = 8192)
-    }
+    private fun job(workload: String, dueS: Double?, shape: Shape = Shape.ARRAY): OpenJob =
+        openJob(jobSpec("j-1", shape).copy(workload = workload, priority = Priority.HIGH, dueS = dueS))
 
     // One objective of each kind was kept once, the last: then every class with a limit of minutes passed for urgent.
     @Test
--- a/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
@@ -4,14 +4,12 @@
 import org.chalkhollow.core.cluster.OpenJob
 import org.chalkhollow.core.common.CoreContext
 import org.chalkhollow.core.common.Now
-import org.chalkhollow.core.storage.StateWriter
+import org.chalkhollow.core.jobSpec
 import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.model.Priority
-import org.chalkhollow.model.Resources
-import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.Pack
@@ -20,33 +18,9 @@
 import java.util.BitSet
 import java.util.TreeMap
 
-/** A job for tests; what a test is about is given, the rest is the least that a job can be. */
-internal fun jobSpec(
-    tasks: Int,
-    workload: String = "w",
-    shape: Shape = Shape.ARRAY,
-    types: List<String>? = null,
-    dueS: Double? = null,
-) = JobSpec(
-    id = StoredJobs.JOB_ID,
-    workload = workload,
-    team = "red",
-    shape = shape,
-    priority = Priority.HIGH,
-    tasks = tasks,
-    taskResources = Resources(1.0, 0.0, 1.0),
-    image = "img",
-    imageGb = 1.0,
-    types = types,
-    zone = null,
-    together = false,
-    spread = false,
-    spotAllowed = true,
-    expectedS = 5.0,
-    checkpointS = 0.0,
-    saveS = 0.0,
-    dueS = dueS,
-)
+/** The job whose records [StoredJobs] holds. */
+internal fun storedJob(tasks: Int): JobSpec =
+    jobSpec(StoredJobs.JOB_ID, tasks = tasks).copy(team = "red", priority = Priority.HIGH, image = "img")
 
 /** Records of one job, written by one leader after the other, each under limits of its own. */
 internal class StoredJobs {
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -1,5 +1,6 @@
 package org.chalkhollow.core.placement
 
+import org.chalkhollow.core.acceptDurably
 import org.chalkhollow.core.attempts.Allocation
 import org.chalkhollow.core.attempts.AttemptReconciler
 import org.chalkhollow.core.cluster.Attempt
@@ -16,12 +17,10 @@
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.core.jobs.Quotas
-import org.chalkhollow.core.storage.TransactionBudget
+import org.chalkhollow.core.serviceSpec
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.MachineType
-import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
-import org.chalkhollow.model.Shape
 import org.chalkhollow.model.Team
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.Simulation
@@ -54,36 +53,8 @@
         }
     private val migration = ReplicaMigration(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
 
-    private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob {
-        val taskResources = Resources(2.0, 0.0, 1.0)
-        val spec =
-            JobSpec(
-                id = "j-1",
-                workload = "portal",
-                team = "t",
-                shape = Shape.SERVICE,
-                priority = Priority.PRODUCTION,
-                tasks = tasks,
-                taskResources = taskResources,
-                image = "i",
-                imageGb = 1.0,
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = true,
-                expectedS = 0.0,
-                checkpointS = 0.0,
-                saveS = 0.0,
-                dueS = null,
-            )
-        jobs.accept(change(spec), onRefused = {}) {}
-        jobs.urgentWrites
-            .next(TransactionBudget(10, 10_000))
-            ?.onDurable
-            ?.invoke()
-        return checkNotNull(jobs.find("j-1")?.open)
-    }
+    private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob =
+        jobs.acceptDurably(change(serviceSpec("j-1", tasks).copy(taskResources = Resources(2.0, 0.0, 1.0))))
 
     private fun machine(name: String, zone: Int = 0, cpus: Double = 0.0): Machine =
         fleet.getOrAdd(name).also {
@@ -93,21 +64,21 @@
         }
 
     /** What a placement round finds left of the machine. */
-    private fun offer(m: Machine, cpus: Double) {
-        m.roundRoom = Resources(cpus, 0.0, 64.0)
+    private fun offer(machine: Machine, cpus: Double) {
+        machine.roundRoom = Resources(cpus, 0.0, 64.0)
     }
 
-    private fun running(job: OpenJob, index: Int, m: Machine): Attempt =
-        reconciler.reserve(job, index, 100L + index, m, null).also {
+    private fun running(job: OpenJob, index: Int, machine: Machine): Attempt =
+        reconciler.reserve(job, index, 100L + index, machine, null).also {
             it.entered(Attempt.Phase.RUNNING, context.steady)
             job.tasks.runStarted()
         }
 
     /** The attempt is certainly gone, as when its worker reports that it has obeyed. */
-    private fun gone(m: Machine) = reconciler.onMachineGone(m)
+    private fun gone(machine: Machine) = reconciler.onMachineGone(machine)
 
-    private fun notice(m: Machine, inMs: Long) {
-        m.availability.recordSpotNotice(context.steady + inMs)
+    private fun notice(machine: Machine, inMs: Long) {
+        machine.availability.recordSpotNotice(context.steady + inMs)
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -1,5 +1,6 @@
 package org.chalkhollow.core.placement
 
+import org.chalkhollow.core.acceptDurably
 import org.chalkhollow.core.cluster.Interners
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.cluster.OpenJob
@@ -8,11 +9,8 @@
 import org.chalkhollow.core.fleet.Fleet
 import org.chalkhollow.core.fleet.StaticMachines
 import org.chalkhollow.core.jobs.JobTable
-import org.chalkhollow.core.storage.TransactionBudget
-import org.chalkhollow.model.JobSpec
-import org.chalkhollow.model.Priority
+import org.chalkhollow.core.serviceSpec
 import org.chalkhollow.model.Resources
-import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -28,35 +26,8 @@
         Fleet(context, names, settings, OperatorSettings(), "a", StaticMachines(context, settings.stateLimits))
     private val replicas = Replicas(jobs)
 
-    private fun service(id: String, tasks: Int): OpenJob {
-        val spec =
-            JobSpec(
-                id = id,
-                workload = "portal",
-                team = "t",
-                shape = Shape.SERVICE,
-                priority = Priority.PRODUCTION,
-                tasks = tasks,
-                taskResources = Resources(1.0, 0.0, 1.0),
-                image = "i",
-                imageGb = 1.0,
-                types = null,
-                zone = null,
-                together = false,
-                spread = true,
-                spotAllowed = false,
-                expectedS = 0.0,
-                checkpointS = 0.0,
-                saveS = 0.0,
-                dueS = null,
-            )
-        jobs.accept(spec, onRefused = {}) {}
-        jobs.urgentWrites
-            .next(TransactionBudget(10, 10_000))
-            ?.onDurable
-            ?.invoke()
-        return checkNotNull(jobs.find(id)?.open)
-    }
+    private fun service(id: String, tasks: Int): OpenJob =
+        jobs.acceptDurably(serviceSpec(id, tasks).copy(spread = true, spotAllowed = false))
 
     private fun machine(name: String, zone: Int, cpus: Double): Machine =
         fleet.getOrAdd(name).also {
