--- a/src/main/kotlin/org/chalkhollow/core/fleet/UnreachedZones.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/UnreachedZones.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.common.CoreContext
 
-/** Owns which zones are out of reach: most of their machines are silent, and those rented there would be too. */
+/** Owns which zones are out of reach: most of their machines are silent, so heartbeats from there are lost. */
 class UnreachedZones(
     private val context: CoreContext,
     private val table: MachineTable,
