--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -1,11 +1,13 @@
 package org.chalkhollow.core
 
+import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.Objective
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.SimulationSize
+import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
@@ -18,14 +20,21 @@
                 OperatorSettings(idleReturnS = 900.0),
                 size = SimulationSize(capacity = capacity),
                 objectives = objectives,
-            )
-        simulation.network.loss = 0.0
-        simulation.network.late = 0.0
+            ).withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
         repeat(capacity) { simulation.cloud.add(simulation.types[0], simulation.zones[it % 2], false, 0) }
         return simulation
     }
 
+    /** This job, but free to run on any machine that is no spot machine. */
+    private fun JobSpec.unconstrained() =
+        copy(types = null, zone = null, together = false, spread = false, spotAllowed = false)
+
+    private fun Simulation.assertDone(jobs: Int) {
+        assertEquals(emptyList<String>(), rules.violations)
+        assertEquals(jobs, rules.doneCount, "it still waits: ${rules.pending()}")
+    }
+
     // Machines on which a job had failed were kept from it for good, though what was wrong there was over.
     @Test
     fun `a job that failed on every machine runs once they are healthy again`() {
@@ -33,38 +42,27 @@
         simulation.clock.runUntil(8000)
         // One long task on each machine, so that none idles and is exchanged for another.
         simulation.users.submit {
-            it.copy(
+            it.unconstrained().copy(
                 id = "j-2",
                 tasks = 3,
                 taskResources = Resources(2.0, 0.0, 40.0),
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = false,
                 expectedS = 400.0,
             )
         }
         simulation.clock.runUntil(40_000)
         simulation.cloud.workers.forEach { it.sick = true }
         simulation.users.submit {
-            it.copy(
+            it.unconstrained().copy(
                 id = "j-1",
                 tasks = 6,
                 taskResources = Resources(2.0, 0.0, 1.0),
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = false,
                 expectedS = 4.0,
             )
         }
         simulation.clock.runUntil(52_000)
         simulation.cloud.workers.forEach { it.sick = false }
         simulation.clock.runUntil(140_000)
-        assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(1, simulation.rules.doneCount, "it still waits: ${simulation.rules.pending()}")
+        simulation.assertDone(jobs = 1)
     }
 
     // Room for as much urgent work as comes at a time was kept free from other work without end.
@@ -73,41 +71,30 @@
         val simulation = calm(capacity = 2, objectives = listOf(Objective("wait", "urgent", 3.0, 0.9)))
         simulation.clock.runUntil(8000)
         simulation.users.submit {
-            it.copy(
+            it.unconstrained().copy(
                 id = "j-1",
                 workload = "urgent",
                 team = "red",
                 tasks = 4,
                 taskResources = Resources(4.0, 0.0, 1.0),
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = false,
                 expectedS = 3.0,
             )
         }
         simulation.clock.runUntil(20_000)
         simulation.users.submit {
-            it.copy(
+            it.unconstrained().copy(
                 id = "j-2",
                 workload = "other",
                 team = "blue",
                 priority = Priority.STANDARD,
                 tasks = 6,
                 taskResources = Resources(4.0, 0.0, 1.0),
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = false,
                 expectedS = 3.0,
                 dueS = null,
             )
         }
         simulation.clock.runUntil(110_000)
-        assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(2, simulation.rules.doneCount, "it still waits: ${simulation.rules.pending()}")
+        simulation.assertDone(jobs = 2)
     }
 
     // Room kept for services was kept without end as well; seed 1046 of the days with services among the jobs.
@@ -126,25 +113,19 @@
         simulation.clock.runUntil(25_000)
         assertEquals(4, simulation.rules.services.up(service))
         simulation.users.submit {
-            it.copy(
+            it.unconstrained().copy(
                 id = "j-2",
                 workload = "other",
                 team = "blue",
                 priority = Priority.STANDARD,
                 tasks = 3,
                 taskResources = Resources(2.0, 0.0, 1.0),
-                types = null,
-                zone = null,
-                together = false,
-                spread = false,
-                spotAllowed = false,
                 expectedS = 3.0,
                 dueS = null,
             )
         }
         simulation.rules.calmFrom = 25_000
         simulation.clock.runUntil(125_000)
-        assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(1, simulation.rules.doneCount, "it still waits: ${simulation.rules.pending()}")
+        simulation.assertDone(jobs = 1)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -22,6 +22,7 @@
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.simulation.SimulatedController
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.electedSimulation
 import org.chalkhollow.wire.MalformedMessageException
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -50,15 +51,6 @@
     private fun assertDropped(expected: Map<DroppedInput, Long>) =
         assertEquals(expected, context.dropped.counts().filterValues { it > 0 })
 
-    /** Three controllers after their first election, on a network that loses nothing. */
-    private fun simulation(seed: Long): Simulation =
-        Simulation(seed).also { simulation ->
-            simulation.network.loss = 0.0
-            simulation.network.late = 0.0
-            simulation.begin(0, 1)
-            simulation.clock.runUntil(15_000)
-        }
-
     private val Simulation.leader: SimulatedController get() = nodes.single { it.leads }
 
     /** What [node] drops while [run] runs. */
@@ -70,7 +62,7 @@
 
     @Test
     fun `heartbeats that are late, repeated or of an ended epoch are counted`() {
-        val simulation = simulation(1)
+        val simulation = electedSimulation(1)
         simulation.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
         simulation.clock.runUntil(40_000)
         val worker = simulation.cloud.workers.single { it.onMachine().isNotEmpty() }
@@ -93,7 +85,7 @@
 
     @Test
     fun `a heartbeat in the reply to a command that is older than the last one is counted`() {
-        val simulation = simulation(2)
+        val simulation = electedSimulation(2)
         simulation.network.heldMs = 1400L..1450L
         simulation.network.held = 1.0
         val drops =
@@ -106,7 +98,7 @@
 
     @Test
     fun `a response to a forwarded request that comes again or was never requested is counted`() {
-        val simulation = simulation(3)
+        val simulation = electedSimulation(3)
         val follower = simulation.nodes.first { !it.leads }
         val leader = simulation.indexAt(follower.label, simulation.leader.label)
         val responses = ArrayList<PeerMessage.ForwardedResponse>()
@@ -128,16 +120,16 @@
         val leadership = leadership(4)
         val record = LeadershipRecord("p0", 1, 5, 9).value()
         var request: PeerMessage.VoteRequest? = null
-        for (t in 0L..5000L step 100) {
-            context.now = Now(t, t)
+        for (elapsedMs in 0L..5000L step 100) {
+            context.now = Now(elapsedMs, elapsedMs)
             leadership.tick()
-            for (e in context.drain()) {
-                if (e is Effect.State) {
+            for (effect in context.drain()) {
+                if (effect is Effect.State) {
                     context.reply(
-                        Input.State(e.ticket, StateReply.Found(KeyValue(LeadershipRecord.KEY, record, 4))),
+                        Input.State(effect.ticket, StateReply.Found(KeyValue(LeadershipRecord.KEY, record, 4))),
                     )
                 }
-                if (e is Effect.Send) request = e.message as? PeerMessage.VoteRequest ?: request
+                if (effect is Effect.Send) request = effect.message as? PeerMessage.VoteRequest ?: request
             }
         }
         val asked = checkNotNull(request) { "no votes were asked for" }
--- a/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core.operations
 
-import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.electedSimulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotNull
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -8,13 +8,7 @@
 
 /** What operators are told by the leader and by the others. */
 class StatusReportTest {
-    private val simulation =
-        Simulation(1).also {
-            it.network.loss = 0.0
-            it.network.late = 0.0
-            it.begin(0, 1)
-            it.clock.runUntil(15_000)
-        }
+    private val simulation = electedSimulation(1)
     private val leader = simulation.nodes.single { it.leads }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
@@ -16,6 +16,7 @@
 import org.chalkhollow.simulation.FakeCloud
 import org.chalkhollow.simulation.SimulatedController
 import org.chalkhollow.simulation.Simulation
+import org.chalkhollow.simulation.electedSimulation
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.Pack
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -24,16 +25,6 @@
 
 /** What users are told of good and bad requests, from the leader and by way of a follower. */
 class RequestHandlerTest {
-    /** Three controllers after their first election. */
-    private fun simulation(seed: Long, before: (Simulation) -> Unit = {}) =
-        Simulation(seed).also { simulation ->
-            simulation.network.loss = 0.0
-            simulation.network.late = 0.0
-            before(simulation)
-            simulation.begin(0, 1)
-            simulation.clock.runUntil(15_000)
-        }
-
     private val Simulation.leader: SimulatedController get() = nodes.single { it.leads }
 
     /** The leader, and a follower that forwards to it. */
@@ -70,14 +61,14 @@
 
     @Test
     fun `a malformed submission of an unknown job gets 400 from leader and follower, and is not accepted`() {
-        val simulation = simulation(1)
+        val simulation = electedSimulation(1)
         for (bad in malformed("j-000001")) simulation.expectResponse(400, null, submission(bad))
         simulation.expectResponse(404, null, UserRequest.Query("j-000001"))
     }
 
     @Test
     fun `a job whose record the state service refuses is answered 503 and not accepted, and others are`() {
-        val simulation = simulation(4)
+        val simulation = electedSimulation(4)
         simulation.state.lowered = StateLimits(80.0, 20.0, 400, 12)
         val large = body("j-000004", "flavours" to List(12) { "type-$it-" + "x".repeat(40) } + "small")
         assertEquals(503, simulation.response(simulation.leader, submission(large)).status)
@@ -93,7 +84,7 @@
 
     @Test
     fun `tasks start although the state service refuses large markers, and hints it refuses are dropped`() {
-        val simulation = simulation(5)
+        val simulation = electedSimulation(5)
         simulation.state.lowered = StateLimits(80.0, 20.0, 600, 3)
         repeat(6) {
             simulation.users.submit {
@@ -118,7 +109,7 @@
 
     @Test
     fun `a repetition of an accepted job gets its state, whether it differs, can never run or is malformed`() {
-        val simulation = simulation(2)
+        val simulation = electedSimulation(2)
         val id = "j-000002"
         assertEquals(201, simulation.response(simulation.leader, submission(body(id))).status)
         val different = listOf(body(id, "pieces" to 9), body(id, "owner" to "nobody"), body(id, "vcpus" to 1000.0))
@@ -134,7 +125,7 @@
 
     @Test
     fun `a malformed repetition is looked up in what a new leader has read`() {
-        val simulation = simulation(3)
+        val simulation = electedSimulation(3)
         val id = simulation.done()
         simulation.leader.let {
             it.crash()
@@ -146,7 +137,7 @@
 
     @Test
     fun `while a job is being accepted, a malformed submission of it is neither refused nor held back`() {
-        val simulation = simulation(4)
+        val simulation = electedSimulation(4)
         simulation.state.outage(10_000)
         var accepted: Effect.Response? = null
         simulation.leader.user(submission(body("j-000004"))) { accepted = it }
@@ -159,7 +150,7 @@
 
     @Test
     fun `what can never run gets 422, also while nothing can be written`() {
-        val simulation = simulation(5)
+        val simulation = electedSimulation(5)
         val never =
             listOf(
                 body("j-000006", "owner" to "nobody"),
@@ -177,7 +168,7 @@
     @Test
     fun `while the machine types are unknown nothing is accepted or refused`() {
         val simulation =
-            simulation(6) { before ->
+            electedSimulation(6) { before ->
                 before.nodes.forEach { before.network.cut(it.label, FakeCloud.NAME, 30_000, false) }
             }
         simulation.expectResponse(503, null, submission(body("j-000007")))
@@ -189,7 +180,7 @@
 
     @Test
     fun `withdrawing a job that is done tells so, a cancelled one stays cancelled, and nobody's is not found`() {
-        val simulation = simulation(7)
+        val simulation = electedSimulation(7)
         simulation.expectResponse(200, "done", UserRequest.Cancel(simulation.done()))
         assertEquals(201, simulation.response(simulation.leader, submission(body("j-000008"))).status)
         simulation.expectResponse(200, "aborted", UserRequest.Cancel("j-000008"))
@@ -203,7 +194,7 @@
 
     @Test
     fun `a request of a kind that only a newer version knows is put off and does nothing`() {
-        val simulation = simulation(8)
+        val simulation = electedSimulation(8)
         assertEquals(201, simulation.response(simulation.leader, submission(body("j-000010"))).status)
         simulation.leader.peer(0, Frames.encode(PeerMessage.ForwardedRequest(1, 9, "j-000010", ByteArray(0))))
         simulation.clock.runUntil(simulation.clock.time + 1000)
--- a/src/test/kotlin/org/chalkhollow/simulation/QuietSimulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/QuietSimulation.kt
@@ -24,6 +24,15 @@
     return simulation
 }
 
+/** Three controllers after their first election, on a network that loses nothing; [before] runs before they start. */
+fun electedSimulation(seed: Long, before: (Simulation) -> Unit = {}): Simulation {
+    val simulation = Simulation(seed).withReliableNetwork()
+    before(simulation)
+    simulation.begin(0, 1)
+    simulation.clock.runUntil(15_000)
+    return simulation
+}
+
 /** No rule was broken, and no class or team of jobs was starved. */
 fun Simulation.assertRulesHold() {
     assertEquals(emptyList<String>(), rules.violations)
