--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -108,7 +108,7 @@
     }
 
     private fun timer(delayMs: Long, run: Runnable) =
-        Timer(System.nanoTime() + delayMs.coerceIn(0, MOST_DELAY_MS) * NANOS_PER_MS, timersMade++, run)
+        Timer(System.nanoTime() + delayMs.coerceIn(0, MAX_DELAY_MS) * NANOS_PER_MS, timersMade++, run)
 
     override fun invokeOnTimeout(timeMillis: Long, block: Runnable, context: CoroutineContext): DisposableHandle {
         val timer = timer(timeMillis, block)
@@ -124,7 +124,7 @@
     fun run() {
         thread = Thread.currentThread()
         while (true) {
-            passEndsAt = System.nanoTime() + MOST_PASS_MS * NANOS_PER_MS
+            passEndsAt = System.nanoTime() + MAX_PASS_MS * NANOS_PER_MS
             runTimers()
             runQueued()
             val busy = queues.holdsIdle || isWorkWaiting()
@@ -179,7 +179,7 @@
      * renewals of the lead hang on, and other controllers' messages go between any two tasks.
      */
     private fun runQueued() {
-        var left = MOST_AT_ONCE
+        var left = MAX_AT_ONCE
         while (left-- > 0) {
             (foreign.poll() ?: queues.take() ?: return).run()
             if (timerIsDue()) runTimers()
@@ -203,19 +203,19 @@
     private companion object {
         const val SCRATCH = 64 * 1024
 
-        const val MOST_AT_ONCE = 16
+        const val MAX_AT_ONCE = 16
 
         /**
          * Whatever is counted, a pass ends when it has taken this long. A take-over is a dozen messages one after the
          * other; on a few hundredths of a core, with code that runs for the first time and all workers at the door,
          * passes bounded by counts alone took half a second each and a take-over ten seconds.
          */
-        const val MOST_PASS_MS = 25L
+        const val MAX_PASS_MS = 25L
 
         /** Channels that are read from in one pass; what they bring is queued by priority. */
         const val READY_AT_ONCE = 16
         const val IDLE_MS = 10_000L
         const val NANOS_PER_MS = 1_000_000L
-        const val MOST_DELAY_MS = 1L shl 40
+        const val MAX_DELAY_MS = 1L shl 40
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/FrameComplaints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/FrameComplaints.kt
@@ -27,7 +27,7 @@
     override fun newer(peer: String?, kind: String) {
         meters.newerFrame()
         val name = plain(kind)
-        if (kinds.size < MOST_KINDS && kinds.add(name)) {
+        if (kinds.size < MAX_KINDS && kinds.add(name)) {
             log.warn(
                 "{} sent a message of the unknown kind \"{}\", which a newer version may know; such messages are skipped",
                 peer ?: "an unknown controller",
@@ -38,11 +38,11 @@
 
     /** On one line, and short. */
     private fun plain(text: String): String =
-        text.take(MOST_CHARS).map { if (it.isISOControl()) ' ' else it }.joinToString("")
+        text.take(MAX_CHARS).map { if (it.isISOControl()) ' ' else it }.joinToString("")
 
     private companion object {
         const val PER_S = 0.2
-        const val MOST_KINDS = 16
-        const val MOST_CHARS = 120
+        const val MAX_KINDS = 16
+        const val MAX_CHARS = 120
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
@@ -30,7 +30,7 @@
     private var searchedTo = 0
 
     fun add(bytes: ByteArray, count: Int) {
-        if (size + count > received.size) received = received.copyOf(maxOf(size + count, size * 2, LEAST_BUFFER))
+        if (size + count > received.size) received = received.copyOf(maxOf(size + count, size * 2, MIN_BUFFER))
         bytes.copyInto(received, size, 0, count)
         size += count
     }
@@ -48,7 +48,7 @@
         if (repeated != null && repeated.begins(received, size)) return repeated.also { head = it }
         val end = endOfHead()
         if (end < 0) {
-            if (size > MOST_HEAD) throw IOException("the head of a message is too long")
+            if (size > MAX_HEAD) throw IOException("the head of a message is too long")
             return null
         }
         return heads.read(received, end).also {
@@ -113,15 +113,15 @@
         received.copyInto(received, 0, until, size)
         size -= until
         searchedTo = 0
-        if (size == 0 && received.size > MOST_KEPT) received = NOTHING
+        if (size == 0 && received.size > MAX_KEPT) received = NOTHING
     }
 
     private companion object {
-        const val MOST_HEAD = 16 * 1024
+        const val MAX_HEAD = 16 * 1024
 
         /** A larger buffer is not kept between messages. */
-        const val MOST_KEPT = 4 * 1024
-        const val LEAST_BUFFER = 512
+        const val MAX_KEPT = 4 * 1024
+        const val MIN_BUFFER = 512
         const val HEX = 16
         val END_OF_HEAD = "\r\n\r\n".encodeToByteArray()
         val CRLF = "\r\n".encodeToByteArray()
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
@@ -67,14 +67,14 @@
         known[ByteBuffer.wrap(bytes, 0, size)]?.let { return it }
         val copy = bytes.copyOf(size)
         val head = runAtOnce { parse(copy) }
-        if (known.size >= MOST_KNOWN) known.clear()
+        if (known.size >= MAX_KNOWN) known.clear()
         known[ByteBuffer.wrap(copy)] = head
         return head
     }
 
     companion object {
         /** A body's length is part of the head, so there are a few for each number of tasks on a machine. */
-        private const val MOST_KNOWN = 1024
+        private const val MAX_KNOWN = 1024
 
         fun ofRequests(): HeadReader<RequestHead> = HeadReader(::parseRequestHead)
 
--- a/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
@@ -67,13 +67,13 @@
 
     /** How long something of this kind took. */
     fun took(kind: String, micros: Long) =
-        histograms.getOrPut(kind) { Histogram(MOST_MICROS, 2) }.recordValue(micros.coerceIn(0, MOST_MICROS))
+        histograms.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
 
     /** All meters, one a line. */
     fun text(view: Controller.View): String =
         buildString {
             appendLine("chalkhollow_leading ${if (view.leading) 1 else 0}")
-            appendLine("chalkhollow_generation ${view.generation}")
+            appendLine("chalkhollow_generation ${view.fencingToken}")
             appendLine("chalkhollow_jobs_open ${view.openJobs}")
             appendLine("chalkhollow_jobs_known ${view.jobs}")
             appendLine("chalkhollow_machines ${view.machines}")
@@ -110,7 +110,7 @@
         }
 
     private companion object {
-        const val MOST_MICROS = 600_000_000L
+        const val MAX_MICROS = 600_000_000L
         val QUANTILES = doubleArrayOf(0.5, 0.95, 0.99)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Node.kt
@@ -8,8 +8,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.chalkhollow.core.CloudReply
+import org.chalkhollow.core.CommandReply
 import org.chalkhollow.core.Controller
-import org.chalkhollow.core.DirectReply
 import org.chalkhollow.core.Effect
 import org.chalkhollow.core.Input
 import org.chalkhollow.core.Now
@@ -69,7 +69,7 @@
         HttpServer(
             loop,
             settings.clientListen,
-            maxOf(LEAST_CONNECTIONS, settings.maxConnections * 8 / 10 - spareSockets),
+            maxOf(MIN_CONNECTIONS, settings.maxConnections * 8 / 10 - spareSockets),
             { steady() },
             object : HttpServer.Events {
                 override fun beforeAccept() = workerLinks.trim(1)
@@ -139,7 +139,7 @@
 
     private fun carryOut(effect: Effect) {
         when (effect) {
-            is Effect.Answer -> calls.answer(effect.call, HttpReply(effect.status, effect.body, effect.retryAfterS))
+            is Effect.Response -> calls.answer(effect.call, HttpReply(effect.status, effect.body, effect.retryAfterS))
             is Effect.State -> {
                 val done = timed<StateReply>("state") { Input.State(effect.ticket, it) }
                 state.run(effect.op, done)
@@ -148,17 +148,17 @@
                 val done = timed<CloudReply>("cloud") { Input.Cloud(effect.ticket, it) }
                 cloud.run(effect.op, done)
             }
-            is Effect.Direct -> {
-                val done = timed<DirectReply>("direct") { Input.Direct(effect.ticket, it) }
+            is Effect.WorkerCommand -> {
+                val done = timed<CommandReply>("direct") { Input.WorkerReply(effect.ticket, it) }
                 workers.run(effect, done)
             }
-            is Effect.Sample -> meters.took(effect.kind, effect.ms * 1000)
+            is Effect.Timing -> meters.took(effect.kind, effect.ms * 1000)
             is Effect.Send -> peerConnections.send(effect.peer, effect.message)
             is Effect.Timer -> {
                 timer?.dispose()
                 timer = loop.after(effect.at - steady()) { feed(Input.Tick) }
             }
-            is Effect.Note -> note(effect)
+            is Effect.LogEvent -> note(effect)
         }
     }
 
@@ -174,7 +174,7 @@
 
     private var carryingOut = false
 
-    private fun note(n: Effect.Note) =
+    private fun note(n: Effect.LogEvent) =
         when (n.level) {
             Effect.Level.ERROR -> log.error(n.text)
             Effect.Level.WARN -> log.warn(n.text)
@@ -187,7 +187,7 @@
 
         /** Sockets for the services, the other controllers, listening, and connections about to close. */
         const val SPARE_SOCKETS = 40
-        const val LEAST_CONNECTIONS = 8
+        const val MIN_CONNECTIONS = 8
         const val LATE_MS = 100L
         const val WARM_UP_AFTER_MS = 4000L
         const val WARM_UP_EVERY_MS = 100L
--- a/src/main/kotlin/org/chalkhollow/runtime/ServerConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ServerConnection.kt
@@ -45,7 +45,7 @@
 
     /** Whether a request waits for its turn or for its answer. */
     val handling: Boolean get() = waiting != null
-    private val messages = MessageAssembler(heads, MOST_BODY)
+    private val messages = MessageAssembler(heads, MAX_BODY)
     private var waiting: HttpMessage<RequestHead>? = null
     private var arrivedAt = 0L
 
@@ -55,7 +55,7 @@
         activeAt = steadyMs()
         messages.add(bytes, size)
         if (handling) {
-            if (messages.size > MOST_UNREAD) socket.pauseReading()
+            if (messages.size > MAX_UNREAD) socket.pauseReading()
         } else {
             takeRequest()
         }
@@ -101,8 +101,8 @@
     }
 
     private companion object {
-        const val MOST_BODY = 64 * 1024
-        const val MOST_UNREAD = 128 * 1024
+        const val MAX_BODY = 64 * 1024
+        const val MAX_UNREAD = 128 * 1024
         const val NANOS_PER_MS = 1_000_000
 
         fun steadyMs(): Long = System.nanoTime() / NANOS_PER_MS
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
@@ -46,7 +46,7 @@
             link.request("GET", "/up", null, 1000) {}
             link.request("POST", "/work", Pack.encode(WarmUpMessages.job("j-000001", "t")), 1000) {}
             link.request("GET", "/work/j-1", null, 1000) {}
-            link.request("POST", "/agent/beat", Pack.encode(WarmUpMessages.report(1, 1, listOf(task))), 1000) {}
+            link.request("POST", "/agent/beat", Pack.encode(WarmUpMessages.heartbeat(1, 1, listOf(task))), 1000) {}
             for (m in messages()) Frames.decode(Frames.encode(m))
             delay(800)
         }
@@ -55,12 +55,12 @@
     private fun messages(): List<PeerMessage> =
         listOf(
             PeerMessage.Hello("a", 1, PeerMessage.VERSION),
-            PeerMessage.PromiseAsk(1, 1, true),
-            PeerMessage.Promise(1, 1, true, true),
-            PeerMessage.VoteAsk(1, 1, 1),
-            PeerMessage.Vote(1, 1, true),
-            PeerMessage.Forward(1, 1, "j-1", ByteArray(8)),
-            PeerMessage.Forwarded(1, 200, ByteArray(8), 0),
+            PeerMessage.FollowerLeaseRequest(1, 1, true),
+            PeerMessage.FollowerLeaseResponse(1, 1, true, true),
+            PeerMessage.VoteRequest(1, 1, 1),
+            PeerMessage.VoteResponse(1, 1, true),
+            PeerMessage.ForwardedRequest(1, 1, "j-1", ByteArray(8)),
+            PeerMessage.ForwardedResponse(1, 200, ByteArray(8), 0),
         )
 
     private fun settings(users: Int, peers: Int): String =
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpMessages.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpMessages.kt
@@ -30,7 +30,7 @@
             "dueS" to DUE_S,
         )
 
-    fun report(machine: Int, number: Int, tasks: List<Map<String, Any?>>): Map<String, Any?> =
+    fun heartbeat(machine: Int, number: Int, tasks: List<Map<String, Any?>>): Map<String, Any?> =
         mapOf(
             "host" to "n-$machine",
             "address" to "127.0.0.1:9",
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
@@ -2,22 +2,22 @@
 
 import org.chalkhollow.core.CloudOp
 import org.chalkhollow.core.CloudReply
+import org.chalkhollow.core.CommandReply
 import org.chalkhollow.core.Controller
-import org.chalkhollow.core.DirectReply
 import org.chalkhollow.core.Effect
 import org.chalkhollow.core.Input
 import org.chalkhollow.core.Now
 import org.chalkhollow.core.StateOp
 import org.chalkhollow.core.StateReply
-import org.chalkhollow.core.UserAsk
+import org.chalkhollow.core.UserRequest
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
+import org.chalkhollow.wire.HeartbeatReader
+import org.chalkhollow.wire.KeyValuePage
 import org.chalkhollow.wire.ListedPage
 import org.chalkhollow.wire.Pack
-import org.chalkhollow.wire.ReportReader
-import org.chalkhollow.wire.Rows
 import org.chalkhollow.wire.ServiceCodec
 import org.chalkhollow.wire.UserCodec
 import org.chalkhollow.wire.WorkerCodec
@@ -32,7 +32,7 @@
 internal class WarmUpScenario(settings: PlatformSettings) {
     private val settings = settings.copy(peers = emptyList())
     private val heads = HeadReader.ofRequests()
-    private val reports = HashMap<Int, ReportReader>()
+    private val heartbeats = HashMap<Int, HeartbeatReader>()
     private val inbox = ArrayDeque<Input>()
     private var controller = Controller(this.settings, OperatorSettings(), 1, Now(0, 0))
     private var revision = 1L
@@ -46,24 +46,24 @@
         val team = settings.teams.firstOrNull()?.name ?: return
         if (round % JOB_EVERY == JOB_AT) {
             val raw = Pack.encode(WarmUpMessages.job(name(round), team))
-            inbox.add(Input.User(USER, UserAsk.Submit(UserCodec.job(raw), raw)))
+            inbox.add(Input.User(USER, UserRequest.Submit(UserCodec.job(raw), raw)))
         }
-        if (round % JOB_EVERY == JOB_AT + 30) inbox.add(Input.User(USER, UserAsk.Poll(name(round - 30))))
-        if (round % JOB_EVERY == JOB_AT + 35) inbox.add(Input.User(USER, UserAsk.Withdraw(name(round - 35))))
+        if (round % JOB_EVERY == JOB_AT + 30) inbox.add(Input.User(USER, UserRequest.Query(name(round - 30))))
+        if (round % JOB_EVERY == JOB_AT + 35) inbox.add(Input.User(USER, UserRequest.Cancel(name(round - 35))))
         inbox.add(Input.Tick)
-        repeat(REPORTS) { i -> report((round * REPORTS + i) % MACHINES, round) }
+        repeat(REPORTS) { i -> heartbeat((round * REPORTS + i) % MACHINES, round) }
         while (true) carryOut(controller.step(Now(time, time), inbox.removeFirstOrNull() ?: break))
     }
 
-    private fun report(machine: Int, round: Int) {
+    private fun heartbeat(machine: Int, round: Int) {
         val tasks = List(2) { WarmUpMessages.task("j-900000/$it", round / REPORTS_EACH) }
-        val sent = Pack.encode(WarmUpMessages.report(machine, round + 1, tasks))
+        val sent = Pack.encode(WarmUpMessages.heartbeat(machine, round + 1, tasks))
         val request = HttpWriter.request("POST", "warm-up", "/agent/beat", sent)
         val messages = MessageAssembler(heads, sent.size)
         messages.add(request, request.size)
         val body = messages.next()?.body ?: return
-        val reader = reports.getOrPut(machine) { ReportReader() }
-        inbox.add(Input.Report(WORKER, reader.read(body)))
+        val reader = heartbeats.getOrPut(machine) { HeartbeatReader() }
+        inbox.add(Input.Heartbeat(WORKER, reader.read(body)))
     }
 
     private fun carryOut(effects: List<Effect>) {
@@ -71,11 +71,11 @@
             when (e) {
                 is Effect.State -> inbox.add(Input.State(e.ticket, stateReply(e.op)))
                 is Effect.Cloud -> inbox.add(Input.Cloud(e.ticket, cloudReply(e.op)))
-                is Effect.Direct -> {
-                    Pack.encode(WorkerCodec.direct(e.token, e.session, e.commands))
-                    inbox.add(Input.Direct(e.ticket, DirectReply.NotSent))
+                is Effect.WorkerCommand -> {
+                    Pack.encode(WorkerCodec.direct(e.fencingToken, e.epoch, e.commands))
+                    inbox.add(Input.WorkerReply(e.ticket, CommandReply.NotSent))
                 }
-                is Effect.Answer -> HttpWriter.response(HttpReply(e.status, e.body, e.retryAfterS), closes = false)
+                is Effect.Response -> HttpWriter.response(HttpReply(e.status, e.body, e.retryAfterS), closes = false)
                 else -> Unit
             }
         }
@@ -84,7 +84,7 @@
     private fun stateReply(op: StateOp): StateReply =
         when (op) {
             is StateOp.Read -> StateReply.Missing
-            is StateOp.List -> StateReply.Page(Rows(emptyList(), false))
+            is StateOp.List -> StateReply.Page(KeyValuePage(emptyList(), false))
             is StateOp.Commit -> {
                 Pack.encode(ServiceCodec.commit(op.conditions, op.changes))
                 StateReply.Committed(++revision)
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
@@ -12,7 +12,7 @@
     /** How often the leadership lease is renewed. */
     val leaderRenewMs: Long = 350,
     /** How long a peer's promise not to stand for leadership lasts. */
-    val promiseMs: Long = 1400,
+    val followerLeaseMs: Long = 1400,
     /** How long a leader may go on through an outage of the state service on the strength of promises alone. */
     val outageLimitMs: Long = 120_000,
     /** How long a rented machine may idle before it is returned; dearer ones go sooner. */
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorText.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorText.kt
@@ -62,7 +62,7 @@
                 sampleSize = read("sample_size", d.sampleSize) { it.toInt() },
                 leaderLeaseMs = read("leader_lease_ms", d.leaderLeaseMs) { it.toLong() },
                 leaderRenewMs = read("leader_renew_ms", d.leaderRenewMs) { it.toLong() },
-                promiseMs = read("promise_ms", d.promiseMs) { it.toLong() },
+                followerLeaseMs = read("promise_ms", d.followerLeaseMs) { it.toLong() },
                 outageLimitMs = read("outage_limit_ms", d.outageLimitMs) { it.toLong() },
                 idleReturnS = read("idle_return_s", d.idleReturnS) { it.toDouble() },
                 standbyShare = read("standby_share", d.standbyShare) { it.toDouble() },
--- a/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
@@ -56,7 +56,7 @@
     val cloud: Address,
     val teams: List<Team>,
     val objectives: List<Objective>,
-    val reportS: Double,
+    val heartbeatIntervalS: Double,
     val leaseS: Double,
     val cancelS: Double,
     /** What this controller keeps within: the smaller of the limits that hold now and those that will. */
@@ -108,7 +108,7 @@
                     cloud = root.at("external").at("cloud").address(),
                     teams = facts.at("teams").items().map(::team),
                     objectives = facts.optional("objectives")?.items()?.map(::objective) ?: emptyList(),
-                    reportS = workers.at("report_s").number(0.05, 600.0),
+                    heartbeatIntervalS = workers.at("report_s").number(0.05, 600.0),
                     leaseS = workers.at("lease_s").number(0.5, 3600.0),
                     cancelS = workers.at("cancel_s").number(1.0, 86400.0),
                     stateLimits = state.optional("next")?.let { limits(it, limits).within(limits) } ?: limits,
@@ -146,8 +146,8 @@
                     name = n.at("name").text(),
                     cpus = n.at("cpus").number(0.0, 1e9),
                     cpusMax = n.at("cpus_max").number(0.0, 1e9),
-                    cards = n.optional("gpus")?.number(0.0, 1e9) ?: 0.0,
-                    cardsMax = n.optional("gpus_max")?.number(0.0, 1e9) ?: 0.0,
+                    gpus = n.optional("gpus")?.number(0.0, 1e9) ?: 0.0,
+                    gpusMax = n.optional("gpus_max")?.number(0.0, 1e9) ?: 0.0,
                 )
             if (team.cpusMax < team.cpus) n.at("cpus_max").fail("is below cpus")
             return team
--- a/src/main/kotlin/org/chalkhollow/wire/ReportReader.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
@@ -7,18 +7,24 @@
 
 /**
  * Decodes the reports of one worker. Most repeat the one before but for their sequence number, and then only that is
- * decoded. While the bytes of the task list stay the same, the same [WorkerReport.tasks] instance is handed out again.
+ * decoded. While the bytes of the task list stay the same, the same [WorkerHeartbeat.tasks] instance is handed out
+ * again.
  */
-class ReportReader {
+class HeartbeatReader {
     /** A report as it was read, and where in its bytes the sequence number and the tasks stand. */
-    private class Known(val bytes: ByteArray, val report: WorkerReport, val sequence: IntRange, val tasks: IntRange)
+    private class Known(
+        val bytes: ByteArray,
+        val heartbeat: WorkerHeartbeat,
+        val sequence: IntRange,
+        val tasks: IntRange,
+    )
 
     private var known: Known? = null
 
-    fun read(body: ByteArray): WorkerReport {
+    fun read(body: ByteArray): WorkerHeartbeat {
         val before = known
         if (before != null && repeats(before, body)) {
-            return before.report.copy(seq = sequence(body, before.sequence))
+            return before.heartbeat.copy(seq = sequence(body, before.sequence))
         }
         return readAll(body)
     }
@@ -37,7 +43,7 @@
     private fun sequence(body: ByteArray, at: IntRange): Long =
         Pack.read(body, at.first, at.last + 1 - at.first) { it.takeInteger() }
 
-    private fun readAll(body: ByteArray): WorkerReport {
+    private fun readAll(body: ByteArray): WorkerHeartbeat {
         val fields = HashMap<String, Any?>(FIELDS * 2)
         var sequence = IntRange.EMPTY
         var tasks = IntRange.EMPTY
@@ -53,17 +59,17 @@
             }
         }
         if (tasks.isEmpty()) throw Malformed("field $TASKS is missing or invalid")
-        val report = WorkerCodec.report(Fields(fields), tasks(body, tasks))
-        known = if (body.size <= MOST_BYTES) Known(body, report, sequence, tasks) else null
-        return report
+        val heartbeat = WorkerCodec.heartbeat(Fields(fields), tasks(body, tasks))
+        known = if (body.size <= MAX_BYTES) Known(body, heartbeat, sequence, tasks) else null
+        return heartbeat
     }
 
-    private fun tasks(body: ByteArray, at: IntRange): List<TaskReport> {
+    private fun tasks(body: ByteArray, at: IntRange): List<TaskStatus> {
         val until = at.last + 1
         val before = known
         if (before != null) {
             val same = Arrays.equals(before.bytes, before.tasks.first, before.tasks.last + 1, body, at.first, until)
-            if (same) return before.report.tasks
+            if (same) return before.heartbeat.tasks
         }
         val list =
             Pack.read(body, at.first, until - at.first) { it.take(1) } as? List<*>
@@ -77,7 +83,7 @@
         const val FIELDS = 10
 
         /** What is kept of a worker is bounded; longer reports are decoded each time. */
-        const val MOST_BYTES = 8192
+        const val MAX_BYTES = 8192
 
         private fun MessageUnpacker.takeMapHeader(): Int {
             if (!hasNext() || !nextFormat.valueType.isMapType) throw Malformed("body is not a map")
--- a/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
@@ -4,16 +4,16 @@
 import org.chalkhollow.model.Resources
 
 /** One key of the state service. */
-data class Row(val key: String, val value: Any?, val stamp: Long)
+data class KeyValue(val key: String, val value: Any?, val revision: Long)
 
 /** A page of keys. */
-data class Rows(val rows: List<Row>, val more: Boolean)
+data class KeyValuePage(val rows: List<KeyValue>, val more: Boolean)
 
 /** A change in a transaction; a null [value] removes the key. */
 data class Change(val key: String, val value: Map<String, Any?>?)
 
-/** A condition: [key] has revision [stamp]; 0 means that it does not exist. */
-data class Condition(val key: String, val stamp: Long)
+/** A condition: [key] has revision [revision]; 0 means that it does not exist. */
+data class Condition(val key: String, val revision: Long)
 
 /** A machine as the cloud lists it. */
 data class ListedMachine(
@@ -35,7 +35,7 @@
 object ServiceCodec {
     fun commit(conditions: List<Condition>, changes: List<Change>): Map<String, Any?> =
         mapOf(
-            "if" to conditions.map { mapOf("key" to it.key, "stamp" to it.stamp) },
+            "if" to conditions.map { mapOf("key" to it.key, "stamp" to it.revision) },
             "apply" to
                 changes.map {
                     if (it.value ==
@@ -52,9 +52,12 @@
 
     fun failedKeys(body: ByteArray): List<String> = Pack.decodeMap(body).texts("failed")
 
-    fun rows(body: ByteArray): Rows {
+    fun rows(body: ByteArray): KeyValuePage {
         val f = Pack.decodeMap(body)
-        return Rows(f.maps("rows").map { Row(it.text("key"), it.map["value"], it.long("stamp")) }, f.flag("more"))
+        return KeyValuePage(
+            f.maps("rows").map { KeyValue(it.text("key"), it.map["value"], it.long("stamp")) },
+            f.flag("more"),
+        )
     }
 
     fun catalog(body: ByteArray): List<MachineType> =
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -4,22 +4,22 @@
 enum class ExitCause { DONE, HALTED, ERROR, FULL, BUSY, NO_SUCH }
 
 /** What a worker says of one task. */
-data class TaskReport(val jobId: String, val index: Int, val attempt: Long, val phase: Phase, val cause: ExitCause?) {
+data class TaskStatus(val jobId: String, val index: Int, val attempt: Long, val phase: Phase, val cause: ExitCause?) {
     enum class Phase { FETCHING, RUNNING, SAVING, EXITED }
 }
 
 /** A worker's report. */
-data class WorkerReport(
+data class WorkerHeartbeat(
     val machine: String,
     val address: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
+    val epoch: Long,
     val seq: Long,
-    val token: Long,
+    val fencingToken: Long,
     val noticeS: Double?,
-    val tasks: List<TaskReport>,
+    val tasks: List<TaskStatus>,
 )
 
 /** Commands to a worker. */
@@ -44,11 +44,11 @@
 object WorkerCodec {
     private val phases =
         mapOf(
-            "pulling" to TaskReport.Phase.FETCHING,
-            "gathering" to TaskReport.Phase.FETCHING,
-            "running" to TaskReport.Phase.RUNNING,
-            "saving" to TaskReport.Phase.SAVING,
-            "exited" to TaskReport.Phase.EXITED,
+            "pulling" to TaskStatus.Phase.FETCHING,
+            "gathering" to TaskStatus.Phase.FETCHING,
+            "running" to TaskStatus.Phase.RUNNING,
+            "saving" to TaskStatus.Phase.SAVING,
+            "exited" to TaskStatus.Phase.EXITED,
         )
     private val causes =
         mapOf(
@@ -62,46 +62,46 @@
             "no_such" to ExitCause.NO_SUCH,
         )
 
-    fun report(bytes: ByteArray): WorkerReport {
+    fun heartbeat(bytes: ByteArray): WorkerHeartbeat {
         val f = Pack.decodeMap(bytes)
-        return report(f, f.maps("pieces").map(::task))
+        return heartbeat(f, f.maps("pieces").map(::task))
     }
 
-    internal fun report(f: Fields, tasks: List<TaskReport>) =
-        WorkerReport(
+    internal fun heartbeat(f: Fields, tasks: List<TaskStatus>) =
+        WorkerHeartbeat(
             machine = f.text("host"),
             address = f.text("address"),
             type = f.text("flavour"),
             zone = f.text("site"),
             spot = f.flag("standby"),
-            session = f.long("tenure"),
+            epoch = f.long("tenure"),
             seq = f.long("tally"),
-            token = f.long("mandate"),
+            fencingToken = f.long("mandate"),
             noticeS = f.numberOrNull("warningS"),
             tasks = tasks,
         )
 
-    internal fun task(f: Fields): TaskReport {
+    internal fun task(f: Fields): TaskStatus {
         val name = f.text("piece")
         val slash = name.lastIndexOf('/')
         val index = if (slash > 0) name.substring(slash + 1).toIntOrNull() ?: -1 else -1
         if (index < 0) throw Malformed("field piece is missing or invalid")
         val phase = phases[f.text("status")] ?: throw Malformed("field status is missing or invalid")
-        return TaskReport(
+        return TaskStatus(
             jobId = name.substring(0, slash),
             index = index,
             attempt = f.long("try"),
             phase = phase,
-            cause = if (phase == TaskReport.Phase.EXITED) causes[f.textOrNull("cause")] ?: ExitCause.ERROR else null,
+            cause = if (phase == TaskStatus.Phase.EXITED) causes[f.textOrNull("cause")] ?: ExitCause.ERROR else null,
         )
     }
 
-    fun commands(token: Long, commands: List<Command>): Map<String, Any?> =
-        mapOf("mandate" to token, "orders" to commands.map(::order))
+    fun commands(fencingToken: Long, commands: List<Command>): Map<String, Any?> =
+        mapOf("mandate" to fencingToken, "orders" to commands.map(::order))
 
     /** The body of a direct command; it runs only while token and session match. */
-    fun direct(token: Long, session: Long, commands: List<Command>): Map<String, Any?> =
-        mapOf("mandate" to token, "tenure" to session, "orders" to commands.map(::order))
+    fun direct(fencingToken: Long, epoch: Long, commands: List<Command>): Map<String, Any?> =
+        mapOf("mandate" to fencingToken, "tenure" to epoch, "orders" to commands.map(::order))
 
     fun redirect(label: String): Map<String, Any?> = mapOf("overseer" to label)
 
