--- a/src/main/kotlin/org/chalkhollow/Main.kt
+++ b/src/main/kotlin/org/chalkhollow/Main.kt
@@ -12,12 +12,12 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.launch
+import org.chalkhollow.runtime.ArchiveTrainingRun
+import org.chalkhollow.runtime.ControllerNode
 import org.chalkhollow.runtime.EventLoop
-import org.chalkhollow.runtime.Node
-import org.chalkhollow.runtime.WarmUp
-import org.chalkhollow.settings.BadSettings
+import org.chalkhollow.settings.InvalidSettingsException
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.settings.OperatorText
+import org.chalkhollow.settings.OperatorSettingsParser
 import org.chalkhollow.settings.PlatformSettings
 import java.lang.management.ManagementFactory
 import java.nio.file.Path
@@ -49,13 +49,13 @@
 
     override fun run() {
         if (currentContext.invokedSubcommand != null) return
-        if (warmUp) return WarmUp.run()
+        if (warmUp) return ArchiveTrainingRun.run()
         val path = config ?: throw CliktError("missing option --config", statusCode = BAD_SETTINGS)
         val (platform, own) =
             try {
                 PlatformSettings.load(Path.of(path)) to
-                    (operator?.let { OperatorText.load(Path.of(it)) } ?: OperatorSettings())
-            } catch (e: BadSettings) {
+                    (operator?.let { OperatorSettingsParser.load(Path.of(it)) } ?: OperatorSettings())
+            } catch (e: InvalidSettingsException) {
                 throw CliktError(e.message, statusCode = BAD_SETTINGS)
             }
         if (check) return echo("$path: good")
@@ -83,7 +83,7 @@
         life: Long,
     ): String? =
         try {
-            Node(scope, loop, platform, own, life, begunAt).start()
+            ControllerNode(scope, loop, platform, own, life, begunAt).start()
             null
         } catch (e: java.io.IOException) {
             e.message ?: "cannot start"
--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -34,7 +34,7 @@
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 
 /**
  * A controller as a pure state machine: an input at a moment in, effects out. It has no clock, does no I/O, and two
@@ -308,7 +308,7 @@
                 else -> dispatch.load(row, jobs)
             }
             log.seen(row.key, row.revision)
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             context.emit(Effect.LogEvent(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
         }
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -13,7 +13,7 @@
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.settings.StateLimits
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 
 /** Tasks of one job that a placement round gives to one machine; [fromCredit] to a job that had been passed over. */
 class Allocation(val job: OpenJob, val machine: Machine, val tasks: IntArray, val fromCredit: Boolean)
@@ -144,7 +144,7 @@
         marker.durable = true
         marker.outstanding = 1 // held until the whole marker is read
         for (item in f.list("a")) {
-            val parts = item as? List<*> ?: throw Malformed("${row.key} is not a marker")
+            val parts = item as? List<*> ?: throw MalformedMessageException("${row.key} is not a marker")
             val job = jobs.marked(parts[0].toString()) ?: continue
             val machine = fleet.known(parts[1].toString())
             for (index in indices(parts[2].toString())) {
--- a/src/main/kotlin/org/chalkhollow/core/common/Io.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Io.kt
@@ -10,7 +10,7 @@
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.peer.PeerMessage
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.UserCodec
 
 /** The moment of an input: [steady] never jumps, [wall] is the time of day; both in milliseconds. */
@@ -39,7 +39,7 @@
         fun ofSubmission(body: ByteArray): UserRequest? =
             try {
                 Submit(UserCodec.job(body), body)
-            } catch (e: Malformed) {
+            } catch (e: MalformedMessageException) {
                 UserCodec.idIn(body)?.let { Invalid(it, body, e.message) }
             }
     }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -13,7 +13,7 @@
 import org.chalkhollow.model.Condition
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 
 /**
  * Owns who leads. The leadership record is a lease: every write of the leader changes its stamp, and a follower may
@@ -184,7 +184,7 @@
                 watch.served()
                 try {
                     onRecord(LeadershipRecord.of(reply.row), reply.row.revision)
-                } catch (e: Malformed) {
+                } catch (e: MalformedMessageException) {
                     context.warn("the leadership record is unreadable: ${e.message}")
                 }
             }
--- a/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
@@ -28,7 +28,7 @@
     private val listen: Address,
     private val peers: List<Peer>,
     private val hello: PeerMessage.Hello,
-    dropped: DroppedFrames,
+    dropped: DroppedFrameListener,
     private val receive: (Int, PeerMessage) -> Unit,
 ) {
     private val listener = PeerListener(peers.map { it.label }, dropped, ::greeted, receive)
--- a/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
@@ -7,7 +7,7 @@
 /**
  * Told of what came from other controllers and was dropped; [peer] is null before the connection has said whose it is.
  */
-interface DroppedFrames {
+interface DroppedFrameListener {
     fun malformed(peer: String?, why: String)
 
     fun newer(peer: String?, kind: String)
@@ -16,7 +16,7 @@
 /** Reads what one connection from another controller brings. */
 class PeerListener(
     private val labels: List<String>,
-    private val dropped: DroppedFrames,
+    private val dropped: DroppedFrameListener,
     private val greeted: (Int, PeerMessage.Hello) -> Unit = { _, _ -> },
     private val receive: (Int, PeerMessage) -> Unit,
 ) {
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUp.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
@@ -18,14 +18,14 @@
  * data archive that the build makes of this run holds it. Starting costs processor time, and a start is an outage to
  * users.
  */
-object WarmUp {
+object ArchiveTrainingRun {
     private const val ROUNDS = 100
 
     fun run() {
         val ports = List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
         val settings = PlatformSettings.parse(settings(ports[0], ports[1]), "warm-up")
         runBlocking {
-            val warmUp = WarmUpScenario(settings)
+            val warmUp = WarmUpSimulation(settings)
             repeat(ROUNDS) { warmUp.step() }
             node(settings, ports[0])
         }
@@ -41,8 +41,8 @@
         val scope = CoroutineScope(SupervisorJob() + loop)
         Thread(loop::run).apply { isDaemon = true }.start()
         withContext(loop) {
-            Node(scope, loop, settings, OperatorSettings(), 1, System.nanoTime()).start()
-            val link = HttpLink(loop, settings.clientListen, 1 shl 16, 1, Priority.CONTROL)
+            ControllerNode(scope, loop, settings, OperatorSettings(), 1, System.nanoTime()).start()
+            val link = HttpClient(loop, settings.clientListen, 1 shl 16, 1, TaskPriority.CONTROL)
             link.request("GET", "/up", null, 1000) {}
             link.request("POST", "/work", Pack.encode(WarmUpMessages.job("j-000001", "t")), 1000) {}
             link.request("GET", "/work/j-1", null, 1000) {}
--- a/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Clients.kt
@@ -11,7 +11,7 @@
 import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.model.KeyValue
 import org.chalkhollow.wire.Fields
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.ServiceCodec
 import org.chalkhollow.wire.WorkerCodec
@@ -20,20 +20,20 @@
 private const val POST = "POST"
 
 /** Reads replies; one that is malformed is told of, and counts as none. */
-class ReplyReader(private val onMalformed: (Malformed) -> Unit) {
+class ResponseDecoder(private val onMalformed: (MalformedMessageException) -> Unit) {
     inline fun <T> read(ifMalformed: T, decode: () -> T): T =
         try {
             decode()
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             malformed(e)
             ifMalformed
         }
 
-    fun malformed(e: Malformed) = onMalformed(e)
+    fun malformed(e: MalformedMessageException) = onMalformed(e)
 }
 
 /** The state service within its request budget; what the budget refuses counts as not executed. */
-class StateClient(private val link: HttpLink, rps: Double, private val replies: ReplyReader) {
+class StateServiceClient(private val link: HttpClient, rps: Double, private val replies: ResponseDecoder) {
     @Suppress("UnstableApiUsage")
     private val budget = RateLimiter.create(rps)
 
@@ -87,12 +87,12 @@
 private fun text(body: ByteArray): String =
     try {
         Pack.decode(body).toString().take(200)
-    } catch (e: Malformed) {
+    } catch (e: MalformedMessageException) {
         "no reason given"
     }
 
 /** The cloud; the core spends its rate budget, see `Fleet`. */
-class CloudClient(private val link: HttpLink, private val replies: ReplyReader) {
+class CloudClient(private val link: HttpClient, private val replies: ResponseDecoder) {
     fun run(op: CloudOp, onReply: (CloudReply) -> Unit) {
         val onResult = { result: HttpResult -> onReply(reply(op, result)) }
         when (op) {
@@ -135,7 +135,7 @@
     private fun reason(body: ByteArray): String? =
         try {
             Fields.of(Pack.decode(body), "body").textOrNull("error")
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             null
         }
 
@@ -146,7 +146,7 @@
 }
 
 /** Direct commands to workers, over one kept connection each for as many workers as [links] holds. */
-class WorkerClient(private val links: (String) -> HttpLink?, private val replies: ReplyReader) {
+class WorkerClient(private val links: (String) -> HttpClient?, private val replies: ResponseDecoder) {
     fun run(e: Effect.WorkerCommand, onReply: (CommandReply) -> Unit) {
         val link = links(e.address) ?: return onReply(CommandReply.NotSent)
         val body = Pack.encode(WorkerCodec.direct(e.fencingToken, e.epoch, e.commands))
--- a/src/main/kotlin/org/chalkhollow/runtime/Node.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -26,7 +26,7 @@
  * [scope] must run on [loop]. [begunAt] is when this process began, in nanoseconds by the steady clock: an earlier life
  * of this controller had ended by then, which may be a while before this is made on a slow machine.
  */
-class Node(
+class ControllerNode(
     private val scope: CoroutineScope,
     private val loop: EventLoop,
     private val settings: PlatformSettings,
@@ -37,22 +37,22 @@
     private val log = LoggerFactory.getLogger("chalkhollow")
     private val selector = SelectorManager(Dispatchers.IO)
     private val controller = Controller(settings, options, incarnation, now(), begunAt / 1_000_000)
-    private val meters = Meters()
+    private val metrics = Metrics()
 
-    /** Bounds how often malformed messages are logged; the meters count them all. */
+    /** Bounds how often malformed messages are logged; the metrics count them all. */
     @Suppress("UnstableApiUsage")
     private val complaints = RateLimiter.create(COMPLAINTS_PER_S)
     private val replies =
-        ReplyReader { e ->
-            meters.malformedReply()
+        ResponseDecoder { e ->
+            metrics.malformedReply()
             if (complaints.tryAcquire()) log.warn("a reply is malformed and counts as none: {}", e.message)
         }
-    private val stateLink = HttpLink(loop, settings.state, STATE_BODY, 4, Priority.CONTROL)
-    private val state = StateClient(stateLink, settings.stateLimits.rps * 0.5, replies)
-    private val cloud = CloudClient(HttpLink(loop, settings.cloud, STATE_BODY, 2, Priority.WORKER), replies)
+    private val stateLink = HttpClient(loop, settings.state, STATE_BODY, 4, TaskPriority.CONTROL)
+    private val state = StateServiceClient(stateLink, settings.stateLimits.rps * 0.5, replies)
+    private val cloud = CloudClient(HttpClient(loop, settings.cloud, STATE_BODY, 2, TaskPriority.WORKER), replies)
     private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
-    private val workerLinks: WorkerLinks =
-        WorkerLinks(loop, settings.maxConnections - spareSockets) { server.connected }
+    private val workerLinks: WorkerHttpClients =
+        WorkerHttpClients(loop, settings.maxConnections - spareSockets) { server.connected }
     private val workers = WorkerClient(workerLinks::to, replies)
     private val peerConnections =
         PeerConnections(
@@ -61,10 +61,10 @@
             settings.peerAddress,
             settings.peers,
             PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION),
-            FrameComplaints(log, meters),
+            DroppedFrameLogger(log, metrics),
         ) { from, message -> feed(Input.Peer(from, message)) }
-    private val calls = PendingCalls()
-    private val clients = ClientContext(controller, calls, meters, log, complaints, ::now, ::feed)
+    private val calls = PendingRequests()
+    private val clients = RouterContext(controller, calls, metrics, log, complaints, ::now, ::feed)
     private val server: HttpServer =
         HttpServer(
             loop,
@@ -74,9 +74,9 @@
             object : HttpServer.Events {
                 override fun beforeAccept() = workerLinks.trim(1)
 
-                override fun newHandler() = ClientHandler(clients)
+                override fun newHandler() = RequestRouter(clients)
 
-                override fun onShed(priority: Priority) = meters.shed(priority)
+                override fun onShed(priority: TaskPriority) = metrics.shed(priority)
             },
         )
     private var timer: DisposableHandle? = null
@@ -97,12 +97,12 @@
         peerConnections.run(peerSocket)
         log.info("{} listens on {}", settings.label, settings.clientListen)
         feed(Input.Tick)
-        scope.launch(TaskPriority(Priority.IDLE)) { warmUpIdle() }
+        scope.launch(TaskPriorityElement(TaskPriority.IDLE)) { warmUpIdle() }
     }
 
     /** Goes through a take-over in memory while this controller follows a leader and has nothing else to do. */
     private suspend fun warmUpIdle() {
-        val warmUp = WarmUpScenario(settings)
+        val warmUp = WarmUpSimulation(settings)
         var steps = 0
         delay(WARM_UP_AFTER_MS)
         while (steps < WARM_UP_STEPS) {
@@ -152,7 +152,7 @@
                 val done = timed<CommandReply>("direct") { Input.WorkerReply(effect.ticket, it) }
                 workers.run(effect, done)
             }
-            is Effect.Timing -> meters.took(effect.kind, effect.ms * 1000)
+            is Effect.Timing -> metrics.took(effect.kind, effect.ms * 1000)
             is Effect.Send -> peerConnections.send(effect.peer, effect.message)
             is Effect.Timer -> {
                 timer?.dispose()
@@ -166,9 +166,9 @@
     private fun <R> timed(kind: String, input: (R) -> Input): (R) -> Unit {
         val from = System.nanoTime()
         return { reply ->
-            meters.took(kind, (System.nanoTime() - from) / NANOS_PER_MICRO)
+            metrics.took(kind, (System.nanoTime() - from) / NANOS_PER_MICRO)
             // What is refused before it is sent is told while the effects of a step are being carried out.
-            if (carryingOut) loop.submit(Priority.CONTROL) { feed(input(reply)) } else feed(input(reply))
+            if (carryingOut) loop.submit(TaskPriority.CONTROL) { feed(input(reply)) } else feed(input(reply))
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/FrameComplaints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/DroppedFrameLogger.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.runtime
 
 import com.google.common.util.concurrent.RateLimiter
-import org.chalkhollow.peer.DroppedFrames
+import org.chalkhollow.peer.DroppedFrameListener
 import org.slf4j.Logger
 
 /**
@@ -9,12 +9,12 @@
  * and each kind of a newer version once.
  */
 @Suppress("UnstableApiUsage")
-internal class FrameComplaints(private val log: Logger, private val meters: Meters) : DroppedFrames {
+internal class DroppedFrameLogger(private val log: Logger, private val metrics: Metrics) : DroppedFrameListener {
     private val limiter = RateLimiter.create(PER_S)
     private val kinds = HashSet<String>()
 
     override fun malformed(peer: String?, why: String) {
-        meters.malformedFrame()
+        metrics.malformedFrame()
         if (limiter.tryAcquire()) {
             log.warn(
                 "a frame from {} is malformed and was dropped: {}",
@@ -25,7 +25,7 @@
     }
 
     override fun newer(peer: String?, kind: String) {
-        meters.newerFrame()
+        metrics.newerFrame()
         val name = plain(kind)
         if (kinds.size < MAX_KINDS && kinds.add(name)) {
             log.warn(
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -52,7 +52,7 @@
     }
 
     private val selector = Selector.open()
-    private val queues = TaskQueues()
+    private val queues = PriorityTaskQueue()
 
     /** Channels that are ready and wait for their turn. */
     private val readyKeys = ArrayDeque<SelectionKey>()
@@ -79,11 +79,11 @@
     }
 
     /** Queues [task] at [priority]; must be called on the loop's thread. */
-    fun submit(priority: Priority, task: Runnable) = queues.add(priority, task)
+    fun submit(priority: TaskPriority, task: Runnable) = queues.add(priority, task)
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
         if (Thread.currentThread() === thread) {
-            queues.add(context[TaskPriority]?.level ?: Priority.CONTROL, block)
+            queues.add(context[TaskPriorityElement]?.level ?: TaskPriority.CONTROL, block)
         } else {
             foreign.add(block)
             selector.wakeup()
@@ -92,7 +92,7 @@
 
     override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
         val resume =
-            if (continuation.context[TaskPriority]?.level == Priority.IDLE) {
+            if (continuation.context[TaskPriorityElement]?.level == TaskPriority.IDLE) {
                 Runnable { continuation.resume(Unit) } // queued, since something else may be due by then
             } else {
                 Runnable { with(continuation) { resumeUndispatched(Unit) } }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpLink.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
@@ -15,15 +15,15 @@
 
 /**
  * Requests to one address over a few persistent connections, one request at a time on each. What is made of their
- * results waits for its turn at [priority]. Links at [Priority.CONTROL], on which leadership depends, are also read
- * before all others. It costs no coroutine, for the same reason as [ServerConnection].
+ * results waits for its turn at [priority]. Links at [TaskPriority.CONTROL], on which leadership depends, are also read
+ * before all others. It costs no coroutine, for the same reason as [HttpServerConnection].
  */
-class HttpLink(
+class HttpClient(
     private val loop: EventLoop,
     private val address: Address,
     private val maxBody: Int,
     private val maxIdle: Int,
-    private val priority: Priority,
+    private val priority: TaskPriority,
 ) {
     private val idle = ArrayDeque<ClientConnection>()
     private val host = address.toString()
@@ -34,7 +34,7 @@
         val exchange = Exchange(HttpWriter.request(method, host, path, body), timeoutMs, onResult)
         val connection = idleConnection()
         if (connection != null) return connection.begin(exchange)
-        LoopSocket.connect(loop, address, priority == Priority.CONTROL, minOf(timeoutMs, CONNECT_MS)) { socket ->
+        TcpConnection.connect(loop, address, priority == TaskPriority.CONTROL, minOf(timeoutMs, CONNECT_MS)) { socket ->
             if (socket == null) finish(exchange, HttpResult.NotSent) else ClientConnection(socket).begin(exchange)
         }
     }
@@ -58,7 +58,7 @@
         while (true) (idle.removeLastOrNull() ?: return).close()
     }
 
-    private inner class ClientConnection(private val socket: LoopSocket) : LoopSocket.Receiver {
+    private inner class ClientConnection(private val socket: TcpConnection) : TcpConnection.Receiver {
         private val messages = MessageAssembler(responseHeads, maxBody)
         private var current: Exchange? = null
         private var timeout: DisposableHandle? = null
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
@@ -21,18 +21,18 @@
         fun newHandler(): HttpHandler
 
         /** A request was not worked on, since its client had gone or waited no more. */
-        fun onShed(priority: Priority)
+        fun onShed(priority: TaskPriority)
     }
 
     private val heads = HeadReader.ofRequests()
-    private val connections = HashSet<ServerConnection>()
+    private val connections = HashSet<HttpServerConnection>()
     private val connectionEvents =
-        object : ServerConnection.Events {
-            override fun onClosed(connection: ServerConnection) {
+        object : HttpServerConnection.Events {
+            override fun onClosed(connection: HttpServerConnection) {
                 connections.remove(connection)
             }
 
-            override fun onShed(priority: Priority) = events.onShed(priority)
+            override fun onShed(priority: TaskPriority) = events.onShed(priority)
         }
 
     /** How many connections are open. */
@@ -41,7 +41,7 @@
 
     /** Binds the port and serves; throws when the port is taken. */
     fun start() {
-        LoopSocket.listen(loop, address, BACKLOG, ::accepted)
+        TcpConnection.listen(loop, address, BACKLOG, ::accepted)
         sweepRegularly()
     }
 
@@ -52,11 +52,11 @@
         }
     }
 
-    private fun accepted(socket: LoopSocket) {
+    private fun accepted(socket: TcpConnection) {
         if (connections.size >= maxConnections && clock() - sweptAt > FULL_SWEEP_MS) sweep(IDLE_SHORT_MS)
         if (connections.size >= maxConnections) return socket.close()
         events.beforeAccept()
-        val connection = ServerConnection(socket, loop, heads, events.newHandler(), connectionEvents)
+        val connection = HttpServerConnection(socket, loop, heads, events.newHandler(), connectionEvents)
         connections.add(connection)
         socket.receive(connection)
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/ServerConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
@@ -10,7 +10,7 @@
 /** Handles the requests of one connection, one at a time. */
 interface HttpHandler {
     /** What a request serves, which decides whose turn it is while others wait. */
-    fun priorityOf(head: RequestHead): Priority
+    fun priorityOf(head: RequestHead): TaskPriority
 
     /** How long the client waits for an answer, in milliseconds: later, nobody has any use for it. */
     fun patienceMs(head: RequestHead): Long
@@ -23,20 +23,20 @@
  * pipelined; what arrives early waits for its turn. It costs no coroutine, since there are hundreds of connections and
  * the requests of workers are most of what a leader does.
  */
-internal class ServerConnection(
-    private val socket: LoopSocket,
+internal class HttpServerConnection(
+    private val socket: TcpConnection,
     private val loop: EventLoop,
     heads: HeadReader<RequestHead>,
     private val handler: HttpHandler,
     private val events: Events,
-) : LoopSocket.Receiver,
+) : TcpConnection.Receiver,
     HttpResponder,
     Runnable {
     interface Events {
-        fun onClosed(connection: ServerConnection)
+        fun onClosed(connection: HttpServerConnection)
 
         /** A request was not worked on, since its client had gone or waited no more. */
-        fun onShed(priority: Priority)
+        fun onShed(priority: TaskPriority)
     }
 
     /** When it last sent something or was answered, by the steady clock in milliseconds. */
@@ -72,7 +72,7 @@
             waiting = request
             arrivedAt = activeAt
             loop.submit(handler.priorityOf(request.head), this)
-        } catch (expected: BodyTooLarge) {
+        } catch (expected: BodyTooLargeException) {
             socket.send(HttpWriter.response(HttpReply(HttpStatus.CONTENT_TOO_LARGE, null), closes = true))
             socket.closeAfterSending()
         } catch (expected: Exception) {
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
@@ -12,7 +12,7 @@
 class HttpMessage<H : MessageHead>(val head: H, val body: ByteArray)
 
 /** A body is larger than is taken. */
-class BodyTooLarge : IOException("a body is too large")
+class BodyTooLargeException : IOException("a body is too large")
 
 /** Puts the messages of one connection together from what arrives, in bodies of at most [mostBody] bytes. */
 internal class MessageAssembler<H : MessageHead>(private val heads: HeadReader<H>, private val mostBody: Int) {
@@ -67,7 +67,7 @@
     private fun readBody(head: H): ByteArray? {
         if (head.framing.chunked) return readChunked(head)
         val length = head.framing.length ?: throw IOException("the length of a body cannot be told")
-        if (length > mostBody) throw BodyTooLarge()
+        if (length > mostBody) throw BodyTooLargeException()
         val until = head.size + length.toInt()
         if (size < until) return null
         return received.copyOfRange(head.size, until).also { consume(until) }
@@ -77,7 +77,7 @@
         val body = if (lastChunkIsThere(head.size)) decodeChunks(received.copyOfRange(head.size, size)) else null
         // Chunks come with little beside what they carry.
         val tooLarge = if (body == null) size - head.size > 2 * mostBody else body.size > mostBody
-        if (tooLarge) throw BodyTooLarge()
+        if (tooLarge) throw BodyTooLargeException()
         if (body != null) consume(size)
         return body
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/Meters.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
@@ -10,13 +10,13 @@
  * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when somebody first asks, since
  * that costs processor time which a start does not have.
  */
-class Meters {
+class Metrics {
     private val answers = Int2LongOpenHashMap()
-    private var malformedReports = 0L
+    private var malformedHeartbeats = 0L
     private var malformedFrames = 0L
     private var newerFrames = 0L
     private var malformedReplies = 0L
-    private val shed = LongArray(Priority.entries.size)
+    private val shed = LongArray(TaskPriority.entries.size)
     private val histograms = LinkedHashMap<String, Histogram>()
     private val registry by lazy {
         SimpleMeterRegistry().also { r ->
@@ -24,7 +24,7 @@
                 .builder(
                     "chalkhollow.reports.malformed",
                     this,
-                ) { it.malformedReports.toDouble() }
+                ) { it.malformedHeartbeats.toDouble() }
                 .register(r)
             FunctionCounter.builder("chalkhollow.frames.malformed", this) { it.malformedFrames.toDouble() }.register(r)
             FunctionCounter.builder("chalkhollow.frames.newer", this) { it.newerFrames.toDouble() }.register(r)
@@ -41,12 +41,12 @@
         answers.addTo(status, 1)
     }
 
-    fun malformedReport() {
-        malformedReports++
+    fun malformedHeartbeat() {
+        malformedHeartbeats++
     }
 
     /** A request was not worked on, since its client had gone or waited no more. */
-    fun shed(priority: Priority) {
+    fun shed(priority: TaskPriority) {
         shed[priority.ordinal]++
     }
 
@@ -69,7 +69,7 @@
     fun took(kind: String, micros: Long) =
         histograms.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
 
-    /** All meters, one a line. */
+    /** All metrics, one a line. */
     fun text(view: Controller.View): String =
         buildString {
             appendLine("chalkhollow_leading ${if (view.leading) 1 else 0}")
@@ -87,8 +87,8 @@
                 }
             }
             for ((input, count) in view.dropped) appendLine("chalkhollow_${input.metric}_total $count")
-            appendLine("chalkhollow_shed_total{kind=\"report\"} ${shed[Priority.WORKER.ordinal]}")
-            appendLine("chalkhollow_shed_total{kind=\"user\"} ${shed[Priority.USER.ordinal]}")
+            appendLine("chalkhollow_shed_total{kind=\"report\"} ${shed[TaskPriority.WORKER.ordinal]}")
+            appendLine("chalkhollow_shed_total{kind=\"user\"} ${shed[TaskPriority.USER.ordinal]}")
             for ((kind, h) in histograms) {
                 for (q in QUANTILES) {
                     appendLine("chalkhollow_micros{kind=\"$kind\",quantile=\"$q\"} ${h.getValueAtPercentile(q * 100)}")
--- a/src/main/kotlin/org/chalkhollow/runtime/PendingCalls.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/PendingRequests.kt
@@ -3,7 +3,7 @@
 import org.agrona.collections.Int2ObjectHashMap
 
 /** The requests that the controller has not answered yet, by the number under which it was told of them. Bounded. */
-internal class PendingCalls {
+internal class PendingRequests {
     private val responders = Int2ObjectHashMap<HttpResponder>()
     private var next = 0
 
--- a/src/main/kotlin/org/chalkhollow/runtime/TaskQueues.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
@@ -4,7 +4,7 @@
 import kotlin.coroutines.CoroutineContext
 
 /** What a task on the [EventLoop] serves, most important first. */
-enum class Priority {
+enum class TaskPriority {
     /** Leadership: the state service, other controllers, timers. The priority of tasks that name none. */
     CONTROL,
 
@@ -19,8 +19,8 @@
 }
 
 /** The priority of a coroutine's tasks. */
-class TaskPriority(val level: Priority) : AbstractCoroutineContextElement(Key) {
-    companion object Key : CoroutineContext.Key<TaskPriority>
+class TaskPriorityElement(val level: TaskPriority) : AbstractCoroutineContextElement(Key) {
+    companion object Key : CoroutineContext.Key<TaskPriorityElement>
 }
 
 /**
@@ -28,19 +28,19 @@
  * left: users are few and wait for their answers, so they need not queue behind hundreds of reports, but get at most
  * one turn in [WORKERS_PER_USER] + 1 while workers wait, so that a flood of requests costs no worker its lease.
  */
-class TaskQueues {
+class PriorityTaskQueue {
     private val control = ArrayDeque<Runnable>()
     private val workers = ArrayDeque<Runnable>()
     private val users = ArrayDeque<Runnable>()
     private val idle = ArrayDeque<Runnable>()
     private var workersSinceUser = WORKERS_PER_USER
 
-    fun add(priority: Priority, task: Runnable) {
+    fun add(priority: TaskPriority, task: Runnable) {
         when (priority) {
-            Priority.CONTROL -> control
-            Priority.WORKER -> workers
-            Priority.USER -> users
-            Priority.IDLE -> idle
+            TaskPriority.CONTROL -> control
+            TaskPriority.WORKER -> workers
+            TaskPriority.USER -> users
+            TaskPriority.IDLE -> idle
         }.addLast(task)
     }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/ClientHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -10,31 +10,31 @@
 import org.chalkhollow.core.operations.JobView
 import org.chalkhollow.core.operations.StatusView
 import org.chalkhollow.wire.HeartbeatReader
-import org.chalkhollow.wire.Malformed
+import org.chalkhollow.wire.MalformedMessageException
 import org.slf4j.Logger
 
-/** What the [ClientHandler]s of all connections share. */
-internal class ClientContext(
+/** What the [RequestRouter]s of all connections share. */
+internal class RouterContext(
     val controller: Controller,
-    val calls: PendingCalls,
-    val meters: Meters,
+    val calls: PendingRequests,
+    val metrics: Metrics,
     val log: Logger,
-    /** Bounds how often malformed messages are logged; the meters count them all. */
+    /** Bounds how often malformed messages are logged; the metrics count them all. */
     @Suppress("UnstableApiUsage") val complaints: RateLimiter,
     val clock: () -> Now,
     val feed: (Input) -> Unit,
 )
 
 /** Turns the requests of a user, a worker or an operator on one connection into inputs of the controller. */
-internal class ClientHandler(private val context: ClientContext) : HttpHandler {
+internal class RequestRouter(private val context: RouterContext) : HttpHandler {
     private val heartbeats = HeartbeatReader()
 
-    override fun priorityOf(head: RequestHead): Priority =
-        if (head.path == REPORT_PATH) Priority.WORKER else Priority.USER
+    override fun priorityOf(head: RequestHead): TaskPriority =
+        if (head.path == HEARTBEAT_PATH) TaskPriority.WORKER else TaskPriority.USER
 
     override fun patienceMs(head: RequestHead): Long =
         when {
-            head.path == REPORT_PATH -> WORKER_WAITS_MS
+            head.path == HEARTBEAT_PATH -> WORKER_WAITS_MS
             head.method == GET -> POLL_WAITS_MS
             else -> SUBMISSION_WAITS_MS
         }
@@ -44,13 +44,13 @@
         val path = request.head.path.substringBefore('?')
         val kind =
             when {
-                path == REPORT_PATH -> "report"
+                path == HEARTBEAT_PATH -> "report"
                 path.startsWith("/work") -> "user"
                 else -> "other"
             }
         route(request, path) { reply ->
-            context.meters.answered(reply.status)
-            context.meters.took(kind, (System.nanoTime() - arrivedNs) / NANOS_PER_MICRO)
+            context.metrics.answered(reply.status)
+            context.metrics.took(kind, (System.nanoTime() - arrivedNs) / NANOS_PER_MICRO)
             responder.answer(reply)
         }
     }
@@ -58,7 +58,7 @@
     private fun route(request: HttpMessage<RequestHead>, path: String, responder: HttpResponder) {
         val method = request.head.method
         when {
-            path == REPORT_PATH -> only(POST, method, responder) { heartbeat(request.body, responder) }
+            path == HEARTBEAT_PATH -> only(POST, method, responder) { heartbeat(request.body, responder) }
             path == "/up" -> only(GET, method, responder) { responder.answer(up()) }
             path == "/work" -> only(POST, method, responder) { submit(request.body, responder) }
             path.startsWith(JOB_PREFIX) -> job(method, path.substring(JOB_PREFIX.length), responder)
@@ -80,7 +80,7 @@
         )
 
     private fun metrics(): HttpReply {
-        val text = context.meters.text(context.controller.view)
+        val text = context.metrics.text(context.controller.view)
         return HttpReply(HttpStatus.OK, text.encodeToByteArray(), type = "text/plain; version=0.0.4")
     }
 
@@ -115,8 +115,8 @@
         val heartbeat =
             try {
                 heartbeats.read(body)
-            } catch (e: Malformed) {
-                context.meters.malformedReport()
+            } catch (e: MalformedMessageException) {
+                context.metrics.malformedHeartbeat()
                 if (context.complaints.tryAcquire()) context.log.warn("a worker's report is malformed: {}", e.message)
                 return responder.answer(HttpReply(HttpStatus.BAD_REQUEST, null))
             }
@@ -150,7 +150,7 @@
     }
 
     private companion object {
-        const val REPORT_PATH = "/agent/beat"
+        const val HEARTBEAT_PATH = "/agent/beat"
         const val JOB_PREFIX = "/work/"
         const val OPERATORS_PREFIX = "/ops/"
         const val GET = "GET"
--- a/src/main/kotlin/org/chalkhollow/runtime/LoopSocket.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
@@ -13,7 +13,7 @@
  * A TCP connection on an [EventLoop]. Both directions are bounded: a [Receiver] that cannot take more pauses reading,
  * and a peer that does not keep up with what is sent is cut off.
  */
-class LoopSocket private constructor(
+class TcpConnection private constructor(
     private val loop: EventLoop,
     private val channel: SocketChannel,
     override val isControl: Boolean = false,
@@ -147,11 +147,11 @@
             address: Address,
             isControl: Boolean,
             timeoutMs: Long,
-            onResult: (LoopSocket?) -> Unit,
+            onResult: (TcpConnection?) -> Unit,
         ) {
             val channel = SocketChannel.open()
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-            val socket = LoopSocket(loop, channel, isControl)
+            val socket = TcpConnection(loop, channel, isControl)
             val timeout = loop.after(timeoutMs) { socket.close() }
             socket.connecting = {
                 timeout.dispose()
@@ -169,7 +169,7 @@
         }
 
         /** Listens on [address] and hands over every connection made; [accepted] must not block. */
-        fun listen(loop: EventLoop, address: Address, backlog: Int, accepted: (LoopSocket) -> Unit) {
+        fun listen(loop: EventLoop, address: Address, backlog: Int, accepted: (TcpConnection) -> Unit) {
             val server = ServerSocketChannel.open()
             try {
                 server.setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -193,14 +193,14 @@
         private class Acceptor(
             private val loop: EventLoop,
             private val server: ServerSocketChannel,
-            private val accepted: (LoopSocket) -> Unit,
+            private val accepted: (TcpConnection) -> Unit,
         ) : EventLoop.Ready {
             override fun onReady(key: SelectionKey) {
                 var left = ACCEPTED_AT_ONCE
                 while (left-- > 0) {
                     val channel = acceptFrom(server) ?: break
                     channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-                    accepted(LoopSocket(loop, channel))
+                    accepted(TcpConnection(loop, channel))
                 }
             }
         }
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpScenario.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
@@ -29,7 +29,7 @@
  * code for the first time: every worker reports at once then, and unpractised code took over a second of processor time
  * for that.
  */
-internal class WarmUpScenario(settings: PlatformSettings) {
+internal class WarmUpSimulation(settings: PlatformSettings) {
     private val settings = settings.copy(peers = emptyList())
     private val heads = HeadReader.ofRequests()
     private val heartbeats = HashMap<Int, HeartbeatReader>()
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerLinks.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
@@ -7,15 +7,15 @@
  * so these give way: whenever the process holds more than [most], those that were used longest ago are closed. [others]
  * counts the sockets held for everything else, which are the ones that nobody can do without.
  */
-class WorkerLinks(private val loop: EventLoop, private val most: Int, private val others: () -> Int) {
-    private val links = LinkedHashMap<String, HttpLink>(16, 0.75f, true)
+class WorkerHttpClients(private val loop: EventLoop, private val most: Int, private val others: () -> Int) {
+    private val links = LinkedHashMap<String, HttpClient>(16, 0.75f, true)
 
     /** The link to a worker; null for what is no address. */
-    fun to(address: String): HttpLink? {
+    fun to(address: String): HttpClient? {
         links[address]?.let { return it }
         val port = address.substringAfterLast(':', "").toIntOrNull() ?: return null
         trim(1)
-        return HttpLink(loop, Address(address.substringBeforeLast(':'), port), WORKER_BODY, 1, Priority.WORKER)
+        return HttpClient(loop, Address(address.substringBeforeLast(':'), port), WORKER_BODY, 1, TaskPriority.WORKER)
             .also { links[address] = it }
     }
 
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorText.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorSettingsParser.kt
@@ -14,7 +14,7 @@
  * Reads [OperatorSettings] from protobuf text format. The schema is built here instead of being generated, so that the
  * build needs no protoc; a field unknown to it is an error with its line and column.
  */
-object OperatorText {
+object OperatorSettingsParser {
     private class Field(val name: String, val type: FieldDescriptorProto.Type, val least: Double, val most: Double)
 
     private val INT = FieldDescriptorProto.Type.TYPE_INT64
@@ -41,7 +41,7 @@
             try {
                 Files.readString(path)
             } catch (e: IOException) {
-                throw BadSettings("$path: cannot be read")
+                throw InvalidSettingsException("$path: cannot be read")
             }
         return parse(text, path.toString())
     }
@@ -51,7 +51,7 @@
         try {
             TextFormat.getParser().merge(text, builder)
         } catch (e: TextFormat.ParseException) {
-            throw BadSettings("$source: line ${e.line}, column ${e.column}: ${oneLine(e)}")
+            throw InvalidSettingsException("$source: line ${e.line}, column ${e.column}: ${oneLine(e)}")
         }
         val d = OperatorSettings()
 
@@ -75,7 +75,7 @@
         if (s.leaderRenewMs * 2 >
             s.leaderLeaseMs
         ) {
-            throw BadSettings("$source: field leader_renew_ms must be at most half of leader_lease_ms")
+            throw InvalidSettingsException("$source: field leader_renew_ms must be at most half of leader_lease_ms")
         }
         return s
     }
@@ -93,7 +93,7 @@
         val number = message.getField(field) as Number
         val rule = fields.first { it.name == name }
         if (number.toDouble() < rule.least || number.toDouble() > rule.most) {
-            throw BadSettings("$source: field $name is out of range (${rule.least} to ${rule.most})")
+            throw InvalidSettingsException("$source: field $name is out of range (${rule.least} to ${rule.most})")
         }
         return number
     }
--- a/src/main/kotlin/org/chalkhollow/wire/Fields.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/Fields.kt
@@ -43,11 +43,11 @@
 
     fun has(name: String): Boolean = map[name] != null
 
-    private fun bad(name: String): Nothing = throw Malformed("field $name is missing or invalid")
+    private fun bad(name: String): Nothing = throw MalformedMessageException("field $name is missing or invalid")
 
     companion object {
         @Suppress("UNCHECKED_CAST") // Pack decodes maps with text keys only
         fun of(value: Any?, what: String): Fields =
-            Fields(value as? Map<String, Any?> ?: throw Malformed("$what is not a map"))
+            Fields(value as? Map<String, Any?> ?: throw MalformedMessageException("$what is not a map"))
     }
 }
--- a/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
@@ -60,7 +60,7 @@
                 }
             }
         }
-        if (tasks.isEmpty()) throw Malformed("field $TASKS is missing or invalid")
+        if (tasks.isEmpty()) throw MalformedMessageException("field $TASKS is missing or invalid")
         val heartbeat = WorkerCodec.heartbeat(Fields(fields), tasks(body, tasks))
         known = if (body.size <= MAX_BYTES) Known(body, heartbeat, sequence, tasks) else null
         return heartbeat
@@ -75,7 +75,7 @@
         }
         val list =
             Pack.read(body, at.first, until - at.first) { it.take(1) } as? List<*>
-                ?: throw Malformed("field $TASKS is missing or invalid")
+                ?: throw MalformedMessageException("field $TASKS is missing or invalid")
         return list.map { WorkerCodec.task(Fields.of(it, TASKS)) }
     }
 
@@ -88,11 +88,12 @@
         const val MAX_BYTES = 8192
 
         private fun MessageUnpacker.takeMapHeader(): Int {
-            if (!hasNext() || !nextFormat.valueType.isMapType) throw Malformed("body is not a map")
+            if (!hasNext() || !nextFormat.valueType.isMapType) throw MalformedMessageException("body is not a map")
             return unpackMapHeader()
         }
 
-        private fun MessageUnpacker.takeKey(): String = take(1) as? String ?: throw Malformed("a key is not text")
+        private fun MessageUnpacker.takeKey(): String =
+            take(1) as? String ?: throw MalformedMessageException("a key is not text")
 
         val MessageUnpacker.position: Int get() = totalReadBytes.toInt()
     }
--- a/src/main/kotlin/org/chalkhollow/wire/Pack.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/Pack.kt
@@ -8,7 +8,7 @@
 import org.msgpack.value.ValueType
 
 /** A message that does not keep to its protocol; [message] says where. */
-class Malformed(message: String) : Exception(message, null, false, false)
+class MalformedMessageException(message: String) : Exception(message, null, false, false)
 
 /** MessagePack bodies as plain maps, lists, text, numbers, booleans and null. */
 object Pack {
@@ -20,20 +20,20 @@
         return packer.toByteArray()
     }
 
-    /** Decodes exactly one value; anything else, or anything binary, is [Malformed]. */
+    /** Decodes exactly one value; anything else, or anything binary, is [MalformedMessageException]. */
     fun decode(bytes: ByteArray): Any? = read(bytes, 0, bytes.size) { it.take(0) }
 
-    /** Reads exactly one value from part of [bytes] by [take]; whatever is wrong with it is [Malformed]. */
+    /** Reads exactly one value from part of [bytes] by [take]; what is wrong with it is [MalformedMessageException]. */
     internal inline fun <T> read(bytes: ByteArray, from: Int, size: Int, take: (MessageUnpacker) -> T): T {
         try {
             val unpacker = MessagePack.newDefaultUnpacker(bytes, from, size)
             val value = take(unpacker)
-            if (unpacker.hasNext()) throw Malformed("trailing bytes")
+            if (unpacker.hasNext()) throw MalformedMessageException("trailing bytes")
             return value
         } catch (e: MessagePackException) {
-            throw Malformed("not MessagePack")
+            throw MalformedMessageException("not MessagePack")
         } catch (e: java.io.IOException) {
-            throw Malformed("cut short")
+            throw MalformedMessageException("cut short")
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     internal fun MessageUnpacker.take(depth: Int): Any? {
-        if (depth > MAX_DEPTH) throw Malformed("nested too deeply")
+        if (depth > MAX_DEPTH) throw MalformedMessageException("nested too deeply")
         return when (nextFormat.valueType) {
             ValueType.NIL -> {
                 unpackNil()
@@ -84,12 +84,12 @@
                 val n = unpackMapHeader()
                 val map = LinkedHashMap<String, Any?>(minOf(n, 64) * 2)
                 repeat(n) {
-                    val key = take(depth + 1) as? String ?: throw Malformed("a key is not text")
+                    val key = take(depth + 1) as? String ?: throw MalformedMessageException("a key is not text")
                     map[key] = take(depth + 1)
                 }
                 map
             }
-            else -> throw Malformed("binary data")
+            else -> throw MalformedMessageException("binary data")
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
@@ -76,7 +76,7 @@
                     "starting" -> ListedMachine.Status.STARTING
                     "running" -> ListedMachine.Status.RUNNING
                     "failed" -> ListedMachine.Status.FAILED
-                    else -> throw Malformed("field status is missing or invalid")
+                    else -> throw MalformedMessageException("field status is missing or invalid")
                 },
             ageS = f.numberOrNull("ageS") ?: 0.0,
         )
--- a/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
@@ -67,18 +67,19 @@
 
     private fun read(f: Fields, stored: Boolean): JobSpec {
         val id = f.text("nameId")
-        if (!validId(id)) throw Malformed("field nameId is missing or invalid")
-        val shape = shapes[f.text("shape")] ?: throw Malformed("field shape is missing or invalid")
+        if (!validId(id)) throw MalformedMessageException("field nameId is missing or invalid")
+        val shape = shapes[f.text("shape")] ?: throw MalformedMessageException("field shape is missing or invalid")
         val tasks = f.long("pieces")
-        if (tasks !in 1..MAX_TASKS) throw Malformed("field pieces is missing or invalid")
+        if (tasks !in 1..MAX_TASKS) throw MalformedMessageException("field pieces is missing or invalid")
         val types = if (f.has("flavours")) f.texts("flavours").onEach { short(it, "flavours") } else null
-        if (types != null && types.size > 64) throw Malformed("field flavours is missing or invalid")
+        if (types != null && types.size > 64) throw MalformedMessageException("field flavours is missing or invalid")
         return JobSpec(
             id = id,
             workload = short(f.text("workload"), "workload"),
             team = short(f.text("owner"), "owner"),
             shape = shape,
-            priority = priorities[f.text("urgency")] ?: throw Malformed("field urgency is missing or invalid"),
+            priority =
+                priorities[f.text("urgency")] ?: throw MalformedMessageException("field urgency is missing or invalid"),
             tasks = tasks.toInt(),
             taskResources = Resources(f.amount("vcpus"), f.amount("cards"), f.amount("memoryGb")),
             image = if (stored && !f.has("bundle")) null else short(f.text("bundle"), "bundle"),
@@ -126,7 +127,11 @@
         mapOf("nameId" to id, "status" to state, "done" to done, "running" to running)
 
     private fun short(text: String, name: String): String {
-        if (text.isEmpty() || text.length > MAX_NAME) throw Malformed("field $name is missing or invalid")
+        if (text.isEmpty() ||
+            text.length > MAX_NAME
+        ) {
+            throw MalformedMessageException("field $name is missing or invalid")
+        }
         return text
     }
 }
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -50,8 +50,8 @@
         val name = f.text("piece")
         val slash = name.lastIndexOf('/')
         val index = if (slash > 0) name.substring(slash + 1).toIntOrNull() ?: -1 else -1
-        if (index < 0) throw Malformed("field piece is missing or invalid")
-        val phase = phases[f.text("status")] ?: throw Malformed("field status is missing or invalid")
+        if (index < 0) throw MalformedMessageException("field piece is missing or invalid")
+        val phase = phases[f.text("status")] ?: throw MalformedMessageException("field status is missing or invalid")
         return TaskStatus(
             jobId = name.substring(0, slash),
             index = index,
