--- a/src/main/kotlin/org/chalkhollow/StatusCommand.kt
+++ b/src/main/kotlin/org/chalkhollow/StatusCommand.kt
@@ -10,13 +10,14 @@
 import kotlinx.serialization.json.Json
 import org.chalkhollow.core.operations.JobView
 import org.chalkhollow.core.operations.StatusView
+import org.chalkhollow.settings.Address
 import java.io.IOException
 import java.net.HttpURLConnection
 import java.net.URI
 import java.net.URISyntaxException
 import java.net.UnknownHostException
 
-/** Asks a running controller how things stand. */
+/** Prints the status of a running controller, or of one job. */
 class StatusCommand : CoreCliktCommand(name = "status") {
     private val address by option(
         "--address",
@@ -35,22 +36,20 @@
                 ?: throw CliktError("$address does not know ${id ?: "of this"}", statusCode = UNKNOWN)
         if (json) return echo(text)
         try {
-            if (id ==
-                null
-            ) {
+            if (id == null) {
                 show(LENIENT.decodeFromString(StatusView.serializer(), text))
             } else {
                 show(LENIENT.decodeFromString(JobView.serializer(), text))
             }
         } catch (e: SerializationException) {
-            throw CliktError("$address is no controller of this version", statusCode = UNREACHABLE)
+            throw CliktError("$address is no controller of this version", e, statusCode = UNREACHABLE)
         }
     }
 
+    /** The body at [path]; null when the controller knows of no such thing. */
     private fun fetch(path: String): String? {
+        val uri = uri(path)
         try {
-            val uri = URI("http://$address$path")
-            if (uri.host == null || uri.port !in PORTS) throw notAnAddress()
             val connection = uri.toURL().openConnection() as HttpURLConnection
             connection.connectTimeout = TIMEOUT_MS
             connection.readTimeout = TIMEOUT_MS
@@ -60,52 +59,82 @@
             throw CliktError("$address cannot be reached: no such host", e, statusCode = UNREACHABLE)
         } catch (e: IOException) {
             throw CliktError("$address cannot be reached: ${e.message}", e, statusCode = UNREACHABLE)
-        } catch (e: URISyntaxException) {
-            throw notAnAddress(e)
         }
     }
 
+    private fun uri(path: String): URI {
+        val uri =
+            try {
+                URI("http://$address$path")
+            } catch (e: URISyntaxException) {
+                throw notAnAddress(e)
+            }
+        if (uri.host == null || uri.port !in Address.PORTS) throw notAnAddress()
+        return uri
+    }
+
     private fun notAnAddress(cause: Exception? = null) =
         CliktError("$address is not host:port", cause, statusCode = UNREACHABLE)
 
-    private fun show(s: StatusView) {
-        val role = if (s.leads) "leads" else "follows ${s.leader ?: "nobody it has heard of lately"}"
-        echo("${s.label}: $role, generation ${s.fencingToken}")
-        if (s.controllers.isNotEmpty()) {
-            echo("versions: " + s.controllers.joinToString { "${it.label} ${it.version ?: "not known"}" })
-        }
-        if (!s.allNew) {
-            val newest = s.controllers.maxOfOrNull { it.version ?: 0 } ?: 0
-            val waits = s.controllers.filter { (it.version ?: -1) < newest }.map { it.label }
-            if (waits.isNotEmpty()) echo("an upgrade to $newest waits for: ${waits.joinToString()}")
+    private fun show(status: StatusView) {
+        val role = if (status.leads) "leads" else "follows ${status.leader ?: "nobody it has heard of lately"}"
+        echo("${status.label}: $role, generation ${status.fencingToken}")
+        showVersions(status)
+        if (!status.leads) return
+        if (!status.ready) return echo("still rebuilding its view")
+        showJobs(status)
+        showTeams(status)
+        showMachines(status)
+    }
+
+    private fun showVersions(status: StatusView) {
+        val controllers = status.controllers
+        if (controllers.isNotEmpty()) {
+            echo("versions: " + controllers.joinToString { "${it.label} ${it.version ?: "not known"}" })
         }
-        if (!s.leads) return
-        if (!s.ready) return echo("still rebuilding its view")
-        echo("jobs: ${s.jobsOpen} open of ${s.jobsKnown} known")
-        for (c in s.classes) {
-            val tasks = "${c.tasksLive} tasks on machines, ${c.tasksReady} waiting"
-            echo("  ${c.name}: ${c.jobs} open, $tasks, oldest ${c.oldestS} s")
+        if (status.allNew) return
+        val newest = controllers.maxOfOrNull { it.version ?: 0 } ?: 0
+        val old = controllers.filter { (it.version ?: -1) < newest }.map { it.label }
+        if (old.isNotEmpty()) echo("an upgrade to $newest waits for: ${old.joinToString()}")
+    }
+
+    private fun showJobs(status: StatusView) {
+        echo("jobs: ${status.jobsOpen} open of ${status.jobsKnown} known")
+        for (group in status.classes) {
+            val tasks = "${group.tasksLive} tasks on machines, ${group.tasksReady} waiting"
+            echo("  ${group.name}: ${group.jobs} open, $tasks, oldest ${group.oldestS} s")
         }
-        for (v in s.services) {
-            echo("  ${v.name}: ${v.services} services, ${v.up} of ${v.wanted} replicas up")
-            for (reason in v.down) echo("    $reason")
+        for (group in status.services) {
+            echo("  ${group.name}: ${group.services} services, ${group.up} of ${group.wanted} replicas up")
+            for (reason in group.down) echo("    $reason")
         }
+    }
+
+    private fun showTeams(status: StatusView) {
         echo("teams (CPUs in use / guaranteed / at most):")
-        for (t in s.teams) echo("  ${t.name}: ${t.cpus} / ${t.guaranteed} / ${t.most}")
+        for (team in status.teams) echo("  ${team.name}: ${team.cpus} / ${team.guaranteed} / ${team.most}")
+    }
+
+    private fun showMachines(status: StatusView) {
         echo("machines:")
-        for (m in s.machines) echo("  ${m.count} ${m.type} in ${m.zone}${if (m.spot) ", spot" else ""}: ${m.state}")
+        for (group in status.machines) {
+            val spot = if (group.spot) ", spot" else ""
+            echo("  ${group.count} ${group.type} in ${group.zone}$spot: ${group.state}")
+        }
     }
 
-    private fun show(j: JobView) {
-        echo("${j.id}: ${j.state}, ${j.done} of ${j.tasks} tasks done, ${j.running} running, ${j.live} on machines")
-        for (reason in j.waitsFor) echo("  waits: $reason")
+    private fun show(job: JobView) {
+        val tasks = "${job.done} of ${job.tasks} tasks done, ${job.running} running, ${job.live} on machines"
+        echo("${job.id}: ${job.state}, $tasks")
+        for (reason in job.waitsFor) echo("  waits: $reason")
     }
 
     private companion object {
-        /** A controller of a newer version may tell more. */
+        /** A controller of a newer version may send more. */
         val LENIENT = Json { ignoreUnknownKeys = true }
         const val TIMEOUT_MS = 3000
-        val PORTS = 1..65_535
+
+        // Exit codes.
         const val UNREACHABLE = 1
         const val UNKNOWN = 3
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
@@ -5,6 +5,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
+import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.peer.Frames
 import org.chalkhollow.peer.PeerMessage
 import org.chalkhollow.settings.OperatorSettings
@@ -15,20 +16,25 @@
 import java.net.ServerSocket
 
 /**
- * Goes once through what a controller needs early in its life, on loopback and with made-up replies, so that the class
- * data archive that the build makes of this run holds it. Starting costs processor time, and a start is an outage to
- * users.
+ * The training run of the class data archive: goes once through what a controller needs early, on loopback and with
+ * made-up replies, so that the archive that the build makes of this run holds those classes. Starting costs processor
+ * time, and a start is an outage to users.
  */
 object ArchiveTrainingRun {
-    private const val ROUNDS = 100
+    private const val STEPS = 100
+    private const val MAX_BODY = 64 * 1024
+    private const val BODY_BYTES = 8
+    private const val TIMEOUT_MS = 1000L
+    private const val RUN_MS = 800L
 
+    /** Runs and ends the process. */
     fun run() {
         val ports = List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
         val settings = PlatformSettingsParser.parse(settings(ports[0], ports[1]), "warm-up")
         runBlocking {
             val warmUp = WarmUpSimulation(settings)
-            repeat(ROUNDS) { warmUp.step() }
-            node(settings, ports[0])
+            repeat(STEPS) { warmUp.step() }
+            runNode(settings)
         }
         System.err.println("warm-up done")
         Runtime.getRuntime().exit(0)
@@ -36,32 +42,37 @@
 
     private val task = WarmUpMessages.task("j-000009/1", 1)
 
-    /** A node on loopback that talks to itself for a moment. */
-    private suspend fun node(settings: PlatformSettings, port: Int) {
+    /** Runs a node on loopback that sends requests to itself for a moment. */
+    private suspend fun runNode(settings: PlatformSettings) {
         val loop = EventLoop()
         val scope = CoroutineScope(SupervisorJob() + loop)
         Thread(loop::run).apply { isDaemon = true }.start()
         withContext(loop) {
             ControllerNode(scope, loop, settings, OperatorSettings(), 1, System.nanoTime()).start()
-            val link = HttpClient(loop, settings.clientListen, 1 shl 16, 1, TaskPriority.CONTROL)
-            link.request("GET", "/up", null, 1000) {}
-            link.request("POST", "/work", Pack.encode(WarmUpMessages.job("j-000001", "t")), 1000) {}
-            link.request("GET", "/work/j-1", null, 1000) {}
-            link.request("POST", "/agent/beat", Pack.encode(WarmUpMessages.heartbeat(1, 1, listOf(task))), 1000) {}
-            for (m in messages()) Frames.decode(Frames.encode(m))
-            delay(800)
+            val client = HttpClient(loop, settings.clientListen, MAX_BODY, 1, TaskPriority.CONTROL)
+            client.request("GET", "/up", null, TIMEOUT_MS) {}
+            client.request("POST", "/work", Pack.encode(WarmUpMessages.job("j-000001", "t")), TIMEOUT_MS) {}
+            client.request("GET", "/work/j-1", null, TIMEOUT_MS) {}
+            client.request(
+                "POST",
+                "/agent/beat",
+                Pack.encode(WarmUpMessages.heartbeat(1, 1, listOf(task))),
+                TIMEOUT_MS,
+            ) {}
+            for (message in peerMessages()) Frames.decode(Frames.encode(message))
+            delay(RUN_MS)
         }
     }
 
-    private fun messages(): List<PeerMessage> =
+    private fun peerMessages(): List<PeerMessage> =
         listOf(
             PeerMessage.Hello("a", 1, PeerMessage.VERSION),
             PeerMessage.FollowerLeaseRequest(1, 1, true),
             PeerMessage.FollowerLeaseResponse(1, 1, true, true),
             PeerMessage.VoteRequest(1, 1, 1),
             PeerMessage.VoteResponse(1, 1, true),
-            PeerMessage.ForwardedRequest(1, 1, "j-1", ByteArray(8)),
-            PeerMessage.ForwardedResponse(1, 200, ByteArray(8), 0),
+            PeerMessage.ForwardedRequest(1, 1, "j-1", ByteArray(BODY_BYTES)),
+            PeerMessage.ForwardedResponse(1, HttpStatus.OK, ByteArray(BODY_BYTES), 0),
         )
 
     private fun settings(users: Int, peers: Int): String =
--- a/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -2,202 +2,145 @@
 
 import com.google.common.util.concurrent.RateLimiter
 import io.ktor.network.selector.SelectorManager
+import io.ktor.network.sockets.ServerSocket
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Dispatchers
-import kotlinx.coroutines.DisposableHandle
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.chalkhollow.core.Controller
-import org.chalkhollow.core.common.CloudReply
-import org.chalkhollow.core.common.CommandReply
-import org.chalkhollow.core.common.Effect
 import org.chalkhollow.core.common.Input
-import org.chalkhollow.core.common.Now
-import org.chalkhollow.core.common.StateReply
 import org.chalkhollow.peer.PeerConnections
 import org.chalkhollow.peer.PeerMessage
-import org.chalkhollow.settings.Address
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.PlatformSettings
 import org.slf4j.LoggerFactory
 
 /**
- * Runs one controller: feeds it inputs, one at a time on one thread, and carries out its effects. Decides nothing.
- * [scope] must run on [loop]. [begunAt] is when this process began, in nanoseconds by the steady clock: an earlier life
- * of this controller had ended by then, which may be a while before this is made on a slow machine.
+ * One controller with all that it talks to: makes the parts, ties them together and starts them. Decides nothing.
+ * Everything runs on the thread of [loop], and [scope] must run there too. [begunAtNs] is when this process began, by
+ * the steady clock in nanoseconds: an earlier incarnation of this controller had ended by then, which may be a while
+ * before this is made on a slow machine.
  */
 class ControllerNode(
     private val scope: CoroutineScope,
     private val loop: EventLoop,
     private val settings: PlatformSettings,
-    options: OperatorSettings,
+    operatorSettings: OperatorSettings,
     incarnation: Long,
-    begunAt: Long,
+    begunAtNs: Long,
 ) {
     private val log = LoggerFactory.getLogger("chalkhollow")
-    private val selector = SelectorManager(Dispatchers.IO)
-    private val controller = Controller(settings, options, incarnation, now(), begunAt / 1_000_000)
     private val metrics = Metrics()
+    private val controller =
+        Controller(settings, operatorSettings, incarnation, SteadyClock.now(), begunAtNs / SteadyClock.NANOS_PER_MS)
 
     /** Bounds how often malformed messages are logged; the metrics count them all. */
-    @Suppress("UnstableApiUsage")
-    private val complaints = RateLimiter.create(COMPLAINTS_PER_S)
-    private val replies =
+    @Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
+    private val malformedLogLimiter = RateLimiter.create(MAX_MALFORMED_LOGS_PER_S)
+    private val decoder =
         ResponseDecoder { e ->
             metrics.malformedReply()
-            if (complaints.tryAcquire()) log.warn("a reply is malformed and counts as none: {}", e.message)
+            if (malformedLogLimiter.tryAcquire()) log.warn("malformed response, taken for none: {}", e.message)
         }
-    private val stateLink = HttpClient(loop, settings.state, STATE_BODY, 4, TaskPriority.CONTROL)
-    private val state = StateServiceClient(stateLink, settings.stateLimits.rps * 0.5, replies)
-    private val cloud = CloudClient(HttpClient(loop, settings.cloud, STATE_BODY, 2, TaskPriority.WORKER), replies)
-    private val spareSockets = minOf(SPARE_SOCKETS, settings.maxConnections / 4)
-    private val workerLinks: WorkerHttpClients =
+    private val spareSockets = minOf(MAX_SPARE_SOCKETS, settings.maxConnections / SPARE_SOCKETS_DIVISOR)
+    private val workerClients: WorkerHttpClients =
         WorkerHttpClients(loop, settings.maxConnections - spareSockets) { server.connected }
-    private val workers = WorkerClient(workerLinks, replies)
     private val peerConnections =
         PeerConnections(
             scope,
-            selector,
+            SelectorManager(Dispatchers.IO),
             settings.peerAddress,
             settings.peers,
             PeerMessage.Hello(settings.label, incarnation, PeerMessage.VERSION),
             DroppedFrameLogger(log, metrics),
-        ) { from, message -> feed(Input.Peer(from, message)) }
-    private val calls = PendingRequests()
-    private val clients = RouterContext(controller, calls, metrics, log, complaints, ::now, ::feed)
+        ) { from, message -> executor.step(Input.Peer(from, message)) }
+    private val pendingRequests = PendingRequests()
+    private val executor: EffectExecutor =
+        EffectExecutor(loop, controller, metrics, log, pendingRequests, outboundClients(), peerConnections)
+    private val router =
+        RouterContext(controller, pendingRequests, metrics, log, malformedLogLimiter) { executor.step(it) }
     private val server: HttpServer =
         HttpServer(
             loop,
             settings.clientListen,
-            maxOf(MIN_CONNECTIONS, settings.maxConnections * 8 / 10 - spareSockets),
-            { steady() },
+            maxOf(MIN_CONNECTIONS, settings.maxConnections * CLIENT_PERCENT / PERCENT - spareSockets),
+            { SteadyClock.ms() },
             object : HttpServer.Events {
-                override fun beforeAccept() = workerLinks.makeRoom(1)
+                override fun beforeAccept() = workerClients.makeRoom(1)
 
-                override fun newHandler() = RequestRouter(clients)
+                override fun newHandler() = RequestRouter(router)
 
                 override fun onShed(priority: TaskPriority) = metrics.shed(priority)
             },
         )
-    private var timer: DisposableHandle? = null
 
-    /** Binds the ports and starts; throws when one of them is taken. */
+    private fun outboundClients(): OutboundClients {
+        val stateHttp =
+            HttpClient(loop, settings.state, MAX_SERVICE_BODY, MAX_IDLE_TO_STATE_SERVICE, TaskPriority.CONTROL)
+        val cloudHttp = HttpClient(loop, settings.cloud, MAX_SERVICE_BODY, MAX_IDLE_TO_CLOUD, TaskPriority.WORKER)
+        return OutboundClients(
+            StateServiceClient(stateHttp, settings.stateLimits.rps * STATE_BUDGET_SHARE, decoder),
+            CloudClient(cloudHttp, decoder),
+            WorkerClient(workerClients, decoder),
+        )
+    }
+
+    /** Binds the ports and starts; throws [CannotListenException] when a port cannot be bound. */
     suspend fun start() {
-        val peerSocket =
-            try {
-                peerConnections.bind()
-            } catch (e: Exception) {
-                throw java.io.IOException("cannot listen on ${settings.peerAddress}: ${e.message}")
-            }
-        try {
-            server.start()
-        } catch (e: Exception) {
-            throw java.io.IOException("cannot listen on ${settings.clientListen}: ${e.message}")
-        }
+        val peerSocket = bindPeers()
+        bindClients()
         peerConnections.run(peerSocket)
         log.info("{} listens on {}", settings.label, settings.clientListen)
-        feed(Input.Tick)
+        executor.step(Input.Tick)
         scope.launch(TaskPriorityElement(TaskPriority.IDLE)) { warmUpIdle() }
     }
 
-    /** Goes through a take-over in memory while this controller follows a leader and has nothing else to do. */
+    private suspend fun bindPeers(): ServerSocket =
+        try {
+            peerConnections.bind()
+        } catch (expected: Exception) {
+            throw CannotListenException(settings.peerAddress, expected) // an address may also not resolve
+        }
+
+    private fun bindClients() =
+        try {
+            server.start()
+        } catch (expected: Exception) {
+            throw CannotListenException(settings.clientListen, expected) // an address may also not resolve
+        }
+
+    /** Goes through a failover in memory while this controller follows a leader and has nothing else to do. */
     private suspend fun warmUpIdle() {
         val warmUp = WarmUpSimulation(settings)
         var steps = 0
         delay(WARM_UP_AFTER_MS)
         while (steps < WARM_UP_STEPS) {
             delay(WARM_UP_EVERY_MS)
-            if (controller.view.leading || !controller.takesRequests(now())) continue
+            if (controller.view.leading || !controller.takesRequests(SteadyClock.now())) continue
             warmUp.step()
             steps++
         }
     }
 
-    private fun feed(input: Input) {
-        val at = now()
-        val effects =
-            try {
-                controller.step(at, input)
-            } catch (e: Exception) {
-                // Its view may be half changed. Ending is safe, since another takes over and fences it; going on is
-                // not.
-                log.error("a fault in the controller, which ends", e)
-                Runtime.getRuntime().halt(FAULT)
-                return
-            }
-        carryingOut = true
-        for (effect in effects) {
-            // A process can stand still between deciding and doing, and somebody else may act by the time it goes on.
-            if (steady() - at.steady < LATE_MS) {
-                carryOut(effect)
-            } else {
-                controller.whenLate(now(), effect)?.let(::carryOut)
-            }
-        }
-        carryingOut = false
-    }
-
-    private fun carryOut(effect: Effect) {
-        when (effect) {
-            is Effect.Response -> calls.answer(effect.call, HttpReply(effect.status, effect.body, effect.retryAfterS))
-            is Effect.State -> {
-                val done = timed<StateReply>("state") { Input.State(effect.ticket, it) }
-                state.run(effect.op, done)
-            }
-            is Effect.Cloud -> {
-                val done = timed<CloudReply>("cloud") { Input.Cloud(effect.ticket, it) }
-                cloud.run(effect.op, done)
-            }
-            is Effect.WorkerCommand -> {
-                val done = timed<CommandReply>("direct") { Input.WorkerReply(effect.ticket, it) }
-                workers.run(effect, done)
-            }
-            is Effect.Timing -> metrics.took(effect.kind, effect.ms * 1000)
-            is Effect.Send -> peerConnections.send(effect.peer, effect.message)
-            is Effect.Timer -> {
-                timer?.dispose()
-                timer = loop.after(effect.at - steady()) { feed(Input.Tick) }
-            }
-            is Effect.LogEvent -> note(effect)
-        }
-    }
-
-    /** Feeds what is made of a reply, and notes how long it took from now on. */
-    private fun <R> timed(kind: String, input: (R) -> Input): (R) -> Unit {
-        val from = System.nanoTime()
-        return { reply ->
-            metrics.took(kind, (System.nanoTime() - from) / NANOS_PER_MICRO)
-            // What is refused before it is sent is told while the effects of a step are being carried out.
-            if (carryingOut) loop.submit(TaskPriority.CONTROL) { feed(input(reply)) } else feed(input(reply))
-        }
-    }
-
-    private var carryingOut = false
-
-    private fun note(n: Effect.LogEvent) =
-        when (n.level) {
-            Effect.Level.ERROR -> log.error(n.text)
-            Effect.Level.WARN -> log.warn(n.text)
-            Effect.Level.INFO -> log.info(n.text)
-            Effect.Level.DEBUG -> log.debug(n.text)
-        }
-
     private companion object {
-        const val STATE_BODY = 2 * 1024 * 1024
+        const val MAX_SERVICE_BODY = 2 * 1024 * 1024
+        const val MAX_IDLE_TO_STATE_SERVICE = 4
+        const val MAX_IDLE_TO_CLOUD = 2
+
+        /** Of the requests that the state service takes, those that one controller may spend. */
+        const val STATE_BUDGET_SHARE = 0.5
 
         /** Sockets for the services, the other controllers, listening, and connections about to close. */
-        const val SPARE_SOCKETS = 40
+        const val MAX_SPARE_SOCKETS = 40
+        const val SPARE_SOCKETS_DIVISOR = 4
+
+        /** Of all sockets, those that clients may hold; the rest is for direct commands. */
+        const val CLIENT_PERCENT = 80
+        const val PERCENT = 100
         const val MIN_CONNECTIONS = 8
-        const val LATE_MS = 100L
+        const val MAX_MALFORMED_LOGS_PER_S = 0.2
         const val WARM_UP_AFTER_MS = 4000L
         const val WARM_UP_EVERY_MS = 100L
         const val WARM_UP_STEPS = 350
-        const val FAULT = 70
-        const val NANOS_PER_MICRO = 1000
-        const val COMPLAINTS_PER_S = 0.2
-
-        fun steady(): Long = System.nanoTime() / 1_000_000
-
-        fun now(): Now = Now(steady(), System.currentTimeMillis())
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
@@ -0,0 +1,103 @@
+package org.chalkhollow.runtime
+
+import kotlinx.coroutines.DisposableHandle
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.common.CloudReply
+import org.chalkhollow.core.common.CommandReply
+import org.chalkhollow.core.common.Effect
+import org.chalkhollow.core.common.Input
+import org.chalkhollow.core.common.StateReply
+import org.chalkhollow.peer.PeerConnections
+import org.slf4j.Logger
+
+/** The clients of the services and of workers. */
+internal class OutboundClients(val state: StateServiceClient, val cloud: CloudClient, val workers: WorkerClient)
+
+/** Feeds inputs to [controller], one at a time on the thread of [loop], and executes the effects of each. */
+internal class EffectExecutor(
+    private val loop: EventLoop,
+    private val controller: Controller,
+    private val metrics: Metrics,
+    private val log: Logger,
+    private val pendingRequests: PendingRequests,
+    private val clients: OutboundClients,
+    private val peers: PeerConnections,
+) {
+    private var tickTimer: DisposableHandle? = null
+
+    /** Whether the effects of a step are being executed, during which no other step may begin. */
+    private var executing = false
+
+    /** Steps [controller] with [input]; ends the process when that fails. */
+    @Suppress("TooGenericExceptionCaught") // any fault leaves the view of the controller half changed
+    fun step(input: Input) {
+        val decidedAt = SteadyClock.now()
+        val effects =
+            try {
+                controller.step(decidedAt, input)
+            } catch (e: Exception) {
+                // Its view may be half changed. Ending is safe, since another takes over and fences it; going on is
+                // not.
+                log.error("internal error in the controller; the process ends", e)
+                Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR)
+                return
+            }
+        executing = true
+        for (effect in effects) {
+            // A process can be paused between deciding and executing, and another may lead by the time it goes on.
+            if (SteadyClock.ms() - decidedAt.steady < LATE_MS) {
+                execute(effect)
+            } else {
+                controller.whenLate(SteadyClock.now(), effect)?.let(::execute)
+            }
+        }
+        executing = false
+    }
+
+    private fun execute(effect: Effect) {
+        when (effect) {
+            is Effect.Response ->
+                pendingRequests.answer(effect.call, HttpReply(effect.status, effect.body, effect.retryAfterS))
+            is Effect.State ->
+                clients.state.run(effect.op, timed<StateReply>("state") { Input.State(effect.ticket, it) })
+            is Effect.Cloud ->
+                clients.cloud.run(effect.op, timed<CloudReply>("cloud") { Input.Cloud(effect.ticket, it) })
+            is Effect.WorkerCommand ->
+                clients.workers.run(effect, timed<CommandReply>("direct") { Input.WorkerReply(effect.ticket, it) })
+            is Effect.Timing -> metrics.took(effect.kind, effect.ms * MICROS_PER_MS)
+            is Effect.Send -> peers.send(effect.peer, effect.message)
+            is Effect.Timer -> setTimer(effect)
+            is Effect.LogEvent -> write(effect)
+        }
+    }
+
+    private fun setTimer(effect: Effect.Timer) {
+        tickTimer?.dispose()
+        tickTimer = loop.after(effect.at - SteadyClock.ms()) { step(Input.Tick) }
+    }
+
+    /** Takes a reply, steps the controller with its [input], and records how long the reply took from now on. */
+    private fun <R> timed(kind: String, input: (R) -> Input): (R) -> Unit {
+        val sentAtNs = System.nanoTime()
+        return { reply ->
+            metrics.took(kind, SteadyClock.microsSince(sentAtNs))
+            // A request that is refused before it is sent is answered while the effects of a step are executed.
+            if (executing) loop.submit(TaskPriority.CONTROL) { step(input(reply)) } else step(input(reply))
+        }
+    }
+
+    private fun write(event: Effect.LogEvent) =
+        when (event.level) {
+            Effect.Level.ERROR -> log.error(event.text)
+            Effect.Level.WARN -> log.warn(event.text)
+            Effect.Level.INFO -> log.info(event.text)
+            Effect.Level.DEBUG -> log.debug(event.text)
+        }
+
+    private companion object {
+        /** An effect that is executed this long after it was decided is checked again. */
+        const val LATE_MS = 100L
+        const val EXIT_INTERNAL_ERROR = 70
+        const val MICROS_PER_MS = 1000L
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -25,15 +25,15 @@
 class EventLoop :
     CoroutineDispatcher(),
     Delay {
-    /** What a channel's key calls when the channel is ready. */
-    interface Ready {
+    /** Hears that a channel is ready. */
+    interface ReadyListener {
         /** Whether leadership depends on this channel, so that it goes before all others. */
         val isControl: Boolean get() = false
 
         fun onReady(key: SelectionKey)
     }
 
-    private class Channel(val ready: Ready) {
+    private class Registration(val listener: ReadyListener) {
         /** Whether its key waits in [readyKeys]. */
         var queued = false
     }
@@ -41,41 +41,37 @@
     private class Timer(val at: Long, private val order: Long, val run: Runnable) : Comparable<Timer> {
         var cancelled = false
 
-        override fun compareTo(other: Timer): Int =
-            if (at !=
-                other.at
-            ) {
-                at.compareTo(other.at)
-            } else {
-                order.compareTo(other.order)
-            }
+        override fun compareTo(other: Timer): Int {
+            val byTime = at.compareTo(other.at)
+            return if (byTime != 0) byTime else order.compareTo(other.order)
+        }
     }
 
     private val selector = Selector.open()
     private val queues = PriorityTaskQueue()
 
-    /** Channels that are ready and wait for their turn. */
+    /** Channels that are ready and were not served yet, longest waiting first. */
     private val readyKeys = ArrayDeque<SelectionKey>()
 
     /**
-     * What other threads hand over: that is what other controllers say. It goes before all else, since an election must
-     * not wait behind hundreds of workers that ask for the leader.
+     * Tasks from other threads, which are messages of other controllers. They go before all else, since an election
+     * must not wait behind hundreds of workers that look for the leader.
      */
-    private val foreign = ConcurrentLinkedQueue<Runnable>()
+    private val fromOtherThreads = ConcurrentLinkedQueue<Runnable>()
     private val timers = PriorityQueue<Timer>()
     private var timersMade = 0L
     private var thread: Thread? = null
 
-    /** When the pass under way has taken long enough for the state service to be looked at again. */
+    /** When the current pass ends, so that the state service is looked at again; in nanoseconds. */
     private var passEndsAt = 0L
 
     /** Scratch space for reads; only this thread's. */
-    val scratch: ByteBuffer = ByteBuffer.allocate(SCRATCH)
+    val scratch: ByteBuffer = ByteBuffer.allocate(SCRATCH_BYTES)
 
     /** Registers [channel]; must be called on the loop's thread. */
-    fun register(channel: SelectableChannel, interest: Int, ready: Ready): SelectionKey {
+    fun register(channel: SelectableChannel, interest: Int, listener: ReadyListener): SelectionKey {
         channel.configureBlocking(false)
-        return channel.register(selector, interest, Channel(ready))
+        return channel.register(selector, interest, Registration(listener))
     }
 
     /** Queues [task] at [priority]; must be called on the loop's thread. */
@@ -85,7 +81,7 @@
         if (Thread.currentThread() === thread) {
             queues.add(context[TaskPriorityElement]?.level ?: TaskPriority.CONTROL, block)
         } else {
-            foreign.add(block)
+            fromOtherThreads.add(block)
             selector.wakeup()
         }
     }
@@ -109,7 +105,7 @@
     }
 
     private fun timer(delayMs: Long, run: Runnable) =
-        Timer(System.nanoTime() + delayMs.coerceIn(0, MAX_DELAY_MS) * NANOS_PER_MS, timersMade++, run)
+        Timer(System.nanoTime() + delayMs.coerceIn(0, MAX_DELAY_MS) * SteadyClock.NANOS_PER_MS, timersMade++, run)
 
     override fun invokeOnTimeout(timeMillis: Long, block: Runnable, context: CoroutineContext): DisposableHandle {
         val timer = timer(timeMillis, block)
@@ -125,7 +121,7 @@
     fun run() {
         thread = Thread.currentThread()
         while (true) {
-            passEndsAt = System.nanoTime() + MAX_PASS_MS * NANOS_PER_MS
+            passEndsAt = System.nanoTime() + MAX_PASS_MS * SteadyClock.NANOS_PER_MS
             runTimers()
             runQueued()
             val busy = queues.holdsIdle || isWorkWaiting()
@@ -136,34 +132,33 @@
         }
     }
 
-    private fun isWorkWaiting(): Boolean = !queues.isEmpty() || !foreign.isEmpty() || readyKeys.isNotEmpty()
+    private fun isWorkWaiting(): Boolean = !queues.isEmpty() || !fromOtherThreads.isEmpty() || readyKeys.isNotEmpty()
 
     /**
      * Serves channels that are ready: those that leadership depends on at once, the others in the order in which they
-     * became ready and up to a bound, so that hundreds of reports cannot hold a renewal of the lead back.
+     * became ready and up to a bound, so that hundreds of heartbeats cannot delay a renewal of the leader lease.
      */
     private fun serveReady() {
         for (key in selector.selectedKeys()) {
-            val channel = key.attachment() as Channel
-            if (channel.ready.isControl) {
+            val registration = key.attachment() as Registration
+            if (registration.listener.isControl) {
                 serve(key)
-            } else if (!channel.queued) {
-                channel.queued = true
+            } else if (!registration.queued) {
+                registration.queued = true
                 readyKeys.addLast(key)
             }
         }
         selector.selectedKeys().clear()
-        var left = READY_AT_ONCE
-        while (left-- > 0) {
+        repeat(MAX_READY_AT_ONCE) {
             val key = readyKeys.removeFirstOrNull() ?: return
-            (key.attachment() as Channel).queued = false
+            (key.attachment() as Registration).queued = false
             serve(key)
             if (passIsLong()) return
         }
     }
 
     private fun serve(key: SelectionKey) {
-        if (key.isValid) (key.attachment() as Channel).ready.onReady(key)
+        if (key.isValid) (key.attachment() as Registration).listener.onReady(key)
     }
 
     private fun runTimers() {
@@ -176,13 +171,12 @@
     }
 
     /**
-     * Runs what is queued, most important first and up to a bound, so that sockets get their turn. Timers, which
-     * renewals of the lead hang on, and other controllers' messages go between any two tasks.
+     * Runs what is queued, most important first and up to a bound, so that sockets are served too. Timers, on which
+     * renewals of the leader lease depend, and other controllers' messages go between any two tasks.
      */
     private fun runQueued() {
-        var left = MAX_AT_ONCE
-        while (left-- > 0) {
-            (foreign.poll() ?: queues.take() ?: return).run()
+        repeat(MAX_TASKS_AT_ONCE) {
+            (fromOtherThreads.poll() ?: queues.take() ?: return).run()
             if (timerIsDue()) runTimers()
             if (passIsLong()) return
         }
@@ -198,25 +192,28 @@
     private fun waitMs(): Long {
         while (timers.peek()?.cancelled == true) timers.poll()
         val next = timers.peek() ?: return IDLE_MS
-        return ((next.at - System.nanoTime() + NANOS_PER_MS - 1) / NANOS_PER_MS).coerceIn(0, IDLE_MS)
+        return ((next.at - System.nanoTime() + SteadyClock.NANOS_PER_MS - 1) / SteadyClock.NANOS_PER_MS).coerceIn(
+            0,
+            IDLE_MS,
+        )
     }
 
     private companion object {
-        const val SCRATCH = 64 * 1024
-
-        const val MAX_AT_ONCE = 16
+        const val SCRATCH_BYTES = 64 * 1024
+        const val MAX_TASKS_AT_ONCE = 16
 
         /**
-         * Whatever is counted, a pass ends when it has taken this long. A take-over is a dozen messages one after the
-         * other; on a few hundredths of a core, with code that runs for the first time and all workers at the door,
-         * passes bounded by counts alone took half a second each and a take-over ten seconds.
+         * Whatever is counted, a pass ends when it has taken this long. A failover is a dozen messages one after the
+         * other; on a few hundredths of a core, with code that runs for the first time and all workers connecting,
+         * passes bounded by counts alone took half a second each and a failover ten seconds.
          */
         const val MAX_PASS_MS = 25L
 
         /** Channels that are read from in one pass; what they bring is queued by priority. */
-        const val READY_AT_ONCE = 16
+        const val MAX_READY_AT_ONCE = 16
+
+        /** The longest wait without anything to do. */
         const val IDLE_MS = 10_000L
-        const val NANOS_PER_MS = 1_000_000L
         const val MAX_DELAY_MS = 1L shl 40
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
@@ -10,13 +10,15 @@
     /** It certainly never left this process. */
     data object NotSent : HttpResult
 
+    /** It may or may not have been executed: nothing came back, or nothing that is HTTP. */
     data object NoResponse : HttpResult
 }
 
 /**
- * Requests to one address over a few persistent connections, one request at a time on each. What is made of their
- * results waits for its turn at [priority]. Links at [TaskPriority.CONTROL], on which leadership depends, are also read
- * before all others. It costs no coroutine, for the same reason as [HttpServerConnection].
+ * Requests to one address over persistent connections, one request at a time on each, of which up to [maxIdle] are
+ * kept. A response has a body of at most [maxBody] bytes. Results are handed over as tasks of [priority]. Clients at
+ * [TaskPriority.CONTROL], on which leadership depends, are also read before all others. It costs no coroutine, for the
+ * same reason as [HttpServerConnection].
  */
 class HttpClient(
     private val loop: EventLoop,
@@ -28,23 +30,27 @@
     private val idle = ArrayDeque<ClientConnection>()
     private val host = address.toString()
     private var closed = false
+    private val mayKeep: Boolean get() = !closed && idle.size < maxIdle
 
     /** Sends a request; [onResult] is called once, on the loop's thread, after [timeoutMs] at the latest. */
     fun request(method: String, path: String, body: ByteArray?, timeoutMs: Long, onResult: (HttpResult) -> Unit) {
         val exchange = Exchange(HttpWriter.request(method, host, path, body), timeoutMs, onResult)
         val connection = idleConnection()
         if (connection != null) return connection.begin(exchange)
-        TcpConnection.connect(loop, address, priority == TaskPriority.CONTROL, minOf(timeoutMs, CONNECT_MS)) { socket ->
+        val connectTimeoutMs = minOf(timeoutMs, CONNECT_TIMEOUT_MS)
+        TcpConnection.connect(loop, address, priority == TaskPriority.CONTROL, connectTimeoutMs) { socket ->
             if (socket == null) finish(exchange, HttpResult.NotSent) else ClientConnection(socket).begin(exchange)
         }
     }
 
-    private class Exchange(val request: ByteArray, val timeoutMs: Long, val onResult: (HttpResult) -> Unit)
+    /** Closes the idle connections, and each other as soon as its request has ended. */
+    fun close() {
+        closed = true
+        while (true) (idle.removeLastOrNull() ?: return).close()
+    }
 
     private fun finish(exchange: Exchange, result: HttpResult) = loop.submit(priority) { exchange.onResult(result) }
 
-    private val mayKeep: Boolean get() = !closed && idle.size < maxIdle
-
     private fun idleConnection(): ClientConnection? {
         while (true) {
             val connection = idle.removeLastOrNull() ?: return null
@@ -53,17 +59,14 @@
         }
     }
 
-    fun close() {
-        closed = true
-        while (true) (idle.removeLastOrNull() ?: return).close()
-    }
+    private class Exchange(val request: ByteArray, val timeoutMs: Long, val onResult: (HttpResult) -> Unit)
 
     private inner class ClientConnection(private val socket: TcpConnection) : TcpConnection.Receiver {
         private val messages = MessageAssembler(responseHeads, maxBody)
         private var current: Exchange? = null
         private var timeout: DisposableHandle? = null
 
-        /** Not when the peer has closed, or sent something that nobody asked for. */
+        /** False when the peer has closed, or has sent something that no request asked for. */
         val usable: Boolean get() = !socket.ended && messages.size == 0
 
         init {
@@ -84,7 +87,8 @@
                 val message = messages.next() ?: return
                 end(HttpResult.Answered(message.head.status, message.body), keep = !message.head.framing.closes)
             } catch (expected: Exception) {
-                end(HttpResult.NoResponse, keep = false) // no HTTP, or too much of it
+                // No HTTP, or too much of it. Not only IOException: the parser has exceptions of its own.
+                end(HttpResult.NoResponse, keep = false)
             }
         }
 
@@ -103,9 +107,9 @@
     }
 
     private companion object {
-        const val CONNECT_MS = 1000L
+        const val CONNECT_TIMEOUT_MS = 1000L
 
-        /** Shared by all links: they run on one thread, and services word their answers alike. */
+        /** Shared by all clients: they run on one thread, and services repeat the heads of their responses. */
         val responseHeads = HeadReader.ofResponses()
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
@@ -4,7 +4,8 @@
 
 /**
  * A small HTTP/1.1 server on an [EventLoop] with the parser of Ktor's CIO engine: persistent connections, no
- * pipelining, bodies bounded, connections bounded, and slow or idle ones closed.
+ * pipelining, bodies bounded, connections bounded by [maxConnections], and slow or idle ones closed. [clock] is a
+ * steady clock in milliseconds.
  */
 class HttpServer(
     private val loop: EventLoop,
@@ -13,6 +14,7 @@
     private val clock: () -> Long,
     private val events: Events,
 ) {
+    /** Hears of what the server does. */
     interface Events {
         /** A connection is about to be accepted. */
         fun beforeAccept()
@@ -20,7 +22,7 @@
         /** Makes what handles the requests of a new connection. */
         fun newHandler(): HttpHandler
 
-        /** A request was not worked on, since its client had gone or waited no more. */
+        /** A request was dropped before it was handled, since its client had disconnected or timed out. */
         fun onShed(priority: TaskPriority)
     }
 
@@ -37,41 +39,47 @@
 
     /** How many connections are open. */
     val connected: Int get() = connections.size
+    private val full: Boolean get() = connections.size >= maxConnections
+
+    /** When [closeIdle] last ran. */
     private var sweptAt = 0L
 
-    /** Binds the port and serves; throws when the port is taken. */
+    /** Binds the port and serves; throws `IOException` when the port is taken. */
     fun start() {
         TcpConnection.listen(loop, address, BACKLOG, ::accepted)
         sweepRegularly()
     }
 
     private fun sweepRegularly() {
-        loop.after(SWEEP_MS) {
-            sweep(IDLE_MS)
+        loop.after(SWEEP_INTERVAL_MS) {
+            closeIdle(MAX_IDLE_MS)
             sweepRegularly()
         }
     }
 
     private fun accepted(socket: TcpConnection) {
-        if (connections.size >= maxConnections && clock() - sweptAt > FULL_SWEEP_MS) sweep(IDLE_SHORT_MS)
-        if (connections.size >= maxConnections) return socket.close()
+        if (full && clock() - sweptAt > MIN_FULL_SWEEP_INTERVAL_MS) closeIdle(MAX_IDLE_WHEN_FULL_MS)
+        if (full) return socket.close()
         events.beforeAccept()
         val connection = HttpServerConnection(socket, loop, heads, events.newHandler(), connectionEvents)
         connections.add(connection)
         socket.receive(connection)
     }
 
-    private fun sweep(idleMs: Long) {
-        val t = clock()
-        sweptAt = t
-        for (c in connections.filter { !it.handling && t - it.activeAt > idleMs }) c.close()
+    private fun closeIdle(maxIdleMs: Long) {
+        val now = clock()
+        sweptAt = now
+        val idle = connections.filter { !it.handling && now - it.activeAt > maxIdleMs }
+        for (connection in idle) connection.close()
     }
 
     private companion object {
         const val BACKLOG = 4096
-        const val FULL_SWEEP_MS = 500L
-        const val SWEEP_MS = 5000L
-        const val IDLE_MS = 90_000L
-        const val IDLE_SHORT_MS = 15_000L
+        const val SWEEP_INTERVAL_MS = 5000L
+        const val MAX_IDLE_MS = 90_000L
+
+        // With no connection to spare, idle ones are closed sooner, but not looked for at every attempt.
+        const val MIN_FULL_SWEEP_INTERVAL_MS = 500L
+        const val MAX_IDLE_WHEN_FULL_MS = 15_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
@@ -9,19 +9,20 @@
 
 /** Handles the requests of one connection, one at a time. */
 interface HttpHandler {
-    /** What a request serves, which decides whose turn it is while others wait. */
+    /** At which priority a request is queued. */
     fun priorityOf(head: RequestHead): TaskPriority
 
-    /** How long the client waits for an answer, in milliseconds: later, nobody has any use for it. */
-    fun patienceMs(head: RequestHead): Long
+    /** How long the client waits for an answer, in milliseconds: later, an answer is of no use. */
+    fun clientTimeoutMs(head: RequestHead): Long
 
+    /** Handles [request] and answers by [responder], now or later. */
     fun handle(request: HttpMessage<RequestHead>, responder: HttpResponder)
 }
 
 /**
  * One connection of the [HttpServer]: queues each request at its priority and sends the answer. Requests are not
- * pipelined; what arrives early waits for its turn. It costs no coroutine, since there are hundreds of connections and
- * the requests of workers are most of what a leader does.
+ * pipelined; one that arrives before the answer to the last is kept. It costs no coroutine, since there are hundreds of
+ * connections and the requests of workers are most of what a leader does.
  */
 internal class HttpServerConnection(
     private val socket: TcpConnection,
@@ -32,27 +33,28 @@
 ) : TcpConnection.Receiver,
     HttpResponder,
     Runnable {
+    /** Hears of what becomes of the connection and its requests. */
     interface Events {
         fun onClosed(connection: HttpServerConnection)
 
-        /** A request was not worked on, since its client had gone or waited no more. */
+        /** See [HttpServer.Events.onShed]. */
         fun onShed(priority: TaskPriority)
     }
 
     /** When it last sent something or was answered, by the steady clock in milliseconds. */
-    var activeAt = steadyMs()
+    var activeAt = SteadyClock.ms()
         private set
 
-    /** Whether a request waits for its turn or for its answer. */
-    val handling: Boolean get() = waiting != null
+    /** Whether a request is queued or waits for its answer. */
+    val handling: Boolean get() = current != null
     private val messages = MessageAssembler(heads, MAX_BODY)
-    private var waiting: HttpMessage<RequestHead>? = null
+    private var current: HttpMessage<RequestHead>? = null
     private var arrivedAt = 0L
 
     fun close() = socket.close()
 
     override fun onBytes(bytes: ByteArray, size: Int) {
-        activeAt = steadyMs()
+        activeAt = SteadyClock.ms()
         messages.add(bytes, size)
         if (handling) {
             if (messages.size > MAX_UNREAD) socket.pauseReading()
@@ -69,30 +71,31 @@
     private fun takeRequest() {
         try {
             val request = messages.next() ?: return
-            waiting = request
+            current = request
             arrivedAt = activeAt
             loop.submit(handler.priorityOf(request.head), this)
         } catch (expected: BodyTooLargeException) {
             socket.send(HttpWriter.response(HttpReply(HttpStatus.CONTENT_TOO_LARGE, null), closes = true))
             socket.closeAfterSending()
         } catch (expected: Exception) {
-            socket.close() // the peer does not speak HTTP; the connection is all there is to clean up
+            // The peer does not speak HTTP. Not only IOException: the parser has exceptions of its own.
+            socket.close()
         }
     }
 
-    /** Works on the request that waits, unless nobody waits for its answer any more. */
+    /** Handles the current request, unless its client has disconnected or timed out. */
     override fun run() {
-        val request = waiting ?: return
-        val waitsNoMore = steadyMs() - arrivedAt > handler.patienceMs(request.head)
-        if (!socket.ended && !waitsNoMore) return handler.handle(request, this)
+        val request = current ?: return
+        val timedOut = SteadyClock.ms() - arrivedAt > handler.clientTimeoutMs(request.head)
+        if (!socket.ended && !timedOut) return handler.handle(request, this)
         events.onShed(handler.priorityOf(request.head))
         socket.close()
     }
 
     override fun answer(reply: HttpReply) {
-        val closes = waiting?.head?.framing?.closes ?: return
-        waiting = null
-        activeAt = steadyMs()
+        val closes = current?.head?.framing?.closes ?: return
+        current = null
+        activeAt = SteadyClock.ms()
         socket.send(HttpWriter.response(reply, closes))
         if (closes) return socket.closeAfterSending()
         if (messages.size == 0) return
@@ -103,8 +106,5 @@
     private companion object {
         const val MAX_BODY = 64 * 1024
         const val MAX_UNREAD = 128 * 1024
-        const val NANOS_PER_MS = 1_000_000
-
-        fun steadyMs(): Long = System.nanoTime() / NANOS_PER_MS
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
@@ -2,7 +2,7 @@
 
 import org.chalkhollow.model.HttpStatus
 
-/** What a request is answered with. */
+/** The answer to a request; [retryAfterS] of 0 asks for nothing. */
 class HttpReply(
     val status: Int,
     val body: ByteArray?,
@@ -15,8 +15,7 @@
 }
 
 /**
- * Writes requests and answers as they go over the wire. Answers to reports that ask for nothing are all the same and
- * written once.
+ * Encodes requests and answers. Answers to heartbeats that carry no commands are all the same and encoded once.
  */
 internal object HttpWriter {
     const val MESSAGE_PACK = "application/msgpack"
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
@@ -14,8 +14,8 @@
 /** A body is larger than is taken. */
 class BodyTooLargeException : IOException("a body is too large")
 
-/** Puts the messages of one connection together from what arrives, in bodies of at most [mostBody] bytes. */
-internal class MessageAssembler<H : MessageHead>(private val heads: HeadReader<H>, private val mostBody: Int) {
+/** Puts the messages of one connection together from what arrives, in bodies of at most [maxBody] bytes. */
+internal class MessageAssembler<H : MessageHead>(private val heads: HeadReader<H>, private val maxBody: Int) {
     private var received = NOTHING
 
     /** How much has arrived that no message was made of yet. */
@@ -67,7 +67,7 @@
     private fun readBody(head: H): ByteArray? {
         if (head.framing.chunked) return readChunked(head)
         val length = head.framing.length ?: throw IOException("the length of a body cannot be told")
-        if (length > mostBody) throw BodyTooLargeException()
+        if (length > maxBody) throw BodyTooLargeException()
         val until = head.size + length.toInt()
         if (size < until) return null
         return received.copyOfRange(head.size, until).also { consume(until) }
@@ -76,7 +76,7 @@
     private fun readChunked(head: H): ByteArray? {
         val body = if (lastChunkIsThere(head.size)) decodeChunks(received.copyOfRange(head.size, size)) else null
         // Chunks come with little beside what they carry.
-        val tooLarge = if (body == null) size - head.size > 2 * mostBody else body.size > mostBody
+        val tooLarge = if (body == null) size - head.size > 2 * maxBody else body.size > maxBody
         if (tooLarge) throw BodyTooLargeException()
         if (body != null) consume(size)
         return body
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
@@ -57,7 +57,7 @@
 
 /**
  * Reads the heads of messages by Ktor's parser. Workers and services repeat theirs, byte for byte, so those that were
- * read lately are kept and not read again: parsing was the largest part of what a report costs.
+ * read lately are kept and not read again: parsing was the largest part of what a heartbeat costs.
  */
 class HeadReader<H : MessageHead> private constructor(private val parse: suspend (ByteArray) -> H) {
     private val known = HashMap<ByteBuffer, H>()
--- a/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
@@ -7,8 +7,8 @@
 import org.chalkhollow.core.Controller
 
 /**
- * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when somebody first asks, since
- * that costs processor time which a start does not have.
+ * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when metrics are first read,
+ * since that costs processor time which a start does not have. The names of metrics are an interface to operators.
  */
 class Metrics {
     private val answers = Int2LongOpenHashMap()
@@ -18,34 +18,19 @@
     private var malformedReplies = 0L
     private val shed = LongArray(TaskPriority.entries.size)
     private val histograms = LinkedHashMap<String, Histogram>()
-    private val registry by lazy {
-        SimpleMeterRegistry().also { r ->
-            FunctionCounter
-                .builder(
-                    "chalkhollow.reports.malformed",
-                    this,
-                ) { it.malformedHeartbeats.toDouble() }
-                .register(r)
-            FunctionCounter.builder("chalkhollow.frames.malformed", this) { it.malformedFrames.toDouble() }.register(r)
-            FunctionCounter.builder("chalkhollow.frames.newer", this) { it.newerFrames.toDouble() }.register(r)
-            FunctionCounter
-                .builder(
-                    "chalkhollow.replies.malformed",
-                    this,
-                ) { it.malformedReplies.toDouble() }
-                .register(r)
-        }
-    }
+    private val registry by lazy { newRegistry() }
 
+    /** A request was answered with [status]. */
     fun answered(status: Int) {
         answers.addTo(status, 1)
     }
 
+    /** A heartbeat that could not be read. */
     fun malformedHeartbeat() {
         malformedHeartbeats++
     }
 
-    /** A request was not worked on, since its client had gone or waited no more. */
+    /** A request was dropped before it was handled, since its client had disconnected or timed out. */
     fun shed(priority: TaskPriority) {
         shed[priority.ordinal]++
     }
@@ -65,52 +50,73 @@
         malformedReplies++
     }
 
-    /** How long something of this kind took. */
+    /** How long something of this [kind] took, in microseconds. */
     fun took(kind: String, micros: Long) =
         histograms.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
 
     /** All metrics, one a line. */
     fun text(view: Controller.View): String =
         buildString {
-            appendLine("chalkhollow_leading ${if (view.leading) 1 else 0}")
-            appendLine("chalkhollow_generation ${view.fencingToken}")
-            appendLine("chalkhollow_jobs_open ${view.openJobs}")
-            appendLine("chalkhollow_jobs_known ${view.jobs}")
-            appendLine("chalkhollow_machines ${view.machines}")
-            appendLine("chalkhollow_replicas_wanted ${view.replicas.first}")
-            appendLine("chalkhollow_replicas_up ${view.replicas.second}")
-            for ((label, version) in view.versions) {
-                if (version !=
-                    null
-                ) {
-                    appendLine("chalkhollow_version{controller=\"$label\"} $version")
-                }
-            }
-            for ((input, count) in view.dropped) appendLine("chalkhollow_${input.metric}_total $count")
+            appendView(view)
             appendLine("chalkhollow_shed_total{kind=\"report\"} ${shed[TaskPriority.WORKER.ordinal]}")
             appendLine("chalkhollow_shed_total{kind=\"user\"} ${shed[TaskPriority.USER.ordinal]}")
-            for ((kind, h) in histograms) {
-                for (q in QUANTILES) {
-                    appendLine("chalkhollow_micros{kind=\"$kind\",quantile=\"$q\"} ${h.getValueAtPercentile(q * 100)}")
-                }
-                appendLine("chalkhollow_micros_count{kind=\"$kind\"} ${h.totalCount}")
-            }
-            for (status in answers.keys.toIntArray()) {
-                FunctionCounter
-                    .builder("chalkhollow.answers", answers) {
-                        it.get(status).toDouble()
-                    }.tag("status", status.toString())
-                    .register(registry)
-            }
-            for (meter in registry.meters) {
-                val tags = meter.id.tags.joinToString(",") { "${it.key}=\"${it.value}\"" }
-                val name = meter.id.name.replace('.', '_') + "_total" + if (tags.isEmpty()) "" else "{$tags}"
-                for (sample in meter.measure()) appendLine("$name ${sample.value}")
+            appendHistograms()
+            appendRegistry()
+        }
+
+    private fun StringBuilder.appendView(view: Controller.View) {
+        appendLine("chalkhollow_leading ${if (view.leading) 1 else 0}")
+        appendLine("chalkhollow_generation ${view.fencingToken}")
+        appendLine("chalkhollow_jobs_open ${view.openJobs}")
+        appendLine("chalkhollow_jobs_known ${view.jobs}")
+        appendLine("chalkhollow_machines ${view.machines}")
+        appendLine("chalkhollow_replicas_wanted ${view.replicas.first}")
+        appendLine("chalkhollow_replicas_up ${view.replicas.second}")
+        for ((label, version) in view.versions) {
+            if (version != null) appendLine("chalkhollow_version{controller=\"$label\"} $version")
+        }
+        for ((input, count) in view.dropped) appendLine("chalkhollow_${input.metric}_total $count")
+    }
+
+    private fun StringBuilder.appendHistograms() {
+        for ((kind, histogram) in histograms) {
+            for (quantile in QUANTILES) {
+                val micros = histogram.getValueAtPercentile(quantile * PERCENT)
+                appendLine("chalkhollow_micros{kind=\"$kind\",quantile=\"$quantile\"} $micros")
             }
+            appendLine("chalkhollow_micros_count{kind=\"$kind\"} ${histogram.totalCount}")
+        }
+    }
+
+    private fun StringBuilder.appendRegistry() {
+        for (status in answers.keys.toIntArray()) {
+            FunctionCounter
+                .builder("chalkhollow.answers", answers) { it.get(status).toDouble() }
+                .tag("status", status.toString())
+                .register(registry)
         }
+        for (meter in registry.meters) {
+            val tags = meter.id.tags.joinToString(",") { "${it.key}=\"${it.value}\"" }
+            val name = meter.id.name.replace('.', '_') + "_total" + if (tags.isEmpty()) "" else "{$tags}"
+            for (sample in meter.measure()) appendLine("$name ${sample.value}")
+        }
+    }
+
+    private fun newRegistry(): SimpleMeterRegistry {
+        val registry = SimpleMeterRegistry()
+        counter("chalkhollow.reports.malformed") { it.malformedHeartbeats }.register(registry)
+        counter("chalkhollow.frames.malformed") { it.malformedFrames }.register(registry)
+        counter("chalkhollow.frames.newer") { it.newerFrames }.register(registry)
+        counter("chalkhollow.replies.malformed") { it.malformedReplies }.register(registry)
+        return registry
+    }
+
+    private fun counter(name: String, value: (Metrics) -> Long): FunctionCounter.Builder<Metrics> =
+        FunctionCounter.builder(name, this) { value(it).toDouble() }
 
     private companion object {
         const val MAX_MICROS = 600_000_000L
+        const val PERCENT = 100
         val QUANTILES = doubleArrayOf(0.5, 0.95, 0.99)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
@@ -0,0 +1,42 @@
+package org.chalkhollow.runtime
+
+import kotlinx.serialization.json.Json
+import org.chalkhollow.core.Controller
+import org.chalkhollow.core.operations.JobView
+import org.chalkhollow.core.operations.StatusView
+import org.chalkhollow.model.HttpStatus
+
+/** What operators and their monitoring read: whether a controller is up, metrics, and status as JSON. */
+internal class OperatorEndpoints(private val controller: Controller, private val metrics: Metrics) {
+    /** `/up`: whether this controller takes requests. */
+    fun up(): HttpReply =
+        HttpReply(if (controller.takesRequests(SteadyClock.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE, null)
+
+    /** `/metrics` in the text format of Prometheus. */
+    fun metrics(): HttpReply {
+        val text = metrics.text(controller.view)
+        return HttpReply(HttpStatus.OK, text.encodeToByteArray(), type = "text/plain; version=0.0.4")
+    }
+
+    /** What is under `/ops/`, in JSON; see `status` on the command line. */
+    fun operations(path: String): HttpReply {
+        val text =
+            when {
+                path == "status" -> JSON.encodeToString(StatusView.serializer(), controller.status(SteadyClock.now()))
+                path.startsWith(JOBS_PREFIX) -> job(path.substring(JOBS_PREFIX.length))
+                else -> null
+            }
+        val status = if (text == null) HttpStatus.NOT_FOUND else HttpStatus.OK
+        return HttpReply(status, text?.encodeToByteArray(), type = "application/json")
+    }
+
+    private fun job(id: String): String? =
+        controller.jobStatus(SteadyClock.now(), id)?.let { JSON.encodeToString(JobView.serializer(), it) }
+
+    private companion object {
+        const val JOBS_PREFIX = "jobs/"
+
+        /** Scripts find every field, also those with nothing in them. */
+        val JSON = Json { encodeDefaults = true }
+    }
+}
--- a/src/main/kotlin/org/chalkhollow/runtime/PendingRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/PendingRequests.kt
@@ -2,14 +2,15 @@
 
 import org.agrona.collections.Int2ObjectHashMap
 
-/** The requests that the controller has not answered yet, by the number under which it was told of them. Bounded. */
+/** The requests that the controller has not answered yet, by the call number under which it knows them. Bounded. */
 internal class PendingRequests {
     private val responders = Int2ObjectHashMap<HttpResponder>()
     private var next = 0
 
-    /** Whether there are as many as may be; more requests are turned away. */
-    val full: Boolean get() = responders.size >= MOST
+    /** Whether there are as many as may be; further requests are refused. */
+    val full: Boolean get() = responders.size >= MAX_PENDING
 
+    /** Keeps [responder] and returns its call number. */
     fun add(responder: HttpResponder): Int {
         val call = next
         next = (next + 1) and Int.MAX_VALUE
@@ -23,7 +24,7 @@
     }
 
     private companion object {
-        /** Reports are answered at once and do not wait here, so this bounds users, not machines. */
-        const val MOST = 2000
+        /** Heartbeats are answered at once and do not wait here, so this bounds users, not machines. */
+        const val MAX_PENDING = 2000
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
@@ -24,9 +24,10 @@
 }
 
 /**
- * The tasks that wait for their turn on an [EventLoop]. Control goes before all else. Workers and users share what is
- * left: users are few and wait for their answers, so they need not queue behind hundreds of reports, but get at most
- * one turn in [WORKERS_PER_USER] + 1 while workers wait, so that a flood of requests costs no worker its lease.
+ * The tasks that are queued on an [EventLoop]. Control goes before all else. Workers and users share what is
+ * left: users are few and wait for their answers, so they need not queue behind hundreds of heartbeats, but
+ * get at most one task in [WORKERS_PER_USER] + 1 while workers wait, so that a flood of requests costs no worker its
+ * lease.
  */
 class PriorityTaskQueue {
     private val control = ArrayDeque<Runnable>()
@@ -63,7 +64,7 @@
     private fun takeWorker(): Runnable? = workers.removeFirstOrNull()?.also { workersSinceUser++ }
 
     companion object {
-        /** Reports that go between two users' requests while both wait. */
+        /** Heartbeats that go between two users' requests while both wait. */
         const val WORKERS_PER_USER = 2
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -1,13 +1,9 @@
 package org.chalkhollow.runtime
 
 import com.google.common.util.concurrent.RateLimiter
-import kotlinx.serialization.json.Json
 import org.chalkhollow.core.Controller
 import org.chalkhollow.core.common.Input
-import org.chalkhollow.core.common.Now
 import org.chalkhollow.core.common.UserRequest
-import org.chalkhollow.core.operations.JobView
-import org.chalkhollow.core.operations.StatusView
 import org.chalkhollow.model.HttpStatus
 import org.chalkhollow.wire.HeartbeatReader
 import org.chalkhollow.wire.MalformedMessageException
@@ -16,14 +12,16 @@
 /** What the [RequestRouter]s of all connections share. */
 internal class RouterContext(
     val controller: Controller,
-    val calls: PendingRequests,
+    val pendingRequests: PendingRequests,
     val metrics: Metrics,
     val log: Logger,
     /** Bounds how often malformed messages are logged; the metrics count them all. */
-    @Suppress("UnstableApiUsage") val complaints: RateLimiter,
-    val clock: () -> Now,
-    val feed: (Input) -> Unit,
-)
+    @Suppress("UnstableApiUsage") val malformedLogLimiter: RateLimiter,
+    /** Steps the controller. */
+    val step: (Input) -> Unit,
+) {
+    val operators = OperatorEndpoints(controller, metrics)
+}
 
 /** Turns the requests of a user, a worker or an operator on one connection into inputs of the controller. */
 internal class RequestRouter(private val context: RouterContext) : HttpHandler {
@@ -32,11 +30,11 @@
     override fun priorityOf(head: RequestHead): TaskPriority =
         if (head.path == HEARTBEAT_PATH) TaskPriority.WORKER else TaskPriority.USER
 
-    override fun patienceMs(head: RequestHead): Long =
+    override fun clientTimeoutMs(head: RequestHead): Long =
         when {
-            head.path == HEARTBEAT_PATH -> WORKER_WAITS_MS
-            head.method == GET -> POLL_WAITS_MS
-            else -> SUBMISSION_WAITS_MS
+            head.path == HEARTBEAT_PATH -> WORKER_TIMEOUT_MS
+            head.method == GET -> QUERY_TIMEOUT_MS
+            else -> SUBMISSION_TIMEOUT_MS
         }
 
     override fun handle(request: HttpMessage<RequestHead>, responder: HttpResponder) {
@@ -50,21 +48,24 @@
             }
         route(request, path) { reply ->
             context.metrics.answered(reply.status)
-            context.metrics.took(kind, (System.nanoTime() - arrivedNs) / NANOS_PER_MICRO)
+            context.metrics.took(kind, SteadyClock.microsSince(arrivedNs))
             responder.answer(reply)
         }
     }
 
     private fun route(request: HttpMessage<RequestHead>, path: String, responder: HttpResponder) {
         val method = request.head.method
+        val operators = context.operators
         when {
             path == HEARTBEAT_PATH -> only(POST, method, responder) { heartbeat(request.body, responder) }
-            path == "/up" -> only(GET, method, responder) { responder.answer(up()) }
+            path == "/up" -> only(GET, method, responder) { responder.answer(operators.up()) }
             path == "/work" -> only(POST, method, responder) { submit(request.body, responder) }
             path.startsWith(JOB_PREFIX) -> job(method, path.substring(JOB_PREFIX.length), responder)
-            path == "/metrics" -> only(GET, method, responder) { responder.answer(metrics()) }
-            path.startsWith(OPERATORS_PREFIX) ->
-                only(GET, method, responder) { responder.answer(operators(path.substring(OPERATORS_PREFIX.length))) }
+            path == "/metrics" -> only(GET, method, responder) { responder.answer(operators.metrics()) }
+            path.startsWith(OPERATIONS_PREFIX) ->
+                only(GET, method, responder) {
+                    responder.answer(operators.operations(path.substring(OPERATIONS_PREFIX.length)))
+                }
             else -> responder.answer(HttpReply(HttpStatus.NOT_FOUND, null))
         }
     }
@@ -73,97 +74,63 @@
         if (method == allowed) then() else responder.answer(HttpReply(HttpStatus.METHOD_NOT_ALLOWED, null))
     }
 
-    private fun up() =
-        HttpReply(
-            if (context.controller.takesRequests(context.clock())) HttpStatus.OK else HttpStatus.UNAVAILABLE,
-            null,
-        )
-
-    private fun metrics(): HttpReply {
-        val text = context.metrics.text(context.controller.view)
-        return HttpReply(HttpStatus.OK, text.encodeToByteArray(), type = "text/plain; version=0.0.4")
-    }
-
-    /** What operators ask, in JSON; see `status` on the command line. */
-    private fun operators(what: String): HttpReply {
-        val controller = context.controller
-        val text =
-            when {
-                what == "status" -> JSON.encodeToString(StatusView.serializer(), controller.status(context.clock()))
-                what.startsWith("jobs/") ->
-                    controller
-                        .jobStatus(context.clock(), what.substring("jobs/".length))
-                        ?.let { JSON.encodeToString(JobView.serializer(), it) }
-                else -> null
-            }
-        return HttpReply(
-            if (text ==
-                null
-            ) {
-                HttpStatus.NOT_FOUND
-            } else {
-                HttpStatus.OK
-            },
-            text?.encodeToByteArray(),
-            type = "application/json",
-        )
-    }
-
-    /** A controller that does not lead names the leader whatever a report says, so it need not read it. */
+    /** A controller that does not lead names the leader whatever a heartbeat says, so it need not decode it. */
     private fun heartbeat(body: ByteArray, responder: HttpResponder) {
-        if (!context.controller.leads(context.clock())) return call(responder) { Input.UnreadHeartbeat(it) }
+        if (!context.controller.leads(SteadyClock.now())) return step(responder) { Input.UnreadHeartbeat(it) }
         val heartbeat =
             try {
                 heartbeats.read(body)
             } catch (e: MalformedMessageException) {
                 context.metrics.malformedHeartbeat()
-                if (context.complaints.tryAcquire()) context.log.warn("a worker's report is malformed: {}", e.message)
+                if (context.malformedLogLimiter.tryAcquire()) {
+                    context.log.warn("malformed heartbeat from a worker: {}", e.message)
+                }
                 return responder.answer(HttpReply(HttpStatus.BAD_REQUEST, null))
             }
-        call(responder) { Input.Heartbeat(it, heartbeat) }
+        step(responder) { Input.Heartbeat(it, heartbeat) }
     }
 
     private fun submit(body: ByteArray, responder: HttpResponder) {
-        val ask = UserRequest.ofSubmission(body)
-        if (ask == null) {
-            context.log.debug("a submission is malformed and names no job")
+        val request = UserRequest.ofSubmission(body)
+        if (request == null) {
+            context.log.debug("malformed submission without a job id")
             return responder.answer(HttpReply(HttpStatus.BAD_REQUEST, null))
         }
-        if (ask is UserRequest.Invalid) context.log.debug("a submission of {} is malformed: {}", ask.jobId, ask.why)
-        call(responder) { Input.User(it, ask) }
+        if (request is UserRequest.Invalid) {
+            context.log.debug("malformed submission of {}: {}", request.jobId, request.why)
+        }
+        step(responder) { Input.User(it, request) }
     }
 
-    private fun job(method: String, rest: String, responder: HttpResponder) {
-        val id = rest.removeSuffix("/withdraw")
-        val withdraw = id.length != rest.length
+    private fun job(method: String, path: String, responder: HttpResponder) {
+        val id = path.removeSuffix("/withdraw")
+        val cancels = id.length != path.length
         if (id.isEmpty() || '/' in id) return responder.answer(HttpReply(HttpStatus.NOT_FOUND, null))
-        if (withdraw) {
-            only(POST, method, responder) { call(responder) { Input.User(it, UserRequest.Cancel(id)) } }
+        if (cancels) {
+            only(POST, method, responder) { step(responder) { Input.User(it, UserRequest.Cancel(id)) } }
         } else {
-            only(GET, method, responder) { call(responder) { Input.User(it, UserRequest.Query(id)) } }
+            only(GET, method, responder) { step(responder) { Input.User(it, UserRequest.Query(id)) } }
         }
     }
 
-    private inline fun call(responder: HttpResponder, input: (Int) -> Input) {
-        if (context.calls.full) return responder.answer(HttpReply(HttpStatus.UNAVAILABLE, null, RETRY_AFTER_S))
-        context.feed(input(context.calls.add(responder)))
+    private inline fun step(responder: HttpResponder, input: (Int) -> Input) {
+        if (context.pendingRequests.full) {
+            return responder.answer(HttpReply(HttpStatus.UNAVAILABLE, null, RETRY_AFTER_S))
+        }
+        context.step(input(context.pendingRequests.add(responder)))
     }
 
     private companion object {
         const val HEARTBEAT_PATH = "/agent/beat"
         const val JOB_PREFIX = "/work/"
-        const val OPERATORS_PREFIX = "/ops/"
+        const val OPERATIONS_PREFIX = "/ops/"
         const val GET = "GET"
         const val POST = "POST"
         const val RETRY_AFTER_S = 1
-        const val NANOS_PER_MICRO = 1000
 
         // How long the clients of the protocol wait for an answer before they turn elsewhere.
-        const val WORKER_WAITS_MS = 4000L
-        const val POLL_WAITS_MS = 2000L
-        const val SUBMISSION_WAITS_MS = 5000L
-
-        /** Scripts find every field, also those with nothing in them. */
-        val JSON = Json { encodeDefaults = true }
+        const val WORKER_TIMEOUT_MS = 4000L
+        const val QUERY_TIMEOUT_MS = 2000L
+        const val SUBMISSION_TIMEOUT_MS = 5000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
@@ -17,8 +17,8 @@
     private val loop: EventLoop,
     private val channel: SocketChannel,
     override val isControl: Boolean = false,
-) : EventLoop.Ready {
-    /** Takes what arrives on a connection. */
+) : EventLoop.ReadyListener {
+    /** Hears of what arrives on a connection. */
     interface Receiver {
         /** The first [size] of [bytes] have arrived; the array is used again after the call. */
         fun onBytes(bytes: ByteArray, size: Int)
@@ -29,8 +29,8 @@
 
     private var receiver: Receiver? = null
 
-    /** Told once whether the connection was made, see [ended]. */
-    private var connecting: (() -> Unit)? = null
+    /** Called once when the attempt to connect has ended; [ended] says whether it failed. */
+    private var onConnectEnd: (() -> Unit)? = null
     private var unsent: ByteBuffer? = null
     private var closesAfterSending = false
     private var closed = false
@@ -46,6 +46,7 @@
         resumeReading()
     }
 
+    /** Reads no more until [resumeReading], so that the peer has to wait. */
     fun pauseReading() = want(SelectionKey.OP_READ, false)
 
     fun resumeReading() {
@@ -55,7 +56,7 @@
     /** Sends all of [bytes], now or as soon as there is room. The array must not change afterwards. */
     fun send(bytes: ByteArray) {
         if (closed) return
-        if (unsent != null) return close() // the receiver does not keep up
+        if (unsent != null) return close() // the peer does not keep up
         val buffer = ByteBuffer.wrap(bytes)
         try {
             channel.write(buffer)
@@ -73,14 +74,15 @@
         if (unsent == null) close() else closesAfterSending = true
     }
 
+    /** Closes the connection at once; what was not sent yet is lost. */
     fun close() {
-        // Not by whether the channel is open: one that cannot connect has closed itself, and that is still to be told.
+        // Not by whether the channel is open: one that cannot connect has closed itself, and its callback is still due.
         if (closed) return
         closed = true
         key.cancel()
         channel.close()
         end()
-        connected()
+        endConnect()
     }
 
     private fun end() {
@@ -101,20 +103,20 @@
             if (key.isReadable) read()
             if (key.isValid && key.isWritable) flush()
         } catch (expected: Exception) {
-            close() // whatever it is concerns this connection, and must not end the loop
+            close() // whatever the fault, it concerns this connection only, and must not end the loop
         }
     }
 
     private fun onConnected() {
         channel.finishConnect()
         want(SelectionKey.OP_CONNECT, false)
-        connected()
+        endConnect()
     }
 
-    private fun connected() {
-        val told = connecting ?: return
-        connecting = null
-        told()
+    private fun endConnect() {
+        val callback = onConnectEnd ?: return
+        onConnectEnd = null
+        callback()
     }
 
     private fun read() {
@@ -139,9 +141,9 @@
     }
 
     companion object {
-        private const val ACCEPTED_AT_ONCE = 4
+        private const val MAX_ACCEPTED_AT_ONCE = 4
 
-        /** Connects to [address]; [onResult] is told of the connection, or of null when there is none in time. */
+        /** Connects to [address]; [onResult] gets the connection, or null when there is none after [timeoutMs]. */
         fun connect(
             loop: EventLoop,
             address: Address,
@@ -153,13 +155,13 @@
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             val socket = TcpConnection(loop, channel, isControl)
             val timeout = loop.after(timeoutMs) { socket.close() }
-            socket.connecting = {
+            socket.onConnectEnd = {
                 timeout.dispose()
                 onResult(socket.takeUnless { it.ended })
             }
             try {
                 if (channel.connect(InetSocketAddress(address.host, address.port))) {
-                    socket.connected()
+                    socket.endConnect()
                 } else {
                     socket.want(SelectionKey.OP_CONNECT, true)
                 }
@@ -168,7 +170,7 @@
             }
         }
 
-        /** Listens on [address] and hands over every connection made; [accepted] must not block. */
+        /** Listens on [address] and hands every connection to [accepted]; throws `IOException` when it cannot. */
         fun listen(loop: EventLoop, address: Address, backlog: Int, accepted: (TcpConnection) -> Unit) {
             val server = ServerSocketChannel.open()
             try {
@@ -181,7 +183,7 @@
             loop.register(server, SelectionKey.OP_ACCEPT, Acceptor(loop, server, accepted))
         }
 
-        /** The next connection; null when none waits or out of sockets, when the rest waits in the backlog. */
+        /** The next connection; null when none waits, or when out of sockets, and the rest stays in the backlog. */
         private fun acceptFrom(server: ServerSocketChannel): SocketChannel? =
             try {
                 server.accept()
@@ -189,16 +191,15 @@
                 null
             }
 
-        /** Takes connections to [server] as they come. */
+        /** Accepts connections to [server]. */
         private class Acceptor(
             private val loop: EventLoop,
             private val server: ServerSocketChannel,
             private val accepted: (TcpConnection) -> Unit,
-        ) : EventLoop.Ready {
+        ) : EventLoop.ReadyListener {
             override fun onReady(key: SelectionKey) {
-                var left = ACCEPTED_AT_ONCE
-                while (left-- > 0) {
-                    val channel = acceptFrom(server) ?: break
+                repeat(MAX_ACCEPTED_AT_ONCE) {
+                    val channel = acceptFrom(server) ?: return
                     channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
                     accepted(TcpConnection(loop, channel))
                 }
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
@@ -23,11 +23,11 @@
 import org.chalkhollow.wire.WorkerCodec
 
 /**
- * Plays a small deployment to a controller of its own, in memory: election, reports in their wire form, a job from its
- * submission to its end. Nothing of it leaves the process. It serves twice. The build's class data archive is made of
- * it; and a follower that has nothing else to do goes through it in small steps, because a take-over is no time to run
- * code for the first time: every worker reports at once then, and unpractised code took over a second of processor time
- * for that.
+ * Simulates a small deployment for a controller of its own, in memory: election, heartbeats in their wire form, a job
+ * from its submission to its end. Nothing of it leaves the process. It has two uses. The build's class data archive is
+ * made of it; and a follower that has nothing else to do goes through it in small steps, because a failover is no time
+ * to run code for the first time: every worker sends its heartbeat at once then, and code that had not run before took
+ * over a second of processor time for that.
  */
 internal class WarmUpSimulation(settings: PlatformSettings) {
     private val settings = settings.copy(peers = emptyList())
@@ -39,24 +39,30 @@
     private var time = 0L
     private var steps = 0
 
-    /** One step: a tick, a few reports and, now and then, a user. */
+    /** One step: a tick, a few heartbeats and, now and then, a user's request. */
     fun step() {
-        time += 100
+        time += STEP_MS
         val round = steps++
         val team = settings.teams.firstOrNull()?.name ?: return
-        if (round % JOB_EVERY == JOB_AT) {
-            val raw = Pack.encode(WarmUpMessages.job(name(round), team))
-            inbox.add(Input.User(USER, UserRequest.Submit(UserCodec.job(raw), raw)))
-        }
-        if (round % JOB_EVERY == JOB_AT + 30) inbox.add(Input.User(USER, UserRequest.Query(name(round - 30))))
-        if (round % JOB_EVERY == JOB_AT + 35) inbox.add(Input.User(USER, UserRequest.Cancel(name(round - 35))))
+        userRequest(round, team)?.let { inbox.add(Input.User(USER, it)) }
         inbox.add(Input.Tick)
-        repeat(REPORTS) { i -> heartbeat((round * REPORTS + i) % MACHINES, round) }
+        repeat(HEARTBEATS_PER_STEP) { i -> heartbeat((round * HEARTBEATS_PER_STEP + i) % MACHINES, round) }
         while (true) carryOut(controller.step(Now(time, time), inbox.removeFirstOrNull() ?: break))
     }
 
+    private fun userRequest(round: Int, team: String): UserRequest? =
+        when (round % JOB_EVERY) {
+            JOB_AT -> {
+                val raw = Pack.encode(WarmUpMessages.job(name(round), team))
+                UserRequest.Submit(UserCodec.job(raw), raw)
+            }
+            JOB_AT + QUERY_AFTER -> UserRequest.Query(name(round - QUERY_AFTER))
+            JOB_AT + CANCEL_AFTER -> UserRequest.Cancel(name(round - CANCEL_AFTER))
+            else -> null
+        }
+
     private fun heartbeat(machine: Int, round: Int) {
-        val tasks = List(2) { WarmUpMessages.task("j-900000/$it", round / REPORTS_EACH) }
+        val tasks = List(2) { WarmUpMessages.task("j-900000/$it", round / HEARTBEATS_PER_ATTEMPT) }
         val sent = Pack.encode(WarmUpMessages.heartbeat(machine, round + 1, tasks))
         val request = HttpWriter.request("POST", "warm-up", "/agent/beat", sent)
         val messages = MessageAssembler(heads, sent.size)
@@ -67,15 +73,19 @@
     }
 
     private fun carryOut(effects: List<Effect>) {
-        for (e in effects) {
-            when (e) {
-                is Effect.State -> inbox.add(Input.State(e.ticket, stateReply(e.op)))
-                is Effect.Cloud -> inbox.add(Input.Cloud(e.ticket, cloudReply(e.op)))
+        for (effect in effects) {
+            when (effect) {
+                is Effect.State -> inbox.add(Input.State(effect.ticket, stateReply(effect.op)))
+                is Effect.Cloud -> inbox.add(Input.Cloud(effect.ticket, cloudReply(effect.op)))
                 is Effect.WorkerCommand -> {
-                    Pack.encode(WorkerCodec.direct(e.fencingToken, e.epoch, e.commands))
-                    inbox.add(Input.WorkerReply(e.ticket, CommandReply.NotSent))
+                    Pack.encode(WorkerCodec.direct(effect.fencingToken, effect.epoch, effect.commands))
+                    inbox.add(Input.WorkerReply(effect.ticket, CommandReply.NotSent))
                 }
-                is Effect.Response -> HttpWriter.response(HttpReply(e.status, e.body, e.retryAfterS), closes = false)
+                is Effect.Response ->
+                    HttpWriter.response(
+                        HttpReply(effect.status, effect.body, effect.retryAfterS),
+                        closes = false,
+                    )
                 else -> Unit
             }
         }
@@ -93,37 +103,41 @@
 
     private fun cloudReply(op: CloudOp): CloudReply =
         when (op) {
-            CloudOp.Catalog ->
-                CloudReply.CatalogIs(
-                    listOf(
-                        MachineType(
-                            WarmUpMessages.TYPE,
-                            Resources(8.0, 0.0, 64.0),
-                            1.0,
-                            10.0,
-                            1.0,
-                            1.0,
-                            10.0,
-                            listOf("z"),
-                        ),
-                    ),
-                )
+            CloudOp.Catalog -> CloudReply.CatalogIs(listOf(MACHINE_TYPE))
             is CloudOp.Machines -> CloudReply.MachinesAre(ListedPage(emptyList(), false))
             is CloudOp.Rent -> CloudReply.NoCapacity
             is CloudOp.Delete -> CloudReply.Deleted
         }
 
-    private fun name(round: Int) = "j-" + round.toString().padStart(6, '0')
+    private fun name(round: Int) = "j-" + round.toString().padStart(ID_DIGITS, '0')
 
     private companion object {
+        const val STEP_MS = 100
+
+        // Call numbers of requests.
         const val USER = 1
         const val WORKER = 2
-        const val REPORTS = 3
+        const val HEARTBEATS_PER_STEP = 3
         const val MACHINES = 12
         const val JOB_EVERY = 50
         const val JOB_AT = 10
+        const val QUERY_AFTER = 30
+        const val CANCEL_AFTER = 35
+        const val ID_DIGITS = 6
+
+        /** After so many heartbeats of a machine its tasks are of the next attempt. */
+        const val HEARTBEATS_PER_ATTEMPT = 8
 
-        /** A machine reports an attempt so many times, then the next. */
-        const val REPORTS_EACH = 8
+        val MACHINE_TYPE =
+            MachineType(
+                name = WarmUpMessages.TYPE,
+                room = Resources(cpus = 8.0, gpus = 0.0, memoryGb = 64.0),
+                imageGbPerS = 1.0,
+                cacheGb = 10.0,
+                price = 1.0,
+                spotPrice = 1.0,
+                bootS = 10.0,
+                zones = listOf("z"),
+            )
     }
 }
