--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -86,13 +86,13 @@
     /** Whether this controller is entitled to act as the leader at this moment. */
     fun isLeader(now: Now): Boolean {
         context.now = now
-        return leadership.entitled()
+        return leadership.mayActAsLeader()
     }
 
     /** Whether users may be sent here: this controller leads, or has lately heard from the leader. */
     fun takesRequests(now: Now): Boolean {
         context.now = now
-        return leadership.inTouch(IN_TOUCH_MS)
+        return leadership.hasLeaderContact(IN_TOUCH_MS)
     }
 
     /** For operators; changes nothing. */
@@ -111,7 +111,7 @@
     val gauges: ControllerGauges
         get() =
             ControllerGauges(
-                leading = leadership.entitled(),
+                leading = leadership.mayActAsLeader(),
                 fencingToken = leadership.fencingToken,
                 openJobs = modules.jobs.open.size,
                 jobs = modules.jobs.size,
--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -24,18 +24,23 @@
 
     fun tick() {
         val leading = leadership.role == Leadership.Role.LEADER && term.loaded
-        if (leading && leadership.entitled()) fleet.expireLeases()
+        if (leading && leadership.mayActAsLeader()) fleet.expireLeases()
         if (context.steady >= nextAt || leading && fleet.mayScaleOutMore) lookAfterFleet(leading)
     }
 
     private fun lookAfterFleet(leading: Boolean) {
         nextAt = context.steady + INTERVAL_MS + context.overload.tickDelayMs * DELAY_PER_LATE_MS
-        if (leading && leadership.entitled()) {
+        if (leading && leadership.mayActAsLeader()) {
             commands.advanceFencingTokenIfNeeded()
             commands.probeDoubtful()
         }
         // Whether it is entitled is asked anew: advancing the fencing token ends the term.
-        fleet.tick(leading && leadership.entitled(), placement.unplaced, mayScaleOut(), placement.urgentHeadroomCpus())
+        fleet.tick(
+            leading && leadership.mayActAsLeader(),
+            placement.unplaced,
+            mayScaleOut(),
+            placement.urgentHeadroomCpus(),
+        )
     }
 
     /**
--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -16,12 +16,12 @@
 
     /** A step is over; its effects may be given to [check] later. */
     fun stepDone() {
-        entitledAtStep = leadership.entitled()
+        entitledAtStep = leadership.mayActAsLeader()
     }
 
     /** What is still to be done of [effect], which the last step decided; null for nothing. */
     fun check(effect: Effect): Effect? {
-        if (!entitledAtStep || leadership.entitled()) return effect
+        if (!entitledAtStep || leadership.mayActAsLeader()) return effect
         return when (effect) {
             is Effect.Response -> if (isDecided(effect.status)) unavailable(effect) else effect
             is Effect.Send -> checkMessage(effect)
--- a/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
@@ -26,19 +26,19 @@
     /** [CoreContext.changes] when the last round ran. */
     private var changesPlaced = -1L
 
-    override fun next(room: TransactionBudget): Write? {
-        if (!term.loaded || room.ops < 1 || !isDue()) return null
+    override fun next(budget: TransactionBudget): Write? {
+        if (!term.loaded || budget.ops < 1 || !isDue()) return null
         changesPlaced = context.changes
         nextRoundAt = context.steady + ROUND_MS + context.overload.tickDelayMs * ROUND_DELAY_PER_LATE_MS
         val allocations = placement.round()
         placement.preempted.forEach(commands::send)
         if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
-        return dispatch.writeMarkers(allocations, room)
+        return dispatch.writeMarkers(allocations, budget)
     }
 
     /** Rounds cost processor time, of which there is little: without a change they run far less often. */
     private fun isDue(): Boolean {
-        if (context.steady < nextRoundAt || writer.stalled()) return false
+        if (context.steady < nextRoundAt || writer.isStalled()) return false
         return context.changes != changesPlaced || context.steady >= nextRoundAt + IDLE_ROUND_MS
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -48,7 +48,7 @@
         val packed = builder.pack(allocations)
         if (packed.isEmpty()) return null
         val attempts = reserve(packed)
-        return Write(packed.map { it.change() }, onRefused = {
+        return Write(packed.map { it.change() }, onRejected = {
             if (packed.size == 1) lowerMarkerLimit() // else there were too many
             reconciler.onMarkersAbandoned(attempts)
         }) {
@@ -101,7 +101,7 @@
     fun nextGarbage(room: TransactionBudget): Write? {
         if (room.ops < 1) return null
         val key = garbage.removeFirstOrNull() ?: return null
-        return Write(listOf(Change(key, null)), onRefused = { garbage.add(key) }) {}
+        return Write(listOf(Change(key, null)), onRejected = { garbage.add(key) }) {}
     }
 
     /**
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -33,7 +33,7 @@
 
     fun onHeartbeat(call: Int, heartbeat: WorkerHeartbeat) {
         leadership.heartbeatTraffic.received(context.steady)
-        if (!leadership.entitled()) return redirect(call)
+        if (!leadership.mayActAsLeader()) return redirect(call)
         val machine = fleet.observe(heartbeat)
         if (machine == null || machine.availability.quarantined) return context.respond(call, HttpStatus.UNAVAILABLE)
         machine.lease.renew(heartbeat.seq, context.steady)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -50,7 +50,7 @@
      * to those.
      */
     fun send(machine: Machine) {
-        if (!leadership.entitled() || !canSendTo(machine)) return
+        if (!leadership.mayActAsLeader() || !canSendTo(machine)) return
         val starts = if (context.overload.overloaded) emptyList() else machine.attempts.filter(::mayStart)
         val stops = machine.attempts.filter(::mayStop)
         if (starts.isEmpty() && stops.isEmpty()) return
@@ -147,12 +147,12 @@
      * outcome, the token is advanced by giving up the lead: no worker that has seen the new token obeys the old one.
      */
     fun advanceFencingTokenIfNeeded() {
-        if (dispatch.exhausted) return leadership.stepDown(StepDownReason.Own.ATTEMPT_NUMBERS_EXHAUSTED)
+        if (dispatch.exhausted) return leadership.stepDown(StepDownReason.Local.ATTEMPT_NUMBERS_EXHAUSTED)
         val advancedLately = context.steady - fencingTokenAdvancedAt < MIN_ADVANCE_INTERVAL_MS
-        if (log.slow() || advancedLately) return quarantineStuck()
+        if (log.isSlow() || advancedLately) return quarantineStuck()
         if (fleet.machines.none { waitsForNewToken(it) || keepsTooMany(it) }) return
         fencingTokenAdvancedAt = context.steady
-        leadership.stepDown(StepDownReason.Own.UNANSWERED_COMMANDS)
+        leadership.stepDown(StepDownReason.Local.UNANSWERED_COMMANDS)
     }
 
     private fun keepsTooMany(machine: Machine): Boolean =
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
@@ -77,14 +77,14 @@
         val wasInherited = inheritedPages.remove(page)
         if (!wasInherited && value == (writtenPages[page] ?: EMPTY)) return removalBeyond(pages)
         writtenPages[page] = value
-        return Write(listOf(Change("$KEY/$page", value)), onRefused = { writtenPages.remove(page) }) {}
+        return Write(listOf(Change("$KEY/$page", value)), onRejected = { writtenPages.remove(page) }) {}
     }
 
     /** Removes one of the inherited pages after the last of ours. */
     private fun removalBeyond(pages: Int): Write? {
         val page = inheritedPages.ceiling(pages) ?: return null
         inheritedPages.remove(page)
-        return Write(listOf(Change("$KEY/$page", null)), onRefused = {}) {}
+        return Write(listOf(Change("$KEY/$page", null)), onRejected = {}) {}
     }
 
     private fun value(page: Int): Map<String, Any?> {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -74,7 +74,7 @@
     /** What is refused although it should fit is halved; names that are not stored count as rented. */
     private fun write(plain: List<String>, runs: List<Map<String, Any?>>): Write {
         val value = if (runs.isEmpty()) mapOf(NAMES to plain) else mapOf(NAMES to plain, RUNS to runs)
-        return Write(listOf(Change(KEY, value)), onRefused = {
+        return Write(listOf(Change(KEY, value)), onRejected = {
             if (plain.isNotEmpty()) pendingWrite = write(plain.take(plain.size / 2), runs)
         }) {}
     }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/KeyGarbageCollector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/KeyGarbageCollector.kt
@@ -25,5 +25,5 @@
     }
 
     private fun removal(key: String): Write =
-        Write(listOf(Change(key, null)), onRefused = { urgentWrites.retryLater(removal(key)) }) {}
+        Write(listOf(Change(key, null)), onRejected = { urgentWrites.retryLater(removal(key)) }) {}
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeaderLease.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeaderLease.kt
@@ -37,7 +37,7 @@
      * Whether a leader may act for all at this moment: by its own lease, or by follower leases of a majority while
      * they last, but never beyond the time after which a candidate may do without votes.
      */
-    fun entitled(): Boolean {
+    fun mayActAsLeader(): Boolean {
         val now = context.steady
         if (now < renewedAt + minusClockDrift(options.leaderLeaseMs)) return true
         return now < followerLeases.majorityUntil() && now < renewedAt + minusClockDrift(options.outageLimitMs)
@@ -72,8 +72,8 @@
     /** Why leadership should pass to a peer now, or null while there is no reason. */
     fun transferReason(): StepDownReason.Own? =
         when {
-            shouldYieldToServedPeer() -> StepDownReason.Own.REFUSED_BY_STATE_SERVICE
-            notReachedByWorkers() -> StepDownReason.Own.NOT_REACHED_BY_WORKERS
+            shouldYieldToServedPeer() -> StepDownReason.Local.REFUSED_BY_STATE_SERVICE
+            notReachedByWorkers() -> StepDownReason.Local.NOT_REACHED_BY_WORKERS
             else -> null
         }
 
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -79,7 +79,7 @@
     val fencingToken: Long get() = state.fencingToken
 
     /** Whether this controller may act for all at this moment. */
-    fun entitled(): Boolean = role == Role.LEADER && lease.entitled()
+    fun mayActAsLeader(): Boolean = role == Role.LEADER && lease.mayActAsLeader()
 
     /** The peer to send others to, or [LeadershipState.NO_PEER] if none was heard of lately. */
     fun reachableLeader(): Int = state.reachableLeader()
@@ -88,7 +88,7 @@
     fun leaderIsReady(): Boolean = state.leaderReady
 
     /** Whether this controller leads, has heard from a leader within [ms], or has only just begun to listen for one. */
-    fun inTouch(ms: Long): Boolean = entitled() || state.heardOfLeaderWithin(ms)
+    fun hasLeaderContact(ms: Long): Boolean = mayActAsLeader() || state.heardOfLeaderWithin(ms)
 
     fun tick() {
         logEntitlement()
@@ -100,7 +100,7 @@
     }
 
     private fun logEntitlement() {
-        val now = entitled()
+        val now = mayActAsLeader()
         if (now == wasEntitled) return
         wasEntitled = now
         if (role != Role.LEADER) return
@@ -110,7 +110,7 @@
 
     private fun lead() {
         val reason = lease.transferReason() ?: return lease.requestFollowerLeases(fencingToken, ready)
-        if (reason == StepDownReason.Own.NOT_REACHED_BY_WORKERS) election.backOff()
+        if (reason == StepDownReason.Local.NOT_REACHED_BY_WORKERS) election.backOff()
         transferLeadership(reason)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/leadership/StepDownReason.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/StepDownReason.kt
@@ -5,7 +5,7 @@
     val description: String
 
     /** Reasons that this controller finds without looking at anybody's record. */
-    enum class Own(override val description: String) : StepDownReason {
+    enum class Local(override val description: String) : StepDownReason {
         REFUSED_BY_STATE_SERVICE("the state service serves others but not this controller"),
         NOT_REACHED_BY_WORKERS("workers reach other controllers but not this one"),
         RECORD_MISSING("the leadership record is gone"),
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -20,7 +20,7 @@
 ) {
     /** [loaded] tells whether this controller has loaded the stored records as the leader. */
     fun status(loaded: Boolean): StatusView {
-        val leads = leadership.entitled()
+        val leads = leadership.mayActAsLeader()
         return if (leads && loaded) leaderStatus() else ownStatus(leads)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
@@ -21,7 +21,7 @@
         if (job.tasks.noneReady) return emptyList()
         val reasons =
             listOfNotNull(
-                "the state service takes no writes, and nothing starts without a marker".takeIf { writer.stalled() },
+                "the state service takes no writes, and nothing starts without a marker".takeIf { writer.isStalled() },
                 "it is being cancelled".takeIf { job.cancelling },
                 backoff(job),
                 "its team is at its limit".takeIf { atLimit(job) },
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -55,7 +55,7 @@
             !fleet.catalogKnown -> responder.respondUnavailable(call)
             !canEverRun(spec) -> responder.respond(call, HttpStatus.UNPROCESSABLE)
             !jobs.recordFits(spec) -> responder.respond(call, HttpStatus.BAD_REQUEST)
-            writer.stalled() || accepting.size >= MAX_ACCEPTING -> responder.respondUnavailable(call)
+            writer.isStalled() || accepting.size >= MAX_ACCEPTING -> responder.respondUnavailable(call)
             else -> accept(call, spec)
         }
     }
@@ -113,7 +113,7 @@
             entry?.state == null -> respondUnknown(call, jobId)
             entry.state == JobState.DONE -> respondStatus(call, jobId, DONE)
             entry.state == JobState.CANCELLED -> respondStatus(call, jobId, CANCELLED)
-            writer.stalled() || job == null -> responder.respondUnavailable(call)
+            writer.isStalled() || job == null -> responder.respondUnavailable(call)
             job.cancelling -> cancelling.add(jobId, call)
             job.complete -> completing.add(jobId, call)
             else -> startCancelling(call, job)
@@ -151,7 +151,7 @@
      */
     fun expire() {
         for (waiting in allWaiting) {
-            if (writer.stalled()) waiting.respondUnavailable() else waiting.expire(TIMEOUT_MS)
+            if (writer.isStalled()) waiting.respondUnavailable() else waiting.expire(TIMEOUT_MS)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -37,7 +37,7 @@
 
     /** A user's request came to this controller. */
     fun onRequest(call: Int, request: UserRequest) {
-        if (!leadership.entitled()) return forwarder.forward(call, request)
+        if (!leadership.mayActAsLeader()) return forwarder.forward(call, request)
         serve(call, request)
     }
 
@@ -60,7 +60,11 @@
     fun onForwardedResponse(message: PeerMessage.ForwardedResponse) = forwarder.onResponse(message)
 
     private fun serve(call: Int, request: UserRequest) {
-        if (leadership.entitled() && isOpen) jobRequests.serve(call, request) else responder.respondUnavailable(call)
+        if (leadership.mayActAsLeader() && isOpen) {
+            jobRequests.serve(call, request)
+        } else {
+            responder.respondUnavailable(call)
+        }
     }
 
     /** The completion of [job] is durable. */
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -73,12 +73,12 @@
     fun rememberRevision(key: String, revision: Long) = composer.rememberRevision(key, revision)
 
     /** Whether writes have failed for long enough that new requests should be turned away at once. */
-    fun stalled(): Boolean = failingSince != NEVER && context.steady - failingSince > STALL_MS
+    fun isStalled(): Boolean = failingSince != NEVER && context.steady - failingSince > STALL_MS
 
     /**
      * Whether the last transaction took long, or the one under way does: no time to step down and campaign again.
      */
-    fun slow(): Boolean =
+    fun isSlow(): Boolean =
         failingSince != NEVER || lastTookMs > SLOW_MS ||
             inFlight.let { it != null && context.steady - it.firstSentAt > SLOW_MS }
 
@@ -178,7 +178,7 @@
     private fun dropOrSplit(transaction: Transaction) {
         refused.learnFromRefusal(transaction)
         inFlight = null
-        if (transaction.writes.size > 1) refused.splitForSize(transaction) else transaction.writes.single().onRefused()
+        if (transaction.writes.size > 1) refused.splitForSize(transaction) else transaction.writes.single().onRejected()
         flush()
     }
 
@@ -211,7 +211,7 @@
             if (term != sentInTerm) return@callStateService context.dropped.count(DroppedInput.REPLY_LATE)
             when (reply) {
                 is StateReply.Found -> onRecordFound(transaction, reply, ifUnchanged)
-                StateReply.Missing -> leadership.stepDown(StepDownReason.Own.RECORD_MISSING)
+                StateReply.Missing -> leadership.stepDown(StepDownReason.Local.RECORD_MISSING)
                 else -> {
                     noteFailure(context.steady)
                     retryAfter(transaction, RETRY_MS)
--- a/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
@@ -41,7 +41,7 @@
         leadership.tick()
         reply(StateReply.Missing)
         reply(StateReply.Committed(1))
-        check(leadership.entitled()) { "does not lead" }
+        check(leadership.mayActAsLeader()) { "does not lead" }
     }
 
     private fun reply(reply: StateReply) {
@@ -53,7 +53,7 @@
         lead()
         lateEffects.stepDone()
         context.now = Now(options.outageLimitMs * 2, options.outageLimitMs * 2)
-        check(!leadership.entitled()) { "still leads" }
+        check(!leadership.mayActAsLeader()) { "still leads" }
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -164,7 +164,7 @@
     @Test
     fun `a reply to a write of a term that is over is counted`() {
         var durable = false
-        val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
+        val write = Write(listOf(Change("x", mapOf("v" to 1))), onRejected = {}) { durable = true }
         val writer = StateWriter(context, limits, options, leadership(0), listOf(WriteProducer { write }))
         context.now = Now(1000, 1000)
         writer.start(LeadershipRecord("m", 77, 1, 0), 1)
--- a/src/test/kotlin/org/chalkhollow/core/jobs/JobCancellationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/JobCancellationTest.kt
@@ -54,7 +54,7 @@
         repeat(8) {
             val write = leader.next() ?: return@repeat
             sizes.add(write.changes.sumOf { EncodedSize.of(it) })
-            write.onRefused()
+            write.onRejected()
         }
         assertTrue(sizes.size >= 4 && sizes.first() > sizes.last(), "$sizes")
         leader.writeAll()
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ProgressPagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ProgressPagesTest.kt
@@ -52,7 +52,7 @@
         val leader = stored.Leader(8192).accept(storedJob(40_000))
         leader.done(listOf(1, 2))
         val refused = checkNotNull(leader.next())
-        refused.onRefused()
+        refused.onRejected()
         leader.done(listOf(3, 30_000))
         leader.writeAll()
         assertEquals(
@@ -69,7 +69,7 @@
     fun `an end that the state service refuses is written later, and pages of others go on`() {
         val leader = stored.Leader(8192).accept(storedJob(2))
         leader.done(0..1)
-        checkNotNull(leader.next()).onRefused()
+        checkNotNull(leader.next()).onRejected()
         assertEquals(null, leader.next())
         leader.writeAll()
         assertEquals(JobState.DONE, leader.jobs.find(StoredJobs.JOB_ID)?.state)
--- a/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
@@ -16,7 +16,7 @@
     private val garbage = KeyGarbageCollector(writes)
     private val ample = TransactionBudget(10, 10_000)
 
-    private fun write(vararg keys: String) = Write(keys.map { Change(it, null) }, onRefused = {}) {}
+    private fun write(vararg keys: String) = Write(keys.map { Change(it, null) }, onRejected = {}) {}
 
     @Test
     fun `a write that does not fit holds up those behind it`() {
@@ -45,7 +45,7 @@
         garbage.collect("prog/j-1/0")
         var removal = garbage.next(ample)
         for (attempt in 1L..3L) {
-            checkNotNull(removal).onRefused()
+            checkNotNull(removal).onRejected()
             context.now = Now(REFUSED_RETRY_MS * attempt, 0)
             removal = writes.next(ample)
         }
--- a/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipTest.kt
@@ -14,17 +14,17 @@
         val requests = leader.context.drain().messages<PeerMessage.FollowerLeaseRequest>()
         assertEquals(1L, leader.elected, "fencing token of the first leader")
         leader.at(1_900)
-        assertTrue(leader.leadership.entitled(), "within the lease of its write")
+        assertTrue(leader.leadership.mayActAsLeader(), "within the lease of its write")
         leader.at(2_100)
-        assertFalse(leader.leadership.entitled(), "beyond the lease of its write")
+        assertFalse(leader.leadership.mayActAsLeader(), "beyond the lease of its write")
         // A follower lease counts from when it was asked for, not from when it came.
         leader.at(2_100) { onPeer(0, PeerMessage.FollowerLeaseResponse(1, requests.first().seq, true, false)) }
-        assertFalse(leader.leadership.entitled(), "by a follower lease that has expired")
+        assertFalse(leader.leadership.mayActAsLeader(), "by a follower lease that has expired")
         val renewal = leader.at(2_500).messages<PeerMessage.FollowerLeaseRequest>().first()
         leader.at(2_600) { onPeer(0, PeerMessage.FollowerLeaseResponse(1, renewal.seq, true, false)) }
-        assertTrue(leader.leadership.entitled(), "within a follower lease")
+        assertTrue(leader.leadership.mayActAsLeader(), "within a follower lease")
         leader.at(2_500 + leader.options.followerLeaseMs)
-        assertFalse(leader.leadership.entitled(), "beyond the follower lease")
+        assertFalse(leader.leadership.mayActAsLeader(), "beyond the follower lease")
     }
 
     /** Renews follower leases with one peer, which the state service serves until [servedUntil]. */
@@ -45,7 +45,7 @@
         outage.leadership.writeFailed()
         outage.renewLeases(3000, 20_000, servedUntil = 3000)
         assertFalse(outage.deposed, "stepped down in an outage")
-        assertTrue(outage.leadership.entitled(), "lost its follower leases in an outage")
+        assertTrue(outage.leadership.mayActAsLeader(), "lost its follower leases in an outage")
         val alone = LeadershipBench().also { it.lead() }
         alone.renewLeases(100, 3000, servedUntil = 90_000)
         alone.leadership.writeFailed()
--- a/src/test/kotlin/org/chalkhollow/core/storage/RefusedTransactionsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/RefusedTransactionsTest.kt
@@ -17,7 +17,7 @@
     /** A transaction of one write for each of [keys], beside the change of the record. */
     private fun transaction(keys: List<Int>): Transaction {
         val changes = keys.map { Change("k$it", null) }
-        val writes = changes.map { Write(listOf(it), onRefused = {}) {} }
+        val writes = changes.map { Write(listOf(it), onRejected = {}) {} }
         return Transaction(writes, StateOp.Commit(emptyList(), listOf(Change("record", null)) + changes), 0)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/StateWriterTest.kt
@@ -62,7 +62,7 @@
 
         fun write(key: String, value: String = "v") {
             queue.add(
-                Write(listOf(Change(key, mapOf("x" to value))), onRefused = { refused.add(key) }) { durable.add(key) },
+                Write(listOf(Change(key, mapOf("x" to value))), onRejected = { refused.add(key) }) { durable.add(key) },
             )
         }
 
@@ -134,7 +134,7 @@
         bench.play(0, 3000)
         assertEquals(listOf("k7", "k20"), bench.refused)
         assertEquals(List(31) { "k$it" } - listOf("k7", "k20"), bench.durable)
-        assertTrue(bench.leadership.entitled())
+        assertTrue(bench.leadership.mayActAsLeader())
         assertEquals(1, bench.logEvents.count { it.level == Effect.Level.ERROR }, "told once in ten seconds")
     }
 
@@ -144,13 +144,13 @@
         bench.limits(100, 12)
 
         fun large() {
-            bench.queue.add(Write(listOf(Change("large", mapOf("x" to "v".repeat(200)))), onRefused = ::large) {})
+            bench.queue.add(Write(listOf(Change("large", mapOf("x" to "v".repeat(200)))), onRejected = ::large) {})
         }
         large()
         repeat(200) { bench.write("k$it") }
         bench.play(0, 30_000)
         assertEquals(200, bench.durable.size)
-        assertTrue(bench.leadership.entitled())
+        assertTrue(bench.leadership.mayActAsLeader())
         assertTrue(bench.logEvents.count { it.level == Effect.Level.ERROR } <= 4)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/storage/TransactionComposerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/TransactionComposerTest.kt
@@ -18,7 +18,7 @@
         }
     private val composer = TransactionComposer(CoreContext(1), producers).also { it.start(record, newRevision = 10) }
 
-    private fun write(vararg changes: Change) = Write(changes.toList(), onRefused = {}) {}
+    private fun write(vararg changes: Change) = Write(changes.toList(), onRejected = {}) {}
 
     @Test
     fun `each transaction is conditional on the record and on what it changes, and raises the record`() {
