--- a/src/main/kotlin/org/chalkhollow/core/leadership/CampaignReason.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CampaignReason.kt
@@ -1,14 +1,13 @@
 package org.chalkhollow.core.leadership
 
-/** Why a candidate may take over the leadership record. [description] goes to the log. */
+/** Why a candidate may write the leadership record. [description] is logged. */
 enum class CampaignReason(val description: String) {
     ELECTED_BY_PEERS("elected by peers"),
 
-    /** There are no peers whose votes could be asked for. */
     ONLY_CONTROLLER("this is the only controller"),
 
-    /** The record has outlived every lease by which a leader could still be entitled. */
-    RECORD_UNCHANGED("the leadership record has outlived every lease"),
-    NO_RECORD("there is no leadership record yet"),
-    LED_BEFORE("this controller led before"),
+    /** The record is unchanged for longer than any lease on which a leader may still act. */
+    RECORD_UNCHANGED("the leadership record is unchanged for longer than any lease"),
+    NO_RECORD("there is no leadership record"),
+    LED_BEFORE("this controller led the last term"),
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
@@ -7,86 +7,89 @@
 import org.chalkhollow.model.KeyValue
 
 /**
- * Owns the snapshot of all that leaders have written, read under [prefixes] and in their order before this controller
- * campaigns for leadership. A leader that has yet to read would renew the leases of tasks whose cancellation an earlier
- * one has confirmed, and in an outage that begins just then it would for as long as that lasts. Every write raises the
- * leadership record, so what was read after the record had some revision is all there is for as long as it keeps that
- * revision; and a take-over is conditional on it. The controller hands it to [Leadership] by [Leadership.Events].
+ * Owns the snapshot of all stored records, which this controller reads before it campaigns. It reads the keys under
+ * [prefixes], in that order.
+ *
+ * A leader without the snapshot would renew the leases of tasks whose cancellation an earlier leader has confirmed. If
+ * an outage of the state service began before it had read them, it would do so until the outage ends.
+ *
+ * Every write changes the leadership record. A snapshot that was begun at some revision of the record is therefore
+ * complete for as long as the record keeps that revision, and a campaign is conditional on that revision. [Leadership]
+ * uses the snapshot through [Leadership.Events].
  */
 class CandidateSnapshot(
     private val context: CoreContext,
     private val prefixes: List<String>,
     private val onComplete: () -> Unit,
 ) {
-    private class Reading(val revision: Long, val startedAt: Long) {
+    private class SnapshotRead(val revision: Long, val startedAtMs: Long) {
         val rows = ArrayList<KeyValue>()
-        var complete = false
+        var isComplete = false
 
-        /** Sends the read again that was not answered; null while none waits for that. */
+        /** Repeats the call that failed; null if none has failed. */
         var retry: (() -> Unit)? = null
-        var retryAt = 0L
+        var retryAtMs = 0L
     }
 
-    private var reading: Reading? = null
+    private var currentRead: SnapshotRead? = null
 
-    /** How long ago the present reading was begun. */
-    val ageMs: Long get() = reading?.let { context.steady - it.startedAt } ?: 0L
+    /** Time since the snapshot was begun, 0 if there is none. */
+    val ageMs: Long get() = currentRead?.let { context.steady - it.startedAtMs } ?: 0L
 
-    /** Begins anew unless it is reading for this [revision] already. */
+    /** Starts to read for [revision], unless it has done so already. A snapshot for another revision is discarded. */
     fun begin(revision: Long) {
-        if (reading?.revision == revision) return
-        val newReading = Reading(revision, context.steady)
-        reading = newReading
-        read(newReading, prefix = 0, after = null)
+        if (currentRead?.revision == revision) return
+        val newRead = SnapshotRead(revision, context.steady)
+        currentRead = newRead
+        readPage(newRead, prefixIndex = 0, after = null)
     }
 
-    /** Whether all was read, from a moment on at which the leadership record had [revision]. */
-    fun isComplete(revision: Long): Boolean = reading.let { it != null && it.revision == revision && it.complete }
+    /** Whether all records were read, beginning while the leadership record had [revision]. */
+    fun isComplete(revision: Long): Boolean = currentRead.let { it != null && it.revision == revision && it.isComplete }
 
-    /** Hands over what was read for [revision]. */
+    /** Returns the complete snapshot for [revision] and forgets it. */
     fun take(revision: Long): List<KeyValue> {
-        check(isComplete(revision)) { "took over without having read what was written" }
-        val rows = reading?.rows.orEmpty()
-        reading = null
+        check(isComplete(revision)) { "no complete snapshot for revision $revision of the leadership record" }
+        val rows = currentRead?.rows.orEmpty()
+        currentRead = null
         return rows
     }
 
-    /** What was read is of no use any more. */
     fun discard() {
-        reading = null
+        currentRead = null
     }
 
-    /** Asks again for what was not answered. */
+    /** Repeats the call that failed, [RETRY_MS] after its reply. */
     fun tick() {
-        val current = reading ?: return
+        val current = currentRead ?: return
         val retry = current.retry ?: return
-        if (context.steady < current.retryAt) return
+        if (context.steady < current.retryAtMs) return
         current.retry = null
         retry()
     }
 
-    /** Reads one page: the keys after [after] under the prefix with the index [prefix]. */
-    private fun read(current: Reading, prefix: Int, after: String?) {
-        context.callStateService(StateOp.List(prefixes[prefix], after)) { reply ->
+    /** Reads a page of the keys under the prefix with index [prefixIndex]: from its start, or after the key [after]. */
+    private fun readPage(current: SnapshotRead, prefixIndex: Int, after: String?) {
+        context.callStateService(StateOp.List(prefixes[prefixIndex], after)) { reply ->
             when {
-                reading !== current -> context.dropped.count(DroppedInput.REPLY_LATE)
-                reply is StateReply.Page -> onPage(current, prefix, reply)
+                currentRead !== current -> context.dropped.count(DroppedInput.REPLY_LATE)
+                reply is StateReply.Page -> onPage(current, prefixIndex, reply)
                 else -> {
-                    current.retry = { read(current, prefix, after) }
-                    current.retryAt = context.steady + RETRY_MS
+                    current.retry = { readPage(current, prefixIndex, after) }
+                    current.retryAtMs = context.steady + RETRY_MS
                 }
             }
         }
     }
 
-    private fun onPage(current: Reading, prefix: Int, page: StateReply.Page) {
+    private fun onPage(current: SnapshotRead, prefixIndex: Int, page: StateReply.Page) {
         val rows = page.rows.rows
         current.rows.addAll(rows)
         when {
-            page.rows.more && rows.isNotEmpty() -> read(current, prefix, rows.last().key)
-            prefix + 1 < prefixes.size -> read(current, prefix + 1, null)
+            page.rows.more && rows.isNotEmpty() -> readPage(current, prefixIndex, rows.last().key)
+            prefixIndex + 1 < prefixes.size -> readPage(current, prefixIndex + 1, null)
             else -> {
-                current.complete = true
+                current.isComplete = true
                 onComplete()
             }
         }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/ControllerIdentity.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/ControllerIdentity.kt
@@ -1,13 +1,13 @@
 package org.chalkhollow.core.leadership
 
-/** Who this controller is among its [peers]: its label, and the incarnation of its process. */
+/** The label and the incarnation of this controller, and the labels of its [peers]. */
 class ControllerIdentity(val label: String, val incarnation: Long, val peers: List<String>) {
-    /** How many controllers, this one counted, are more than half of all. */
+    /** How many controllers make a majority; this controller counts. */
     val majority = majorityWith(peers.size)
 
-    /** How many peers go before this controller when several could campaign at once. */
+    /** How many peers campaign before this controller when several could do so at once. */
     val rank = peers.count { it < label }
 }
 
-/** How many controllers are more than half of all, when there are [peerCount] beside one. */
+/** How many controllers make a majority of a controller and its [peerCount] peers. */
 internal fun majorityWith(peerCount: Int): Int = (peerCount + 1) / 2 + 1
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
@@ -13,10 +13,10 @@
 import org.chalkhollow.wire.MalformedMessageException
 
 /**
- * Owns the way from follower to leader: it watches the leadership record, asks for votes when the leader's lease has
- * expired or was released, and campaigns by a compare-and-swap of the record. It campaigns only with a snapshot that is
- * complete for the record's revision: a leader that does not know what was cancelled must not keep it running. Called
- * by [Leadership].
+ * Takes a controller from follower to leader. It watches the leadership record, requests votes when the leader's lease
+ * has expired or was released, and campaigns by a compare-and-swap of the record. It campaigns only with a snapshot
+ * that is complete for the record's revision, because a leader that does not know about a cancellation would keep the
+ * tasks running. Called by [Leadership].
  */
 class Election(
     private val context: CoreContext,
@@ -29,62 +29,64 @@
     private val onWon: (Win) -> Unit,
 ) {
     /**
-     * A campaign that succeeded: [record] was sent at [sentAt] and has [revision]; nothing was written between
-     * [snapshotRevision] and it.
+     * A campaign that succeeded: [record] was sent at [sentAtMs] and is stored at [revision]. Nothing was written
+     * between [snapshotRevision] and that revision.
      */
-    class Win(val record: LeadershipRecord, val revision: Long, val sentAt: Long, val snapshotRevision: Long)
+    class Win(val record: LeadershipRecord, val revision: Long, val sentAtMs: Long, val snapshotRevision: Long)
 
     private val votes = VoteCollector(context, self.peers.size, options.followerLeaseMs)
 
-    /** Why this controller may take over the record that it last saw without anybody's vote, or null. */
+    /** Why this controller may take over the record that it last saw without votes; null if it may not. */
     private var reasonWithoutVotes: CampaignReason? = null
 
-    /** The fencing token of this incarnation's last term; 0 before its first. */
+    /** The fencing token of the last term of this incarnation; 0 before its first term. */
     private var lastLedFencingToken = 0L
 
-    /** After a step-down this controller leaves leadership to others until then. */
-    private var backoffUntil = NEVER
+    /** Until then, after a step-down, this controller requests no votes and does not reclaim its own record. */
+    private var backoffUntilMs = NEVER
 
-    /** Spreads candidates a little, so that they rarely campaign at once. */
-    private val campaignDelayMs = self.rank * CAMPAIGN_STEP_MS
+    /** Differs between controllers, so that they rarely campaign at the same time. */
+    private val campaignDelayMs = self.rank * CAMPAIGN_DELAY_PER_RANK_MS
 
-    /** Leaves leadership to the peers for a while. */
+    /** Leaves leadership to the peers for [BACKOFF_MS]. */
     fun backOff() {
-        backoffUntil = context.steady + BACKOFF_MS
+        backoffUntilMs = context.steady + BACKOFF_MS
     }
 
-    /** This controller has stepped down, and what it saw of the record is out of date. */
+    /** This controller has stepped down; what it knows of the record is out of date. */
     fun onSteppedDown() {
         reasonWithoutVotes = null
         recordWatch.reset()
     }
 
-    /** What a follower does at each tick, and when its snapshot is complete. */
+    /** The work of a follower at each tick, and when its snapshot is complete. */
     fun follow() {
         recordWatch.readIfDue(::onRecordReply)
-        if (!recordWatch.stateServiceAnswers) return // nothing can be read or written now
+        if (!recordWatch.isStateServiceAvailable) return
         reasonWithoutVotes?.let { return takeOverWithoutVotes(it) }
         val record = recordWatch.record ?: return
-        val released = recordWatch.isReleased(record, campaignDelayMs)
+        val isReleased = recordWatch.isReleased(record, campaignDelayMs)
         val unchangedMs = recordWatch.unchangedMs()
-        if (!released && unchangedMs < options.leaderLeaseMs - SNAPSHOT_AHEAD_MS) return
+        if (!isReleased && unchangedMs < options.leaderLeaseMs - SNAPSHOT_LEAD_TIME_MS) return
         events.requestSnapshot(recordWatch.revision)
-        val leaseOver = released || unchangedMs >= plusClockDrift(options.leaderLeaseMs) + campaignDelayMs
-        if (!leaseOver || grantedLease.isBinding) return
+        val isLeaseOver = isReleased || unchangedMs >= plusClockDrift(options.leaderLeaseMs) + campaignDelayMs
+        if (!isLeaseOver || grantedLease.isBinding) return
         if (events.snapshotComplete(recordWatch.revision)) seekLeadership(record, unchangedMs)
     }
 
-    /** The lease is over and the snapshot complete: campaigns without votes if none are needed, or requests them. */
+    /**
+     * The lease is over and the snapshot is complete: campaigns if no votes are needed, and otherwise requests them.
+     */
     private fun seekLeadership(record: LeadershipRecord, unchangedMs: Long) {
         if (self.majority == 1) return campaignWithoutVotes(CampaignReason.ONLY_CONTROLLER)
         if (unchangedMs > plusClockDrift(options.outageLimitMs)) {
             return campaignWithoutVotes(CampaignReason.RECORD_UNCHANGED)
         }
-        if (grantedLease.earlierIncarnationMayBind || context.steady < backoffUntil) return
+        if (grantedLease.earlierIncarnationMayBind || context.steady < backoffUntilMs) return
         votes.requestVotes(record, recordWatch.revision)
     }
 
-    /** Takes over without votes, now or once the snapshot is complete. */
+    /** Campaigns without votes, at once or when the snapshot is complete. */
     private fun takeOverWithoutVotes(reason: CampaignReason) {
         reasonWithoutVotes = reason
         events.requestSnapshot(recordWatch.revision)
@@ -96,26 +98,27 @@
         campaign(reason)
     }
 
-    // The leadership record
-
-    private fun onRecordReply(requestedAt: Long, reply: StateReply) {
-        if (reply is StateReply.Found || reply is StateReply.Missing) grantedLease.onRecordRead(requestedAt)
+    private fun onRecordReply(requestedAtMs: Long, reply: StateReply) {
+        if (reply is StateReply.Found || reply is StateReply.Missing) grantedLease.onRecordRead(requestedAtMs)
         if (state.role != Leadership.Role.FOLLOWER) return
         when (reply) {
             is StateReply.Found -> {
-                recordWatch.stateServiceAnswered()
+                recordWatch.onStateServiceReply()
                 try {
                     onRecord(LeadershipRecord.of(reply.row), reply.row.revision)
                 } catch (e: MalformedMessageException) {
-                    context.warn("the leadership record is unreadable: ${e.message}")
+                    context.warn(
+                        "the leadership record at revision ${reply.row.revision} is malformed: ${e.message}; " +
+                            "reading it again in ${options.leaderRenewMs} ms",
+                    )
                 }
             }
             StateReply.Missing -> {
-                recordWatch.stateServiceAnswered()
-                recordWatch.recordMissing()
+                recordWatch.onStateServiceReply()
+                recordWatch.onRecordMissing()
                 takeOverWithoutVotes(CampaignReason.NO_RECORD)
             }
-            else -> recordWatch.readAgainAt(context.steady + READ_RETRY_MS)
+            else -> recordWatch.scheduleRead(context.steady + READ_RETRY_MS)
         }
     }
 
@@ -126,60 +129,62 @@
             grantedLease.onRecordChanged(record, revision)
         }
         state.observe(record.fencingToken)
-        // An earlier incarnation has ended, and an earlier term of this one was given up: nobody holds that lease. The
-        // fencing token rises all the same, since attempt numbers and tokens must not come twice.
-        if (wasLedByUs(record) && context.steady >= backoffUntil) takeOverWithoutVotes(CampaignReason.LED_BEFORE)
+        // Nobody holds the lease of such a record: its incarnation has ended, or this one has stepped down. The
+        // campaign still increments the fencing token, because tokens and attempt numbers must not be used twice.
+        if (wasLedByThisController(record) && context.steady >= backoffUntilMs) {
+            takeOverWithoutVotes(CampaignReason.LED_BEFORE)
+        }
     }
 
     /**
-     * A record of ours without a write is a campaign that nobody acted on: it may have been applied long after the
-     * votes for it were given, and forgotten since. It is like anyone's record that has gone stale.
+     * Whether this controller was the leader under [record]. If the record counts no writes, its term may never have
+     * begun: the campaign may have been applied long after the votes for it, which restarted voters have forgotten.
+     * This controller then waits as it does for another controller's record.
      */
-    private fun wasLedByUs(record: LeadershipRecord): Boolean {
+    private fun wasLedByThisController(record: LeadershipRecord): Boolean {
         if (record.owner != self.label) return false
         return record.writes > 0 ||
             record.incarnation == self.incarnation && record.fencingToken == lastLedFencingToken
     }
 
-    // Campaign
-
     private fun campaign(reason: CampaignReason) {
         val newestFencingToken = maxOf(recordWatch.record?.fencingToken ?: 0, state.fencingToken)
         val record = LeadershipRecord(self.label, self.incarnation, newestFencingToken + 1, 0)
         val snapshotRevision = recordWatch.revision
         state.role = Leadership.Role.CANDIDATE
         reasonWithoutVotes = null
-        // No follower lease for an older fencing token while this may still be applied.
-        grantedLease.voted(record.fencingToken, snapshotRevision)
+        // While this write may still be applied, this controller must grant no follower lease for an older fencing
+        // token.
+        grantedLease.onVoted(record.fencingToken, snapshotRevision)
         context.info(
             "campaigning for fencing token ${record.fencingToken}: ${reason.description}, " +
                 "record unchanged for ${recordWatch.unchangedMs()} ms",
         )
-        val sentAt = context.steady
+        val sentAtMs = context.steady
         val condition = Condition(LeadershipRecord.KEY, snapshotRevision)
         val change = Change(LeadershipRecord.KEY, record.value())
         context.callStateService(StateOp.Commit(listOf(condition), listOf(change))) { reply ->
-            onCampaignReply(record, snapshotRevision, sentAt, reply)
+            onCampaignReply(record, snapshotRevision, sentAtMs, reply)
         }
     }
 
-    private fun onCampaignReply(record: LeadershipRecord, snapshotRevision: Long, sentAt: Long, reply: StateReply) {
+    private fun onCampaignReply(record: LeadershipRecord, snapshotRevision: Long, sentAtMs: Long, reply: StateReply) {
         state.role = Leadership.Role.FOLLOWER
         votes.campaignEnded()
-        if (reply !is StateReply.Committed) return recordWatch.readAgainAt(context.steady)
-        recordWatch.stateServiceAnswered()
-        // Too late, the voters may have restarted and forgotten.
-        if (!votes.stillBind) return onRecord(record, reply.revision)
+        if (reply !is StateReply.Committed) return recordWatch.scheduleRead(context.steady)
+        recordWatch.onStateServiceReply()
+        // The votes have expired; voters may have restarted and forgotten them.
+        if (!votes.areVotesValid) return onRecord(record, reply.revision)
         lastLedFencingToken = record.fencingToken
-        onWon(Win(record, reply.revision, sentAt, snapshotRevision))
+        onWon(Win(record, reply.revision, sentAtMs, snapshotRevision))
     }
 
-    /** Takes in a peer's answer to a request for votes, and campaigns once a majority has granted it. */
+    /** Handles a peer's response to a vote request. Campaigns once a majority has voted for this controller. */
     fun onVote(from: Int, vote: PeerMessage.VoteResponse) {
-        if (!votes.answersThisIncarnation(vote)) return context.dropped.count(DroppedInput.MESSAGE_OTHER_INCARNATION)
-        val current = votes.answersLastRequest(vote)
-        if (!current) votes.onLateAnswer()
-        if (state.role != Leadership.Role.FOLLOWER || !current) {
+        if (!votes.isForThisIncarnation(vote)) return context.dropped.count(DroppedInput.MESSAGE_OTHER_INCARNATION)
+        val isCurrent = votes.isForLastRequest(vote)
+        if (!isCurrent) votes.onLateVote()
+        if (state.role != Leadership.Role.FOLLOWER || !isCurrent) {
             return context.dropped.count(DroppedInput.MESSAGE_LATE)
         }
         if (!vote.granted || grantedLease.isBinding) return
@@ -197,10 +202,10 @@
 
     private companion object {
         const val READ_RETRY_MS = 250L
-        const val CAMPAIGN_STEP_MS = 80L
+        const val CAMPAIGN_DELAY_PER_RANK_MS = 80L
         const val BACKOFF_MS = 8000L
 
-        /** A record that has not changed for nearly the lease is a reason to read what a new leader needs. */
-        const val SNAPSHOT_AHEAD_MS = 450L
+        /** A follower starts to read the snapshot this long before the leader lease expires. */
+        const val SNAPSHOT_LEAD_TIME_MS = 450L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
@@ -7,74 +7,76 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Owns the follower leases that this leader holds, and what the peers sent with them: whether the state service serves
- * them, and whether they could take over at once. A follower lease counts from when it was requested, so it ends here
- * before it ends at the peer that granted it. Called by [LeaderLease].
+ * Owns the follower leases that this leader holds, and what the peers reported with them: whether the state service
+ * serves them, and whether they could take over at once. Here a follower lease runs from when it was requested, so it
+ * expires here before it expires at the peer that granted it. Called by [LeaderLease].
  */
 class FollowerLeases(private val context: CoreContext, private val peerCount: Int, private val followerLeaseMs: Long) {
     private val majority = majorityWith(peerCount)
     private var seq = 0L
-    private var requestedAt = NEVER
+    private var requestedAtMs = NEVER
 
-    /** When the last [TRACKED_REQUESTS] requests were sent, by their number. */
-    private val sentAt = LongArray(TRACKED_REQUESTS) { NEVER }
+    /** When each of the last [TRACKED_REQUESTS] requests was sent; a ring, indexed by [slot]. */
+    private val sentAtMs = LongArray(TRACKED_REQUESTS) { NEVER }
 
-    /** By peer: until when its lease is good. */
-    private val leaseUntil = LongArray(peerCount) { NEVER }
+    /** By peer: when its lease expires. */
+    private val leaseUntilMs = LongArray(peerCount) { NEVER }
 
-    /** By peer: when the newest lease was requested with which the peer confirmed that the state service serves it. */
-    private val servedAt = LongArray(peerCount) { NEVER }
+    /** By peer: when the newest request was sent to which it replied that the state service serves it. */
+    private val servedAtMs = LongArray(peerCount) { NEVER }
 
-    /** By peer: whether it has read all that this leader wrote, so that it could take over at once. */
-    private val prepared = BooleanArray(peerCount)
+    /** By peer: whether it has a complete snapshot and could take over at once. */
+    private val isPrepared = BooleanArray(peerCount)
 
     /** Whether some peer could take over at once. */
-    val anyPeerPrepared: Boolean get() = prepared.any { it }
+    val anyPeerPrepared: Boolean get() = isPrepared.any { it }
 
-    /** A new term begins, for which nothing was granted yet. Requests are numbered on. */
+    /** Starts a term without any lease. The numbers of requests continue. */
     fun reset() {
-        leaseUntil.fill(NEVER)
-        servedAt.fill(NEVER)
-        prepared.fill(false)
-        requestedAt = NEVER
+        leaseUntilMs.fill(NEVER)
+        servedAtMs.fill(NEVER)
+        isPrepared.fill(false)
+        requestedAtMs = NEVER
     }
 
-    /** Asks all peers when it is due, [REQUESTS_PER_LEASE] times within the length of a lease. */
+    /** Requests leases from all peers, [REQUESTS_PER_LEASE] times within the length of a lease. */
     fun requestIfDue(fencingToken: Long, ready: Boolean) {
-        val now = context.steady
-        if (now - requestedAt < followerLeaseMs / REQUESTS_PER_LEASE) return
-        requestedAt = now
+        val nowMs = context.steady
+        if (nowMs - requestedAtMs < followerLeaseMs / REQUESTS_PER_LEASE) return
+        requestedAtMs = nowMs
         seq++
-        sentAt[slot(seq)] = now
+        sentAtMs[slot(seq)] = nowMs
         for (peer in 0 until peerCount) {
             context.emit(Effect.Send(peer, PeerMessage.FollowerLeaseRequest(fencingToken, seq, ready)))
         }
     }
 
-    /** Takes in an answer; false if it is too old to tell when it was asked for. */
+    /** Handles a response. Returns false if the request is so old that its time is no longer known. */
     fun accept(from: Int, response: PeerMessage.FollowerLeaseResponse): Boolean {
         if (response.seq <= seq - TRACKED_REQUESTS) return false
-        val askedAt = sentAt[slot(response.seq)]
-        if (response.granted) leaseUntil[from] = maxOf(leaseUntil[from], askedAt + minusClockDrift(followerLeaseMs))
-        if (response.stateServed) servedAt[from] = maxOf(servedAt[from], askedAt)
-        prepared[from] = response.prepared
+        val requestSentAtMs = sentAtMs[slot(response.seq)]
+        if (response.granted) {
+            leaseUntilMs[from] = maxOf(leaseUntilMs[from], requestSentAtMs + minusClockDrift(followerLeaseMs))
+        }
+        if (response.stateServed) servedAtMs[from] = maxOf(servedAtMs[from], requestSentAtMs)
+        isPrepared[from] = response.prepared
         return true
     }
 
-    /** Until when a majority, this controller counted, has granted not to campaign. */
-    fun majorityUntil(): Long {
+    /** When the leases of a majority, including this controller, expire; Long.MAX_VALUE without peers. */
+    fun majorityUntilMs(): Long {
         if (majority == 1) return Long.MAX_VALUE
-        val sorted = leaseUntil.sortedArray()
+        val sorted = leaseUntilMs.sortedArray()
         return sorted[sorted.size - (majority - 1)]
     }
 
-    /** Whether some peer was served by the state service after [moment]. */
-    fun anyPeerServedAfter(moment: Long): Boolean = servedAt.any { it > moment }
+    /** Whether some peer confirmed, in a response to a request sent after [atMs], that the state service serves it. */
+    fun anyPeerServedAfter(atMs: Long): Boolean = servedAtMs.any { it > atMs }
 
     private fun slot(seq: Long): Int = (seq % TRACKED_REQUESTS).toInt()
 
     private companion object {
-        /** An answer to an older request is of no use. */
+        /** Responses to older requests are dropped. */
         const val TRACKED_REQUESTS = 64
         const val REQUESTS_PER_LEASE = 4
     }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/GrantedFollowerLease.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/GrantedFollowerLease.kt
@@ -6,63 +6,64 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns the follower lease that this controller has granted to a leader, and its votes for candidates. No vote is given
- * against a lease, and no lease against a vote, also not against those of an earlier incarnation of this process, which
- * it has forgotten: they are waited out. Called by [Election] and [PeerRequestHandler].
+ * Owns the follower lease that this controller has granted to a leader, and its votes for candidates. While a lease
+ * binds this controller, it grants no vote; after a vote it grants no lease for an older fencing token. Leases and
+ * votes of an earlier incarnation are not known any more, so this controller waits until they have expired. Called by
+ * [Election] and [PeerRequestHandler].
  */
 class GrantedFollowerLease(
     private val context: CoreContext,
     private val options: OperatorSettings,
-    /**
-     * When this process began: an earlier incarnation had ended by then, and granted its last lease and vote before.
-     */
-    private val processStartedAt: Long,
+    /** When this process began. An earlier incarnation granted its last lease and its last vote before then. */
+    private val processStartedAtMs: Long,
 ) {
-    private var leaseUntil = NEVER
+    private var leaseUntilMs = NEVER
     private var votedFencingToken = 0L
     private var votedRevision = 0L
 
     /**
-     * Whether a record was read that was asked for once every vote of an earlier incarnation had run out. Until then
-     * this process may have voted for a leader that it does not know of any more, and grants no lease: an earlier
-     * version granted one to an older leader at once after a quick restart, and then two were entitled.
+     * Whether the record was read after every vote of an earlier incarnation had expired. Until then a leader may exist
+     * that an earlier incarnation voted for, so this controller grants no lease. Without this rule a controller that
+     * restarted quickly granted a lease to an older leader, and two leaders could act at once.
      */
-    private var forgottenVotesRanOut = false
+    private var earlierVotesExpired = false
 
-    /** Whether a lease that was granted binds this controller not to campaign and not to vote. */
-    val isBinding: Boolean get() = context.steady < leaseUntil
+    /** Whether a granted lease forbids this controller to campaign and to vote. */
+    val isBinding: Boolean get() = context.steady < leaseUntilMs
 
-    /** Whether a lease or vote of an earlier incarnation may still bind. */
+    /** Whether a lease or a vote of an earlier incarnation may still be valid. */
     val earlierIncarnationMayBind: Boolean
-        get() = context.steady - processStartedAt < plusClockDrift(options.followerLeaseMs)
+        get() = context.steady - processStartedAtMs < plusClockDrift(options.followerLeaseMs)
 
-    /** Whether a vote may be given at all now. */
     val mayVote: Boolean get() = !isBinding && !earlierIncarnationMayBind
 
-    /** The record was read, or found missing, as was asked for at [requestedAt]. */
-    fun onRecordRead(requestedAt: Long) {
-        if (requestedAt - processStartedAt >= plusClockDrift(options.followerLeaseMs)) forgottenVotesRanOut = true
+    /** The record was read or found missing, by a call that was sent at [requestedAtMs]. */
+    fun onRecordRead(requestedAtMs: Long) {
+        if (requestedAtMs - processStartedAtMs >= plusClockDrift(options.followerLeaseMs)) earlierVotesExpired = true
     }
 
-    /** A record is newer than what we voted on, and has an older fencing token: that vote has come to nothing. */
+    /**
+     * The record has changed. If it is newer than the record that was voted on but has an older fencing token than the
+     * vote, the campaign failed, and the vote no longer forbids leases for the record's token.
+     */
     fun onRecordChanged(record: LeadershipRecord, revision: Long) {
         if (revision > votedRevision && record.fencingToken < votedFencingToken) votedFencingToken = record.fencingToken
     }
 
     /** The leader that holds the lease has stepped down. */
     fun release() {
-        leaseUntil = NEVER
+        leaseUntilMs = NEVER
     }
 
-    /** Grants the leader of [fencingToken] not to campaign against it; false if it may not. */
+    /** Grants a lease to the leader of [fencingToken]. Returns false if that is not allowed. */
     fun grant(fencingToken: Long): Boolean {
-        if (!forgottenVotesRanOut || fencingToken < votedFencingToken) return false
-        leaseUntil = maxOf(leaseUntil, context.steady + options.followerLeaseMs)
+        if (!earlierVotesExpired || fencingToken < votedFencingToken) return false
+        leaseUntilMs = maxOf(leaseUntilMs, context.steady + options.followerLeaseMs)
         return true
     }
 
-    /** A vote was given; our own binds us like any other. */
-    fun voted(fencingToken: Long, revision: Long) {
+    /** This controller voted for a peer, or for itself by campaigning. */
+    fun onVoted(fencingToken: Long, revision: Long) {
         votedFencingToken = maxOf(votedFencingToken, fencingToken)
         votedRevision = maxOf(votedRevision, revision)
     }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
@@ -3,64 +3,64 @@
 import org.chalkhollow.core.common.NEVER
 
 /**
- * Owns which controllers the workers reach. A leader that none of them reaches any more, while they ask at its peers,
- * keeps their leases from being renewed by anyone: it has to step down. A worker without an answer turns to another
- * controller after about 5 s, so within [WINDOW_MS] all of them have asked somewhere. Whoever takes a heartbeat counts
- * it here; [LeaderLease] asks.
+ * Counts workers' heartbeats at this controller and at its peers, to find out which controllers the workers reach.
+ * While workers reach only the leader's peers, nobody renews their leases, so the leader has to step down. A worker
+ * without a response switches to another controller after about 5 s, so every worker sends a heartbeat to some
+ * controller within [WINDOW_MS]. Read by [LeaderLease].
  */
 class HeartbeatTraffic(peerCount: Int) {
-    /** Heartbeats by second, as a ring over the window; [countedSlot] tells which second a count is of. */
-    private val counts = IntArray(SLOTS)
-    private val countedSlot = LongArray(SLOTS) { -1 }
-    private val countAtPeer = IntArray(peerCount)
-    private val toldByPeerAt = LongArray(peerCount) { NEVER }
+    /** Heartbeats per second, as a ring over the window; [countedSecond] has the second of each count. */
+    private val counts = IntArray(SLOT_COUNT)
+    private val countedSecond = LongArray(SLOT_COUNT) { -1 }
+    private val countByPeer = IntArray(peerCount)
+    private val peerCountReceivedAtMs = LongArray(peerCount) { NEVER }
 
-    /** A worker's heartbeat has come in here. */
-    fun received(now: Long) {
-        val slot = now / SLOT_MS
-        val index = (slot % SLOTS).toInt()
-        if (countedSlot[index] != slot) {
-            countedSlot[index] = slot
+    /** This controller received a heartbeat. */
+    fun received(nowMs: Long) {
+        val second = nowMs / SLOT_MS
+        val index = (second % SLOT_COUNT).toInt()
+        if (countedSecond[index] != second) {
+            countedSecond[index] = second
             counts[index] = 0
         }
         counts[index]++
     }
 
-    /** How many heartbeats came in here within [WINDOW_MS]. */
-    fun receivedWithinWindow(now: Long): Int {
-        val oldest = now / SLOT_MS - SLOTS
+    /** How many heartbeats this controller received within [WINDOW_MS]. */
+    fun receivedWithinWindow(nowMs: Long): Int {
+        val oldest = nowMs / SLOT_MS - SLOT_COUNT
         var sum = 0
-        for (index in 0 until SLOTS) if (countedSlot[index] > oldest) sum += counts[index]
+        for (index in 0 until SLOT_COUNT) if (countedSecond[index] > oldest) sum += counts[index]
         return sum
     }
 
-    /** A peer says how many came in there. */
-    fun receivedByPeer(peer: Int, heartbeats: Int, now: Long) {
-        countAtPeer[peer] = heartbeats
-        toldByPeerAt[peer] = now
+    /** The peer [peer] reported how many [heartbeats] it received within [WINDOW_MS]. */
+    fun onPeerCount(peer: Int, heartbeats: Int, nowMs: Long) {
+        countByPeer[peer] = heartbeats
+        peerCountReceivedAtMs[peer] = nowMs
     }
 
-    /** Whether workers ask at the peers and hardly any here. */
-    fun workersReachOnlyPeers(now: Long): Boolean {
+    /** Whether the peers receive heartbeats and this controller receives hardly any. */
+    fun workersReachOnlyPeers(nowMs: Long): Boolean {
         var atPeers = 0
-        for (peer in countAtPeer.indices) {
-            if (now - toldByPeerAt[peer] <
+        for (peer in countByPeer.indices) {
+            if (nowMs - peerCountReceivedAtMs[peer] <
                 PEER_COUNT_VALID_MS
             ) {
-                atPeers += countAtPeer[peer]
+                atPeers += countByPeer[peer]
             }
         }
-        return atPeers >= MIN_AT_PEERS && receivedWithinWindow(now) * PEERS_TO_HERE_RATIO < atPeers
+        return atPeers >= MIN_PEER_HEARTBEATS && receivedWithinWindow(nowMs) * MIN_PEER_TO_LOCAL_RATIO < atPeers
     }
 
     companion object {
         const val WINDOW_MS = 6000L
         private const val SLOT_MS = 1000L
-        private const val SLOTS = (WINDOW_MS / SLOT_MS).toInt()
+        private const val SLOT_COUNT = (WINDOW_MS / SLOT_MS).toInt()
         private const val PEER_COUNT_VALID_MS = 1500L
-        private const val MIN_AT_PEERS = 3
+        private const val MIN_PEER_HEARTBEATS = 3
 
-        /** Hardly any: so many times fewer than at the peers. */
-        private const val PEERS_TO_HERE_RATIO = 8
+        /** The peers together receive more than this many times as many heartbeats as this controller. */
+        private const val MIN_PEER_TO_LOCAL_RATIO = 8
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeaderLease.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeaderLease.kt
@@ -8,8 +8,8 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns the leader's side of the lease: when it was last renewed, since when writes fail, the follower leases that peers
- * have granted, and whether to transfer leadership. Its answers hold only while this controller leads; [Leadership]
+ * Owns the leader's side of the leader lease: when it was last renewed, since when writes fail, the follower leases
+ * that peers have granted, and whether to transfer leadership. Valid only while this controller leads; [Leadership]
  * checks the role and calls it.
  */
 class LeaderLease(
@@ -19,97 +19,98 @@
     private val heartbeatTraffic: HeartbeatTraffic,
 ) {
     private val followerLeases = FollowerLeases(context, peerCount, options.followerLeaseMs)
-    private var electedAt = NEVER
-    private var renewedAt = NEVER
-    private var failingSince = NEVER
-    private var refusedAloneSince = NEVER
+    private var electedAtMs = NEVER
+    private var renewedAtMs = NEVER
+    private var failingSinceMs = NEVER
+    private var onlyPeersServedSinceMs = NEVER
 
-    /** A term begins whose record was sent at [sentAt]. */
-    fun start(sentAt: Long) {
-        renewedAt = sentAt
-        electedAt = context.steady
-        failingSince = NEVER
-        refusedAloneSince = NEVER
+    /** Starts a term, whose record was sent at [sentAtMs]. */
+    fun start(sentAtMs: Long) {
+        renewedAtMs = sentAtMs
+        electedAtMs = context.steady
+        failingSinceMs = NEVER
+        onlyPeersServedSinceMs = NEVER
         followerLeases.reset()
     }
 
     /**
-     * Whether a leader may act for all at this moment: by its own lease, or by follower leases of a majority while
-     * they last, but never beyond the time after which a candidate may do without votes.
+     * Whether the leader may act at this moment: on its leader lease, or on valid follower leases of a majority. On
+     * follower leases it may act only until a candidate may take over without votes.
      */
     fun mayActAsLeader(): Boolean {
-        val now = context.steady
-        if (now < renewedAt + minusClockDrift(options.leaderLeaseMs)) return true
-        return now < followerLeases.majorityUntil() && now < renewedAt + minusClockDrift(options.outageLimitMs)
+        val nowMs = context.steady
+        if (nowMs < renewedAtMs + minusClockDrift(options.leaderLeaseMs)) return true
+        return nowMs < followerLeases.majorityUntilMs() && nowMs < renewedAtMs + minusClockDrift(options.outageLimitMs)
     }
 
-    /** For the log: how fresh what entitles this leader is. */
+    /** The state of the leases, for the log. */
     fun describeLeases(): String {
-        val sinceRenewal = context.steady - renewedAt
-        val leasesLeft = followerLeases.majorityUntil() - context.steady
-        return "last renewal $sinceRenewal ms ago, follower leases of a majority for $leasesLeft ms"
+        val sinceRenewalMs = context.steady - renewedAtMs
+        val leasesLeftMs = followerLeases.majorityUntilMs() - context.steady
+        return "last renewal $sinceRenewalMs ms ago, follower leases of a majority expire in $leasesLeftMs ms"
     }
 
-    /** A write that was sent at [sentAt] was confirmed: the lease runs from then. */
-    fun renewed(sentAt: Long) {
-        if (sentAt > renewedAt) renewedAt = sentAt
-        failingSince = NEVER
+    /** A write that was sent at [sentAtMs] was committed; the leader lease runs from then. */
+    fun onWriteConfirmed(sentAtMs: Long) {
+        if (sentAtMs > renewedAtMs) renewedAtMs = sentAtMs
+        failingSinceMs = NEVER
     }
 
-    /** A write that was sent at [sentAt] was refused, or had no answer. */
-    fun writeFailed(sentAt: Long) {
-        if (failingSince == NEVER) failingSince = sentAt
+    /** A write that was sent at [sentAtMs] failed or has no reply. */
+    fun onWriteFailed(sentAtMs: Long) {
+        if (failingSinceMs == NEVER) failingSinceMs = sentAtMs
     }
 
     fun requestFollowerLeases(fencingToken: Long, ready: Boolean) = followerLeases.requestIfDue(fencingToken, ready)
 
-    /** Takes in a peer's answer to a request of this term. */
+    /** Handles a peer's response to a request of this term. */
     fun onLeaseResponse(from: Int, response: PeerMessage.FollowerLeaseResponse) {
         if (!followerLeases.accept(from, response)) return context.dropped.count(DroppedInput.MESSAGE_LATE)
-        heartbeatTraffic.receivedByPeer(from, response.heartbeats, context.steady)
+        heartbeatTraffic.onPeerCount(from, response.heartbeats, context.steady)
     }
 
-    /** Why leadership should pass to a peer now, or null while there is no reason. */
-    fun transferReason(): StepDownReason.Own? =
+    /** Why this leader should transfer leadership to a peer now; null if it should not. */
+    fun transferReason(): StepDownReason.Local? =
         when {
-            shouldYieldToServedPeer() -> StepDownReason.Local.REFUSED_BY_STATE_SERVICE
-            notReachedByWorkers() -> StepDownReason.Local.NOT_REACHED_BY_WORKERS
+            shouldTransferToServedPeer() -> StepDownReason.Local.NOT_SERVED_BY_STATE_SERVICE
+            isUnreachedByWorkers() -> StepDownReason.Local.NOT_REACHED_BY_WORKERS
             else -> null
         }
 
     /**
-     * Nobody renews the workers' leases from a step-down until a peer leads, and if the state service falls silent for
-     * all in between, nobody does until it is back. So leadership is given up only once a peer could take it at once,
-     * or none could for a while.
+     * Nobody renews the workers' leases between a step-down and the next term. If an outage of the state service begins
+     * in between, nobody does until it ends. So a leader that is not served steps down only when a peer could take over
+     * at once, or when no peer could within [PREPARED_PEER_WAIT_MS].
      */
-    private fun shouldYieldToServedPeer(): Boolean {
-        if (!refusedAlone()) {
-            refusedAloneSince = NEVER
+    private fun shouldTransferToServedPeer(): Boolean {
+        if (!onlyPeersAreServed()) {
+            onlyPeersServedSinceMs = NEVER
             return false
         }
-        if (refusedAloneSince == NEVER) refusedAloneSince = context.steady
-        return followerLeases.anyPeerPrepared || context.steady - refusedAloneSince > PREPARED_PEER_WAIT_MS
+        if (onlyPeersServedSinceMs == NEVER) onlyPeersServedSinceMs = context.steady
+        return followerLeases.anyPeerPrepared || context.steady - onlyPeersServedSinceMs > PREPARED_PEER_WAIT_MS
     }
 
     /**
-     * Peers were served by the state service after it had begun to refuse us: this is no outage, so step down. What
-     * they say when an outage begins is still about the time before it; an earlier version took that for later and
-     * stepped down, and with no leader until the outage was over all tasks were lost.
+     * Whether the state service served peers after it had stopped serving this leader, so that this is not an outage
+     * for all. When an outage begins, peers still report that they were served before it. Such reports must not count:
+     * a leader that stepped down because of them left the cluster without a leader until the outage ended, and all
+     * tasks were lost.
      */
-    private fun refusedAlone(): Boolean {
-        if (failingSince == NEVER || context.steady <= failingSince) return false
-        val certainlyAfter = failingSince + LeadershipRecordWatch.recentlyServedMs(options) + SERVED_MARGIN_MS
-        return followerLeases.anyPeerServedAfter(certainlyAfter)
+    private fun onlyPeersAreServed(): Boolean {
+        if (failingSinceMs == NEVER || context.steady <= failingSinceMs) return false
+        val afterFailureMs = failingSinceMs + LeadershipRecordWatch.recentlyServedWindowMs(options) + SERVED_MARGIN_MS
+        return followerLeases.anyPeerServedAfter(afterFailureMs)
     }
 
-    private fun notReachedByWorkers(): Boolean =
-        context.steady - electedAt > HeartbeatTraffic.WINDOW_MS &&
+    private fun isUnreachedByWorkers(): Boolean =
+        context.steady - electedAtMs > HeartbeatTraffic.WINDOW_MS &&
             heartbeatTraffic.workersReachOnlyPeers(context.steady)
 
     private companion object {
         const val SERVED_MARGIN_MS = 450L
 
-        /** How long a leader that is refused alone waits for a peer that could follow it at once. */
+        /** How long a leader that is not served waits for a peer that could take over at once. */
         const val PREPARED_PEER_WAIT_MS = 800L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -7,18 +7,19 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Decides who leads, and answers for this controller whether it may act as leader.
+ * Elects the leader, and tells whether this controller may act as the leader.
  *
- * The leadership record is a lease: every write of the leader changes its revision, and a follower may take over only
- * after it has seen the same revision for longer than any renewal is good for. Beside it stand the peers' follower
- * leases: while a majority (the leader counted) has granted not to campaign, the leader stays entitled although the
- * state service serves nobody, because a candidate needs the votes of a majority, and no vote is given against a
- * follower lease. A candidate without votes has to wait out [OperatorSettings.outageLimitMs], beyond which no leader
- * acts on follower leases.
+ * The leadership record is the leader lease. Every write of the leader changes the record's revision, and a follower
+ * may take over only after it has seen the same revision for longer than the lease.
+ *
+ * Peers also grant follower leases to the leader. While it holds those of a majority (itself included), it may act
+ * during an outage of the state service: a candidate needs the votes of a majority, and a controller bound by a
+ * follower lease grants no vote. A candidate may campaign without votes only after [OperatorSettings.outageLimitMs],
+ * and by then no leader acts on follower leases any longer.
  *
  * This class owns the transitions between the roles. Its parts are [LeadershipState], [LeadershipRecordWatch],
- * [GrantedFollowerLease], [Election] (the way to leadership), [LeaderLease] (the leader's lease) and
- * [PeerRequestHandler]. Called by the controller and, for the outcome of writes, by the state writer.
+ * [GrantedFollowerLease], [Election], [LeaderLease] and [PeerRequestHandler]. Called by the controller and, for the
+ * outcome of writes, by the state writer.
  */
 class Leadership(
     private val context: CoreContext,
@@ -26,29 +27,24 @@
     peers: List<String>,
     incarnation: Long,
     options: OperatorSettings,
-    startedAt: Long,
-    /** When this process began, see [GrantedFollowerLease]. */
-    processStartedAt: Long,
+    startedAtMs: Long,
+    /** When this process began; see [GrantedFollowerLease]. */
+    processStartedAtMs: Long,
     private val events: Events,
 ) {
-    /** What leadership needs of the rest of the controller, and what it tells it. */
+    /** What leadership needs from the rest of the controller, and the changes of role that it reports. */
     interface Events {
-        /**
-         * To read all that leaders have written, from now on, when the leadership record has [revision]. Every write
-         * raises the record, so if it still has that revision when this controller takes over, what was read is all
-         * there is.
-         */
+        /** Asks for a snapshot of all stored records, begun while the leadership record has [revision]. */
         fun requestSnapshot(revision: Long)
 
-        /** Whether all was read since the record had [revision]. */
+        /** Whether the snapshot for [revision] is complete. */
         fun snapshotComplete(revision: Long): Boolean
 
-        /** What was read is out of date. */
         fun discardSnapshot()
 
         /**
-         * This controller leads under [fencingToken], and the record, after [writes] writes, has [revision]. Nothing
-         * was written since it had [snapshotRevision], for which the snapshot is complete.
+         * This controller leads with [fencingToken]. The record counts [writes] writes and has [revision]. Nothing was
+         * written since it had [snapshotRevision], for which the snapshot is complete.
          */
         fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long)
 
@@ -57,41 +53,40 @@
 
     enum class Role { FOLLOWER, CANDIDATE, LEADER }
 
-    /** Which controllers the workers reach. */
     val heartbeatTraffic = HeartbeatTraffic(peers.size)
 
-    /** Set once the leader has rebuilt its view and takes users' requests. */
+    /** Whether this leader has loaded the stored records and accepts users' requests. */
     var ready = false
 
     private val self = ControllerIdentity(label, incarnation, peers)
-    private val state = LeadershipState(context, startedAt)
-    private val recordWatch = LeadershipRecordWatch(context, options, startedAt)
-    private val grantedLease = GrantedFollowerLease(context, options, processStartedAt)
+    private val state = LeadershipState(context, startedAtMs)
+    private val recordWatch = LeadershipRecordWatch(context, options, startedAtMs)
+    private val grantedLease = GrantedFollowerLease(context, options, processStartedAtMs)
     private val lease = LeaderLease(context, options, peers.size, heartbeatTraffic)
     private val election = Election(context, options, self, state, recordWatch, grantedLease, events, ::onElectionWon)
     private val peerRequests =
         PeerRequestHandler(context, state, recordWatch, grantedLease, heartbeatTraffic, events)
-    private var wasEntitled = false
+    private var couldAct = false
 
     val role: Role get() = state.role
 
-    /** The fencing token under which this controller leads, or the newest that it has heard of. */
+    /** The fencing token with which this controller leads, or the newest that it knows. */
     val fencingToken: Long get() = state.fencingToken
 
-    /** Whether this controller may act for all at this moment. */
+    /** Whether this controller is the leader and its leases allow it to act at this moment. */
     fun mayActAsLeader(): Boolean = role == Role.LEADER && lease.mayActAsLeader()
 
-    /** The peer to send others to, or [LeadershipState.NO_PEER] if none was heard of lately. */
+    /** See [LeadershipState.reachableLeader]. */
     fun reachableLeader(): Int = state.reachableLeader()
 
-    /** Whether the peer that leads takes users' requests, as far as known. */
+    /** Whether the leading peer accepts users' requests, according to its last lease request. */
     fun leaderIsReady(): Boolean = state.leaderReady
 
-    /** Whether this controller leads, has heard from a leader within [ms], or has only just begun to listen for one. */
-    fun hasLeaderContact(ms: Long): Boolean = mayActAsLeader() || state.heardOfLeaderWithin(ms)
+    /** Whether this controller leads, or heard from a leader or was started within the last [withinMs] milliseconds. */
+    fun hasLeaderContact(withinMs: Long): Boolean = mayActAsLeader() || state.heardFromLeaderWithin(withinMs)
 
     fun tick() {
-        logEntitlement()
+        logLeaseChange()
         when (role) {
             Role.LEADER -> lead()
             Role.FOLLOWER -> election.follow()
@@ -99,13 +94,13 @@
         }
     }
 
-    private fun logEntitlement() {
-        val now = mayActAsLeader()
-        if (now == wasEntitled) return
-        wasEntitled = now
+    private fun logLeaseChange() {
+        val mayAct = mayActAsLeader()
+        if (mayAct == couldAct) return
+        couldAct = mayAct
         if (role != Role.LEADER) return
-        if (now) return context.info("entitled to lead again")
-        context.warn("not entitled to lead: ${lease.describeLeases()}; heartbeats go unanswered")
+        if (mayAct) return context.info("leases are valid: acting as leader")
+        context.warn("leases have expired: ${lease.describeLeases()}; not responding to heartbeats until a renewal")
     }
 
     private fun lead() {
@@ -115,12 +110,12 @@
     }
 
     private fun transferLeadership(reason: StepDownReason) {
-        // No longer entitled from here on, so the follower leases that we hold bind nobody any more.
+        // This controller no longer acts as leader from here on, so peers need not keep their follower leases.
         for (peer in self.peers.indices) context.emit(Effect.Send(peer, PeerMessage.LeadershipRelease(fencingToken)))
         stepDown(reason)
     }
 
-    /** Ends the term at once; the follower leases that were granted to it run out by themselves. */
+    /** Ends the term at once. The follower leases that peers granted are not released but expire. */
     fun stepDown(reason: StepDownReason) {
         if (role != Role.LEADER) return
         context.info("stepping down from fencing token $fencingToken: ${reason.description}")
@@ -133,25 +128,25 @@
     private fun onElectionWon(win: Election.Win) {
         val record = win.record
         state.becomeLeader(record.fencingToken)
-        lease.start(win.sentAt)
+        lease.start(win.sentAtMs)
         context.info("leading with fencing token $fencingToken")
         events.onElected(fencingToken, win.revision, record.writes, win.snapshotRevision)
         lead()
     }
 
-    /** What [Events.requestSnapshot] asked for was read. */
+    /** The snapshot that [Events.requestSnapshot] asked for is complete. */
     fun onSnapshotComplete() {
         if (role == Role.FOLLOWER) election.follow()
     }
 
-    /** A write that was sent at [sentAt] was confirmed: the lease runs from then. */
-    fun renewed(sentAt: Long) {
-        lease.renewed(sentAt)
-        recordWatch.stateServiceAnswered()
+    /** A write that was sent at [sentAtMs] was committed; the leader lease runs from then. */
+    fun onWriteConfirmed(sentAtMs: Long) {
+        lease.onWriteConfirmed(sentAtMs)
+        recordWatch.onStateServiceReply()
     }
 
-    /** A write was refused, or is without an answer although it was sent at [sentAt]. */
-    fun writeFailed(sentAt: Long = context.steady) = lease.writeFailed(sentAt)
+    /** A write that was sent at [sentAtMs] failed or has no reply. */
+    fun onWriteFailed(sentAtMs: Long = context.steady) = lease.onWriteFailed(sentAtMs)
 
     fun onPeer(from: Int, message: PeerMessage) {
         when (message) {
@@ -165,7 +160,7 @@
     }
 
     private fun onLeaseResponse(from: Int, response: PeerMessage.FollowerLeaseResponse) {
-        val ofThisTerm = role == Role.LEADER && response.fencingToken == fencingToken
-        if (ofThisTerm) lease.onLeaseResponse(from, response) else context.dropped.count(DroppedInput.MESSAGE_LATE)
+        val isOfThisTerm = role == Role.LEADER && response.fencingToken == fencingToken
+        if (isOfThisTerm) lease.onLeaseResponse(from, response) else context.dropped.count(DroppedInput.MESSAGE_LATE)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecord.kt
@@ -4,11 +4,11 @@
 import org.chalkhollow.wire.Fields
 
 /**
- * The leadership record: who leads, in which incarnation of that process, under which fencing token, after how many
- * writes. It is stored under [KEY]; every write of a leader raises it.
+ * The leadership record: the label and incarnation of the leader, its fencing token, and its number of writes in this
+ * term. It is stored under [KEY]. Every write of the leader increments [writes].
  */
 data class LeadershipRecord(val owner: String, val incarnation: Long, val fencingToken: Long, val writes: Long) {
-    /** The stored form; its names are fixed. */
+    /** The stored form. Its field names must not change. */
     fun value(): Map<String, Any?> =
         mapOf("owner" to owner, "life" to incarnation, "generation" to fencingToken, "writes" to writes)
 
@@ -16,9 +16,9 @@
         const val KEY = "ch/lead"
 
         /**
-         * The record in [row].
+         * Decodes the record in [row].
          *
-         * @throws org.chalkhollow.wire.MalformedMessageException if it cannot be read
+         * @throws org.chalkhollow.wire.MalformedMessageException if a field is missing or has the wrong type
          */
         fun of(row: KeyValue): LeadershipRecord {
             val fields = Fields.of(row.value, "leadership record")
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
@@ -7,108 +7,110 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns what a follower has seen of the leadership record: its content, since when it has not changed, and whether the
- * leader that wrote it has released it by stepping down. A lease counts from when we first saw a revision, which is
- * after it was written, so it has certainly expired when that long has passed here. Called by [Election], and by
- * [Leadership] and [PeerRequestHandler] for what they learn.
+ * Owns what a follower knows of the leadership record: its content, since when it is unchanged, and whether its leader
+ * released it by stepping down. Here a lease runs from when this controller first saw the revision. That is after it
+ * was written, so the lease has expired for the leader when it has expired here. Called by [Election], and by
+ * [Leadership] and [PeerRequestHandler] to report replies and releases.
  */
-class LeadershipRecordWatch(private val context: CoreContext, private val options: OperatorSettings, startedAt: Long) {
-    /** The record as it was read last, or null while there is none or none was read. */
+class LeadershipRecordWatch(
+    private val context: CoreContext,
+    private val options: OperatorSettings,
+    startedAtMs: Long,
+) {
+    /** The record as it was last read; null if there is none or none was read. */
     var record: LeadershipRecord? = null
         private set
 
-    /** The record's revision; [NO_RECORD] if there is none, [UNREAD] before one was read. */
+    /** The record's revision; [NO_RECORD] if there is no record, [UNREAD] before the first read. */
     var revision = UNREAD
         private set
-    private var unchangedSince = NEVER
+    private var unchangedSinceMs = NEVER
     private var readInFlight = false
-    private var nextReadAt = startedAt
-    private var answeredAt = NEVER
+    private var nextReadAtMs = startedAtMs
+    private var repliedAtMs = NEVER
 
     /**
-     * The last fencing token whose leader has released its lease: it binds nobody, however lately that leader wrote.
+     * The last fencing token whose leader released its lease. That lease is over, even if the leader has just written.
      */
     private var releasedFencingToken = 0L
-    private var releasedAt = NEVER
+    private var releasedAtMs = NEVER
 
-    /** Reads the record when it is due; [onReply] gets the moment of the request, and the reply. */
+    /** Reads the record when a read is due. [onReply] gets the time of the call, in ms, and the reply. */
     fun readIfDue(onReply: (Long, StateReply) -> Unit) {
-        val requestedAt = context.steady
-        if (readInFlight || requestedAt < nextReadAt) return
+        val requestedAtMs = context.steady
+        if (readInFlight || requestedAtMs < nextReadAtMs) return
         readInFlight = true
         context.callStateService(StateOp.Read(LeadershipRecord.KEY)) { reply ->
             readInFlight = false
-            nextReadAt = context.steady + options.leaderRenewMs
-            onReply(requestedAt, reply)
+            nextReadAtMs = context.steady + options.leaderRenewMs
+            onReply(requestedAtMs, reply)
         }
     }
 
-    fun readAgainAt(moment: Long) {
-        nextReadAt = moment
+    fun scheduleRead(atMs: Long) {
+        nextReadAtMs = atMs
     }
 
-    /** The state service has answered us. */
-    fun stateServiceAnswered() {
-        answeredAt = context.steady
+    fun onStateServiceReply() {
+        repliedAtMs = context.steady
     }
 
-    /** Whether the state service has answered us so lately that reads and writes can be expected to succeed. */
-    val stateServiceAnswers: Boolean
-        get() = context.steady - answeredAt <= options.leaderRenewMs * 2 + READ_SLACK_MS
+    /** Whether the state service replied recently enough to expect that reads and writes succeed. */
+    val isStateServiceAvailable: Boolean
+        get() = context.steady - repliedAtMs <= options.leaderRenewMs * 2 + READ_SLACK_MS
 
-    /** Whether to tell a leader that the state service serves us. */
-    val recentlyServed: Boolean get() = context.steady - answeredAt < recentlyServedMs(options)
+    /** Whether the state service replied within [recentlyServedWindowMs]; reported to the leader. */
+    val isRecentlyServed: Boolean get() = context.steady - repliedAtMs < recentlyServedWindowMs(options)
 
-    /** Takes in a record as it was read; true if its revision is new. */
+    /** Stores a record that was read. Returns true if its revision has changed. */
     fun update(newRecord: LeadershipRecord, newRevision: Long): Boolean {
         val changed = newRevision != revision
         if (changed) {
             revision = newRevision
-            unchangedSince = context.steady
+            unchangedSinceMs = context.steady
         }
         record = newRecord
         return changed
     }
 
-    /** There is no record. */
-    fun recordMissing() {
+    fun onRecordMissing() {
         record = null
         revision = NO_RECORD
     }
 
-    /** What was seen is out of date, and is read anew. */
+    /** Forgets the record and reads it again at once. */
     fun reset() {
         record = null
         revision = UNREAD
-        unchangedSince = context.steady
-        nextReadAt = context.steady
+        unchangedSinceMs = context.steady
+        nextReadAtMs = context.steady
     }
 
-    /** For how long the record has not changed. */
-    fun unchangedMs(): Long = context.steady - unchangedSince
+    /** How long the record has been unchanged. */
+    fun unchangedMs(): Long = context.steady - unchangedSinceMs
 
-    /** The leader of [fencingToken] has stepped down and released its lease. */
+    /** The leader with [fencingToken] has stepped down and released its lease. */
     fun onRelease(fencingToken: Long) {
         releasedFencingToken = fencingToken
-        releasedAt = context.steady
-        nextReadAt = context.steady
+        releasedAtMs = context.steady
+        nextReadAtMs = context.steady
     }
 
-    /** Whether the leader of [record] released its lease [sinceMs] ago or before, and the record was read since. */
+    /** Whether the leader of [record] released its lease at least [sinceMs] ago, and the record was read since then. */
     fun isReleased(record: LeadershipRecord, sinceMs: Long): Boolean =
         record.fencingToken == releasedFencingToken &&
-            context.steady - releasedAt >= sinceMs &&
-            answeredAt > releasedAt
+            context.steady - releasedAtMs >= sinceMs &&
+            repliedAtMs > releasedAtMs
 
     companion object {
         private const val NO_RECORD = 0L
         private const val UNREAD = -1L
 
-        /** A record is read, and its answer seen, within this long beside the two periods of its renewal. */
+        /** How much longer than two renewal periods a read and its reply may take. */
         private const val READ_SLACK_MS = 700L
         private const val SERVED_SLACK_MS = 200L
 
-        /** A peer that the state service answered within this time says that it is served. */
-        fun recentlyServedMs(options: OperatorSettings): Long = options.leaderRenewMs * 2 + SERVED_SLACK_MS
+        /** A peer reports that the state service serves it if it had a reply within this time. */
+        fun recentlyServedWindowMs(options: OperatorSettings): Long = options.leaderRenewMs * 2 + SERVED_SLACK_MS
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipState.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipState.kt
@@ -4,60 +4,60 @@
 import org.chalkhollow.core.common.NEVER
 
 /**
- * Owns this controller's role, the newest fencing token that it knows, and which peer leads as far as it has heard.
- * The parts of [Leadership] share it: [Election] and [PeerRequestHandler] change it, and so does [Leadership] itself.
- * The fencing token never falls.
+ * Owns this controller's role, the newest fencing token that it knows, and the peer that last reported to lead. The
+ * parts of [Leadership] share it. [Election], [PeerRequestHandler] and [Leadership] change it. The fencing token never
+ * decreases.
  */
-class LeadershipState(private val context: CoreContext, private val startedAt: Long) {
+class LeadershipState(private val context: CoreContext, private val startedAtMs: Long) {
     var role = Leadership.Role.FOLLOWER
 
-    /** The fencing token under which this controller leads, or the newest that it has heard of. */
+    /** The fencing token with which this controller leads, or the newest that it knows. */
     var fencingToken = 0L
         private set
 
-    /** Index of the peer that leads as far as known, or [NO_PEER]. */
+    /** Index of the peer that last reported to lead, or [NO_PEER]. */
     var leaderPeer = NO_PEER
         private set
 
-    /** Whether that peer has rebuilt its view and takes users' requests. */
+    /** Whether that peer has loaded the stored records and accepts users' requests. */
     var leaderReady = false
         private set
-    private var leaderHeardAt = NEVER
+    private var heardFromLeaderAtMs = NEVER
 
-    /** Takes in a fencing token that was read or received. */
+    /** Records a fencing token that was read or received. */
     fun observe(newFencingToken: Long) {
         if (newFencingToken > fencingToken) fencingToken = newFencingToken
     }
 
-    /** The peer [peer] leads under [newFencingToken], and has just said so. */
+    /** The peer with index [peer] has just reported that it leads with [newFencingToken]. */
     fun heardFromLeader(peer: Int, newFencingToken: Long, ready: Boolean) {
         observe(newFencingToken)
         leaderPeer = peer
-        leaderHeardAt = context.steady
+        heardFromLeaderAtMs = context.steady
         leaderReady = ready
     }
 
-    /** The leader that was heard of has stepped down. */
-    fun leaderSteppedDown() {
-        leaderHeardAt = NEVER
+    /** The leading peer has stepped down. */
+    fun onLeaderSteppedDown() {
+        heardFromLeaderAtMs = NEVER
     }
 
-    /** This controller leads under [newFencingToken]. */
+    /** This controller leads with [newFencingToken]. */
     fun becomeLeader(newFencingToken: Long) {
         role = Leadership.Role.LEADER
         fencingToken = newFencingToken
         leaderPeer = NO_PEER
     }
 
-    /** The peer to send others to, or [NO_PEER] if none was heard of lately. */
+    /** Index of the peer to redirect to, or [NO_PEER] if no leader was heard from within [LEADER_CONTACT_VALID_MS]. */
     fun reachableLeader(): Int =
-        if (leaderPeer >= 0 && context.steady - leaderHeardAt < LEADER_HEARD_MS) leaderPeer else NO_PEER
+        if (leaderPeer >= 0 && context.steady - heardFromLeaderAtMs < LEADER_CONTACT_VALID_MS) leaderPeer else NO_PEER
 
-    /** Whether a leader was heard of within [ms], or this controller has only just begun to listen for one. */
-    fun heardOfLeaderWithin(ms: Long): Boolean = context.steady - maxOf(leaderHeardAt, startedAt) < ms
+    /** Whether a leader was heard from, or this controller was started, within the last [ms] milliseconds. */
+    fun heardFromLeaderWithin(ms: Long): Boolean = context.steady - maxOf(heardFromLeaderAtMs, startedAtMs) < ms
 
     companion object {
         const val NO_PEER = -1
-        private const val LEADER_HEARD_MS = 1600L
+        private const val LEADER_CONTACT_VALID_MS = 1600L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/PeerRequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/PeerRequestHandler.kt
@@ -6,8 +6,9 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Answers what peers ask of this controller: leaders for follower leases, candidates for votes. It never grants a lease
- * against a vote or a vote against a lease, see [GrantedFollowerLease]. Called by [Leadership].
+ * Responds to peers: to leaders that request follower leases, and to candidates that request votes. It grants neither a
+ * lease that conflicts with a vote nor a vote that conflicts with a lease; see [GrantedFollowerLease]. Called by
+ * [Leadership].
  */
 class PeerRequestHandler(
     private val context: CoreContext,
@@ -17,26 +18,26 @@
     private val heartbeatTraffic: HeartbeatTraffic,
     private val events: Leadership.Events,
 ) {
-    /** The leader [from] has stepped down: its lease binds nobody any more. */
+    /** The peer [from] has stepped down and released its lease. */
     fun onRelease(from: Int, release: PeerMessage.LeadershipRelease) {
         if (from != state.leaderPeer || release.fencingToken != state.fencingToken) {
             return context.dropped.count(DroppedInput.MESSAGE_LATE)
         }
         grantedLease.release()
-        state.leaderSteppedDown()
+        state.onLeaderSteppedDown()
         recordWatch.onRelease(release.fencingToken)
     }
 
     fun onLeaseRequest(from: Int, request: PeerMessage.FollowerLeaseRequest) {
-        val follows = request.fencingToken >= state.fencingToken && state.role == Leadership.Role.FOLLOWER
-        val granted = follows && grantedLease.grant(request.fencingToken)
-        if (follows) state.heardFromLeader(from, request.fencingToken, request.ready)
+        val isFollowed = request.fencingToken >= state.fencingToken && state.role == Leadership.Role.FOLLOWER
+        val granted = isFollowed && grantedLease.grant(request.fencingToken)
+        if (isFollowed) state.heardFromLeader(from, request.fencingToken, request.ready)
         val response =
             PeerMessage.FollowerLeaseResponse(
                 request.fencingToken,
                 request.seq,
                 granted,
-                stateServed = recordWatch.recentlyServed,
+                stateServed = recordWatch.isRecentlyServed,
                 heartbeats = heartbeatTraffic.receivedWithinWindow(context.steady),
                 prepared = events.snapshotComplete(recordWatch.revision),
             )
@@ -44,10 +45,10 @@
     }
 
     fun onVoteRequest(from: Int, request: PeerMessage.VoteRequest) {
-        val free = grantedLease.mayVote && state.role != Leadership.Role.LEADER
-        val upToDate = request.fencingToken > state.fencingToken && request.revision >= recordWatch.revision
-        val granted = free && upToDate
-        if (granted) grantedLease.voted(request.fencingToken, request.revision)
+        val mayVote = grantedLease.mayVote && state.role != Leadership.Role.LEADER
+        val isUpToDate = request.fencingToken > state.fencingToken && request.revision >= recordWatch.revision
+        val granted = mayVote && isUpToDate
+        if (granted) grantedLease.onVoted(request.fencingToken, request.revision)
         context.emit(Effect.Send(from, PeerMessage.VoteResponse(request.fencingToken, request.seq, granted)))
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/VoteCollector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/VoteCollector.kt
@@ -8,80 +8,84 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Owns the votes that this controller has requested. They count for one request only, from when that was sent, so they
- * end here before those who gave them may grant another leader a follower lease. Called by [Election].
+ * Owns the votes for this controller. A vote counts only for the request that it responds to, and runs from when the
+ * request was sent. So it expires here before its voter may grant another leader a follower lease. Called by
+ * [Election].
  */
 class VoteCollector(private val context: CoreContext, private val peerCount: Int, private val followerLeaseMs: Long) {
-    /** Begins at a random number: votes for an earlier incarnation must not count. */
+    /** Random, because votes for an earlier incarnation must not count. */
     private val firstSeq = context.random.nextLong(FIRST_SEQ_BOUND)
 
     /** The number of the last request. */
     var lastSeq = firstSeq
         private set
-    private var requestedAt = NEVER
+    private var requestedAtMs = NEVER
     private val grantedBy = BooleanArray(peerCount)
 
     /**
-     * Grows while votes come for a request before the last: only those for the last count, so asking again sooner than
-     * slow controllers answer would make every vote come too late. Two of them once asked each other for nine seconds.
+     * The time between two requests. Only votes for the last request count, so if requests were repeated faster than
+     * slow peers respond, every vote would come too late: two controllers requested votes from each other for 9 s.
+     * Therefore it doubles with each late vote.
      */
     private var retryMs = MIN_RETRY_MS
 
-    /** When the votes that the campaign rests on were requested; [NEVER] when it rests on none. */
-    private var reliedOnFrom = NEVER
+    /** When the votes for the current campaign were requested; [NEVER] if it needs none. */
+    private var campaignVotesRequestedAtMs = NEVER
 
-    /** Requests votes to follow [record], unless it has just done so. */
+    /** Requests votes to succeed the leader of [record], unless the last request was sent within [retryMs]. */
     fun requestVotes(record: LeadershipRecord, revision: Long) {
-        val now = context.steady
-        if (now - requestedAt < retryMs) return
-        if (now - requestedAt > 2 * MAX_RETRY_MS) retryMs = MIN_RETRY_MS
-        requestedAt = now
+        val nowMs = context.steady
+        if (nowMs - requestedAtMs < retryMs) return
+        if (nowMs - requestedAtMs > 2 * MAX_RETRY_MS) retryMs = MIN_RETRY_MS
+        requestedAtMs = nowMs
         lastSeq++
         grantedBy.fill(false)
         val request = PeerMessage.VoteRequest(record.fencingToken + 1, revision, lastSeq)
         for (peer in 0 until peerCount) context.emit(Effect.Send(peer, request))
     }
 
-    /** Whether [vote] answers a request of this incarnation of the process. */
-    fun answersThisIncarnation(vote: PeerMessage.VoteResponse): Boolean = vote.seq in firstSeq..lastSeq
+    /** Whether [vote] responds to a request of this incarnation. */
+    fun isForThisIncarnation(vote: PeerMessage.VoteResponse): Boolean = vote.seq in firstSeq..lastSeq
 
-    fun answersLastRequest(vote: PeerMessage.VoteResponse): Boolean = vote.seq == lastSeq
+    fun isForLastRequest(vote: PeerMessage.VoteResponse): Boolean = vote.seq == lastSeq
 
-    /** A vote came for a request before the last: the next one is to leave more time. */
-    fun onLateAnswer() {
+    /** A vote for an earlier request than the last one came in: waits longer before the next request. */
+    fun onLateVote() {
         retryMs = minOf(retryMs * 2, MAX_RETRY_MS)
     }
 
-    /** Takes in a vote that [peer] granted to the last request; returns how many there are, our own counted. */
+    /** Counts a vote of [peer] for the last request. Returns the number of votes, including this controller's own. */
     fun add(peer: Int): Int {
         if (grantedBy[peer]) context.dropped.count(DroppedInput.MESSAGE_REPEATED)
         grantedBy[peer] = true
         return grantedBy.count { it } + 1
     }
 
-    /** The campaign rests on the votes that were requested last. */
+    /** The campaign needs the votes that were requested last. */
     fun relyOnVotes() {
-        reliedOnFrom = requestedAt
+        campaignVotesRequestedAtMs = requestedAtMs
     }
 
     fun relyOnNoVotes() {
-        reliedOnFrom = NEVER
+        campaignVotesRequestedAtMs = NEVER
     }
 
-    /** Whether the votes that the campaign rests on, if any, still bind those who gave them. */
-    val stillBind: Boolean
-        get() = reliedOnFrom == NEVER || context.steady - reliedOnFrom < minusClockDrift(followerLeaseMs)
+    /** Whether the votes for the campaign are still valid; true if it needs none. */
+    val areVotesValid: Boolean
+        get() =
+            campaignVotesRequestedAtMs == NEVER ||
+                context.steady - campaignVotesRequestedAtMs < minusClockDrift(followerLeaseMs)
 
-    /** The campaign is over; votes may be requested at once. */
+    /** The campaign is over. The next votes may be requested at once. */
     fun campaignEnded() {
-        requestedAt = NEVER
+        requestedAtMs = NEVER
     }
 
     private companion object {
         const val FIRST_SEQ_BOUND = 1L shl 61
         const val MIN_RETRY_MS = 150L
 
-        /** Votes hold for a little more than twice as long. */
+        /** Votes are valid for a little more than twice this time. */
         const val MAX_RETRY_MS = 600L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -13,104 +13,102 @@
 import org.chalkhollow.settings.StateLimits
 
 /**
- * The leader's only way to write: one transaction at a time, each conditional on the revision of the leadership record,
- * which it raises, and on the revisions of the keys it changes. So a former leader's late writes fail, every write
- * renews the lease, and a lost reply is resolved by looking whether the record counts one write more. A transaction
- * that the service refuses for its size, or again and again for its rate, is split, down to one write each, so that no
- * write can hold up the others.
+ * Performs all writes of the leader, one transaction at a time. Each transaction is a compare-and-swap on the
+ * leadership record, whose write count it increments, and on the keys that it changes. Therefore late writes of a
+ * former leader fail, every write renews the leader lease, and the record's write count shows whether a transaction
+ * without a reply was applied. A transaction that the service rejects for its size, or repeatedly does not execute
+ * because of its rate limit, is split, down to single writes, so that no write can block the others.
  *
  * Owns the transaction in flight and its retries; its parts are [TransactionComposer], [WriteRateLimiter] and
- * [RefusedTransactions]. The controller starts and stops it with each term, and flushes it after each input.
+ * [TransactionSplitter]. The controller starts and stops it with each term, and flushes it after each input.
  */
 class StateWriter(
     private val context: CoreContext,
     private val limits: StateLimits,
     private val options: OperatorSettings,
     private val leadership: Leadership,
-    /** Who has something to write, the most urgent first. */
+    /** In the order of urgency, the most urgent first. */
     producers: List<WriteProducer>,
 ) {
     private val composer = TransactionComposer(context, producers)
     private val rateLimiter = WriteRateLimiter(context, limits.writeRps)
-    private val refused = RefusedTransactions(context, limits.txnOps)
+    private val splitter = TransactionSplitter(context, limits.txnOps)
 
-    /** Grows with every term, so that replies to an earlier one are known. */
+    /** Incremented when a term starts or ends, to recognize replies to an earlier term. */
     private var term = 0
-    private var active = false
+    private var isActive = false
     private var inFlight: Transaction? = null
-    private var lastSentAt = 0L
+    private var lastSentAtMs = 0L
 
-    /** When to send the transaction in flight again; [NEVER] while its answer is awaited. */
-    private var retryAt = NEVER
+    /** When to send the transaction in flight again; [NEVER] while its reply is pending. */
+    private var retryAtMs = NEVER
 
-    /** Since when no write was confirmed although some were sent; [NEVER] while writes succeed. */
-    private var failingSince = NEVER
-    private var lastTookMs = 0L
-    private var refusalLoggedAt = NEVER
+    /** Since when writes have failed or had no reply; [NEVER] while they succeed. */
+    private var failingSinceMs = NEVER
+    private var lastCommitMs = 0L
+    private var rejectionLoggedAtMs = NEVER
 
-    /** A term begins: the record is [newRecord], and has [revision]. */
+    /** Starts a term; the leadership record is [newRecord] at [revision]. */
     fun start(newRecord: LeadershipRecord, revision: Long) {
         stop()
         composer.start(newRecord, revision)
         rateLimiter.start()
-        active = true
-        lastSentAt = 0
+        isActive = true
+        lastSentAtMs = 0
     }
 
-    /** The term ends; what is in flight may yet be applied, but its outcome counts no more. */
+    /** Ends the term. The transaction in flight may still be applied, but its outcome is ignored. */
     fun stop() {
         term++
-        active = false
+        isActive = false
         inFlight = null
         composer.clear()
-        refused.clear()
-        failingSince = NEVER
-        lastTookMs = 0
-        retryAt = NEVER
+        splitter.clear()
+        failingSinceMs = NEVER
+        lastCommitMs = 0
+        retryAtMs = NEVER
     }
 
-    /** Notes the revision of a key that was read. */
+    /** Records the [revision] of a key that was read. */
     fun rememberRevision(key: String, revision: Long) = composer.rememberRevision(key, revision)
 
-    /** Whether writes have failed for long enough that new requests should be turned away at once. */
-    fun isStalled(): Boolean = failingSince != NEVER && context.steady - failingSince > STALL_MS
+    /** Whether writes have failed for so long that new requests should be rejected at once. */
+    fun isStalled(): Boolean = failingSinceMs != NEVER && context.steady - failingSinceMs > STALLED_AFTER_MS
 
-    /**
-     * Whether the last transaction took long, or the one under way does: no time to step down and campaign again.
-     */
+    /** Whether commits are slow or fail. The leader should not step down and campaign again then. */
     fun isSlow(): Boolean =
-        failingSince != NEVER || lastTookMs > SLOW_MS ||
-            inFlight.let { it != null && context.steady - it.firstSentAt > SLOW_MS }
+        failingSinceMs != NEVER || lastCommitMs > SLOW_COMMIT_MS ||
+            inFlight.let { it != null && context.steady - it.firstSentAtMs > SLOW_COMMIT_MS }
 
-    /** Puts the next transaction together and sends it, when none is in flight and the rate allows. */
+    /** Composes the next transaction and sends it, if none is in flight and the rate limit allows it. */
     fun flush() {
-        if (!active) return
+        if (!isActive) return
         rateLimiter.refill()
-        val waiting = inFlight
-        if (waiting != null) return sendAgainIfDue(waiting)
-        val renewalDue = context.steady - lastSentAt >= options.leaderRenewMs
-        if (rateLimiter.available < if (renewalDue) RENEWAL_CHANGES else MIN_CHANGES) return
-        // Each transaction costs a write for the record. When writes are scarce, a few are gathered for each.
-        if (!renewalDue && rateLimiter.isScarce && context.steady - lastSentAt < SPACING_MS) return
-        val part = refused.nextPart
-        if (part != null) return sendPart(part, renewalDue)
-        val maxOps = minOf(limits.txnOps - 1, rateLimiter.available.toInt() - 1, refused.learnedMaxOps)
+        val pending = inFlight
+        if (pending != null) return sendAgainIfDue(pending)
+        val isRenewalDue = context.steady - lastSentAtMs >= options.leaderRenewMs
+        if (rateLimiter.available < if (isRenewalDue) RENEWAL_CHANGES else MIN_CHANGES) return
+        // Each transaction also changes the record. When changes are scarce, several writes share a transaction.
+        if (!isRenewalDue && rateLimiter.isScarce && context.steady - lastSentAtMs < SCARCE_SEND_INTERVAL_MS) return
+        val part = splitter.nextPart
+        if (part != null) return sendPart(part, isRenewalDue)
+        val maxOps = minOf(limits.txnOps - 1, rateLimiter.available.toInt() - 1, splitter.learnedMaxOps)
         val writes = composer.collectWrites(maxOps)
-        if (writes.isNotEmpty() || renewalDue) sendNew(writes)
+        if (writes.isNotEmpty() || isRenewalDue) sendNew(writes)
     }
 
     private fun sendAgainIfDue(transaction: Transaction) {
-        if (retryAt == NEVER || context.steady < retryAt) return
-        retryAt = NEVER
+        if (retryAtMs == NEVER || context.steady < retryAtMs) return
+        retryAtMs = NEVER
         send(transaction)
     }
 
-    private fun sendPart(part: List<Write>, renewalDue: Boolean) {
-        if (!refused.mayRetry) return
-        // Its changes were paid for once; a renewal must not wait until they are paid for again.
+    private fun sendPart(part: List<Write>, isRenewalDue: Boolean) {
+        if (!splitter.canSendPart) return
+        // The part counts against the rate limit again. A renewal must not wait until the limit allows the part.
         if (rateLimiter.available >= part.sumOf { it.changes.size } + RENEWAL_CHANGES) {
-            sendNew(refused.removeNextPart())
-        } else if (renewalDue) {
+            sendNew(splitter.removeNextPart())
+        } else if (isRenewalDue) {
             sendNew(emptyList())
         }
     }
@@ -123,23 +121,27 @@
     }
 
     private fun send(transaction: Transaction) {
-        val sentAt = context.steady
-        lastSentAt = sentAt
+        val sentAtMs = context.steady
+        lastSentAtMs = sentAtMs
         val sentInTerm = term
         context.callStateService(transaction.commit) { reply ->
             if (term != sentInTerm) return@callStateService context.dropped.count(DroppedInput.REPLY_LATE)
-            onReply(transaction, reply, sentAt)
+            onReply(transaction, reply, sentAtMs)
         }
     }
 
-    private fun onReply(transaction: Transaction, reply: StateReply, sentAt: Long) {
+    private fun onReply(transaction: Transaction, reply: StateReply, sentAtMs: Long) {
         when (reply) {
             is StateReply.Committed ->
-                onCommitted(transaction, reply.revision, if (transaction.uncertain) transaction.firstSentAt else sentAt)
+                onCommitted(
+                    transaction,
+                    reply.revision,
+                    if (transaction.outcomeUnknown) transaction.firstSentAtMs else sentAtMs,
+                )
             is StateReply.Conflict -> resolveByRecord(transaction)
             StateReply.NoResponse -> {
-                transaction.uncertain = true
-                noteFailure(sentAt)
+                transaction.outcomeUnknown = true
+                noteFailure(sentAtMs)
                 retryAfter(transaction, 0)
                 flush()
             }
@@ -152,21 +154,24 @@
         noteFailure(context.steady)
         transaction.unavailableCount++
         when {
-            transaction.writes.size < 2 || transaction.unavailableCount % SPLIT_AFTER != 0 ->
-                retryAfter(transaction, if (transaction.unavailableCount > SPLIT_AFTER) RETRY_MS * 2 else RETRY_MS)
-            !transaction.uncertain -> splitForRate(transaction)
+            transaction.writes.size < 2 || transaction.unavailableCount % SPLIT_AFTER_UNAVAILABLE_COUNT != 0 ->
+                retryAfter(
+                    transaction,
+                    if (transaction.unavailableCount > SPLIT_AFTER_UNAVAILABLE_COUNT) RETRY_MS * 2 else RETRY_MS,
+                )
+            !transaction.outcomeUnknown -> splitForRate(transaction)
             else -> resolveByRecord(transaction) { splitForRate(transaction) }
         }
     }
 
     /**
-     * Refused for what it is. An earlier sending without an answer may have been taken all the same, which the record
-     * tells.
+     * The service rejected [transaction]. If an earlier sending had no reply, it may have been applied nevertheless;
+     * the leadership record shows whether it was.
      */
     private fun onRejected(transaction: Transaction, why: String) {
         logRejection(transaction, why)
         when {
-            transaction.uncertain -> resolveByRecord(transaction) { onRejected(transaction, why) }
+            transaction.outcomeUnknown -> resolveByRecord(transaction) { onRejected(transaction, why) }
             transaction.writes.isEmpty() -> {
                 noteFailure(context.steady)
                 retryAfter(transaction, REJECTED_RENEWAL_RETRY_MS)
@@ -176,34 +181,40 @@
     }
 
     private fun dropOrSplit(transaction: Transaction) {
-        refused.learnFromRefusal(transaction)
+        splitter.learnFromRejection(transaction)
         inFlight = null
-        if (transaction.writes.size > 1) refused.splitForSize(transaction) else transaction.writes.single().onRejected()
+        if (transaction.writes.size > 1) {
+            splitter.splitForSize(transaction)
+        } else {
+            transaction.writes.single().onRejected()
+        }
         flush()
     }
 
     private fun splitForRate(transaction: Transaction) {
         inFlight = null
-        refused.splitForRate(transaction, RETRY_MS)
+        splitter.splitForRate(transaction, RETRY_MS)
         flush()
     }
 
-    /** Sends [transaction] again with the first flush that comes [delayMs] from now or later. */
+    /** Sends [transaction] again with the first flush after [delayMs]. */
     private fun retryAfter(transaction: Transaction, delayMs: Long) {
-        retryAt = context.steady + delayMs
+        retryAtMs = context.steady + delayMs
         rateLimiter.spendOnRetry(transaction.size)
     }
 
-    private fun noteFailure(since: Long) {
-        if (failingSince == NEVER) failingSince = since
-        leadership.writeFailed(since)
+    private fun noteFailure(sinceMs: Long) {
+        if (failingSinceMs == NEVER) failingSinceMs = sinceMs
+        leadership.onWriteFailed(sinceMs)
     }
 
     /**
-     * The conditions did not hold: either an earlier sending of the same transaction was applied, or someone else
-     * leads. When they were not looked at, neither may be so, and [ifUnchanged] says what then: should an earlier
-     * sending be carried out yet, the conditions of the next transaction fail, its count in the record is another, and
-     * the term ends.
+     * Reads the leadership record to find out whether an earlier sending of [transaction] was applied or another
+     * controller leads. After a conflict, one of the two is the case.
+     *
+     * If the service did not check the conditions, the record may be unchanged; then [ifUnchanged] runs. An earlier
+     * sending may still be applied after that. Then the next transaction fails with a conflict, the record's write
+     * count differs from the expected one, and the term ends.
      */
     private fun resolveByRecord(transaction: Transaction, ifUnchanged: (() -> Unit)? = null) {
         val sentInTerm = term
@@ -223,56 +234,55 @@
     private fun onRecordFound(transaction: Transaction, reply: StateReply.Found, ifUnchanged: (() -> Unit)?) {
         val found = LeadershipRecord.of(reply.row)
         if (found == composer.record) {
-            onCommitted(transaction, reply.row.revision, transaction.firstSentAt)
+            onCommitted(transaction, reply.row.revision, transaction.firstSentAtMs)
         } else if (ifUnchanged != null && reply.row.revision == composer.recordRevision) {
-            transaction.uncertain = false
+            transaction.outcomeUnknown = false
             ifUnchanged()
         } else {
             leadership.stepDown(StepDownReason.Superseded(found))
         }
     }
 
-    /** [transaction] is durable at [revision]; its lease counts from [sentAt]. */
-    private fun onCommitted(transaction: Transaction, revision: Long, sentAt: Long) {
+    /** [transaction] was committed at [revision]. The leader lease runs from [sentAtMs]. */
+    private fun onCommitted(transaction: Transaction, revision: Long, sentAtMs: Long) {
         inFlight = null
-        lastTookMs = context.steady - transaction.firstSentAt
-        retryAt = NEVER
-        failingSince = NEVER
-        refused.onCommitted()
+        lastCommitMs = context.steady - transaction.firstSentAtMs
+        retryAtMs = NEVER
+        failingSinceMs = NEVER
+        splitter.onCommitted()
         composer.onCommitted(transaction, revision)
-        leadership.renewed(sentAt)
+        leadership.onWriteConfirmed(sentAtMs)
         for (write in transaction.writes) write.onDurable()
         flush()
     }
 
     private fun logRejection(transaction: Transaction, why: String) {
-        if (context.steady - refusalLoggedAt < REFUSAL_LOG_MS) return
-        refusalLoggedAt = context.steady
+        if (context.steady - rejectionLoggedAtMs < REJECTION_LOG_INTERVAL_MS) return
+        rejectionLoggedAtMs = context.steady
         val changes = transaction.writes.flatMap { it.changes }
-        val keys = changes.take(KEYS_NAMED).joinToString { it.key }
-        val text = "the state service refuses a transaction of ${transaction.size} changes ($keys): $why"
+        val keys = changes.take(MAX_LOGGED_KEYS).joinToString { it.key }
+        val text = "the state service rejected a transaction of ${transaction.size} changes (first keys: $keys): $why"
         context.emit(Effect.LogEvent(Effect.Level.ERROR, text))
     }
 
     private companion object {
-        /** What a transaction without writes costs: the change of the record. */
+        /** Changes in a transaction without writes: only the leadership record. */
         const val RENEWAL_CHANGES = 1.0
 
-        /** What a transaction with one change costs. */
+        /** Changes in the smallest transaction with a write: one, and the leadership record. */
         const val MIN_CHANGES = 2.0
         const val RETRY_MS = 250L
 
-        /** A renewal alone that is refused is a fault of the service, or the record is unlike what we think. */
+        /** Longer than [RETRY_MS]: a rejected renewal means a fault of the service or an unexpected record. */
         const val REJECTED_RENEWAL_RETRY_MS = 1000L
-        const val SPACING_MS = 120L
-        const val STALL_MS = 1000L
-        const val SLOW_MS = 400L
+        const val SCARCE_SEND_INTERVAL_MS = 120L
+        const val STALLED_AFTER_MS = 1000L
+        const val SLOW_COMMIT_MS = 400L
 
-        /** After so many times in a row without execution a transaction is split. */
-        const val SPLIT_AFTER = 3
-        const val REFUSAL_LOG_MS = 10_000L
+        /** A transaction is split each time that this many sendings were not executed. */
+        const val SPLIT_AFTER_UNAVAILABLE_COUNT = 3
+        const val REJECTION_LOG_INTERVAL_MS = 10_000L
 
-        /** How many keys a log line names. */
-        const val KEYS_NAMED = 3
+        const val MAX_LOGGED_KEYS = 3
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/storage/Transaction.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/Transaction.kt
@@ -2,14 +2,14 @@
 
 import org.chalkhollow.core.common.StateOp
 
-/** A transaction of [writes] from its first sending at [firstSentAt] until its outcome is known. */
-internal class Transaction(val writes: List<Write>, val commit: StateOp.Commit, val firstSentAt: Long) {
-    /** How many changes it has, that of the leadership record counted. */
+/** A transaction of [writes] that was first sent at [firstSentAtMs] and whose outcome is not yet known. */
+internal class Transaction(val writes: List<Write>, val commit: StateOp.Commit, val firstSentAtMs: Long) {
+    /** Number of changes, including that of the leadership record. */
     val size: Int get() = commit.changes.size
 
-    /** Whether some sending had no answer, so that it may have been applied. */
-    var uncertain = false
+    /** Whether a sending had no reply and may have been applied. */
+    var outcomeUnknown = false
 
-    /** How often in a row it was not executed for want of service or rate. */
+    /** Sendings that were not executed, because the service was unavailable or its rate limit was reached. */
     var unavailableCount = 0
 }
--- a/src/main/kotlin/org/chalkhollow/core/storage/TransactionComposer.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/TransactionComposer.kt
@@ -9,22 +9,22 @@
 import org.chalkhollow.model.Condition
 
 /**
- * Puts transactions together. Owns the producers of writes, and what a transaction is conditional on: the leadership
- * record as this leader wrote it last, and the revisions of all keys that it knows. Each transaction is a
- * compare-and-swap on those of the record and of every key that it changes. Called by [StateWriter].
+ * Composes transactions. Owns the producers of writes, the leadership record as this leader wrote it last, and the
+ * revisions of all keys that it knows. Each transaction is a compare-and-swap on the revisions of the record and of
+ * every key that it changes. Called by [StateWriter].
  */
 internal class TransactionComposer(
     private val context: CoreContext,
-    /** Asked in this order. */
+    /** Called in this order. */
     private val producers: List<WriteProducer>,
 ) {
     private val revisions = Object2LongOpenHashMap<String>()
 
-    /** The record as the transaction composed last leaves it. */
+    /** The record as the last composed transaction writes it. */
     var record = LeadershipRecord("", 0, 0, 0)
         private set
 
-    /** The record's revision before that transaction. */
+    /** The record's revision before that transaction, on which it is conditional. */
     var recordRevision = 0L
         private set
 
@@ -35,12 +35,12 @@
 
     fun clear() = revisions.clear()
 
-    /** Notes the revision of a key that was read. */
+    /** Records the [revision] of a key that was read. */
     fun rememberRevision(key: String, revision: Long) {
         revisions.put(key, revision)
     }
 
-    /** What the producers give for one transaction of at most [maxOps] changes beside the record. */
+    /** Collects writes from the producers for a transaction of at most [maxOps] changes, not counting the record. */
     fun collectWrites(maxOps: Int): List<Write> {
         val budget = TransactionBudget(maxOps, MAX_TRANSACTION_BYTES)
         val writes = ArrayList<Write>()
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Every transaction counts one more in the record, also in place of a refused one: a late copy of that is
-     * distinguished from it.
+     * Composes a transaction of [writes]. It increments the record's write count even if the last transaction was
+     * rejected, so that a late copy of that one cannot be taken for this one.
      */
     fun compose(writes: List<Write>): Transaction {
         record = record.copy(writes = record.writes + 1)
@@ -74,7 +74,7 @@
         return Transaction(writes, StateOp.Commit(conditions, changes), context.steady)
     }
 
-    /** All that [transaction] changed has [revision] now. */
+    /** [transaction] was committed; the keys that it changed have [revision]. */
     fun onCommitted(transaction: Transaction, revision: Long) {
         recordRevision = revision
         for (change in transaction.commit.changes) {
--- a/src/main/kotlin/org/chalkhollow/core/storage/Write.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/Write.kt
@@ -3,15 +3,16 @@
 import org.chalkhollow.model.Change
 
 /**
- * Changes that belong into one transaction, and what to do once they are durable, or once the state service has refused
- * them although they came alone: a hint is dropped, and what must not be lost is given again later by its producer.
+ * Changes that must be in one transaction. [onDurable] runs when they are committed. [onRejected] runs when the state
+ * service rejects them in a transaction of their own. The producer then drops them if they are only a hint, and
+ * otherwise returns them once more later.
  */
 class Write(val changes: List<Change>, val onRejected: () -> Unit, val onDurable: () -> Unit)
 
-/** Gives writes when asked, until it has none or none that fits; each takes at most what the budget has left. */
+/** Returns the next write that fits into the budget, or null if there is none. */
 fun interface WriteProducer {
     fun next(budget: TransactionBudget): Write?
 }
 
-/** What is left in the transaction being put together: [ops] changes of [bytes] in all. */
+/** What a transaction under composition can still take: [ops] changes of [bytes] in total. */
 class TransactionBudget(var ops: Int, var bytes: Int)
--- a/src/test/kotlin/org/chalkhollow/core/leadership/FollowerLeasesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/FollowerLeasesTest.kt
@@ -10,13 +10,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Follower leases as the leader that holds them counts them. */
 class FollowerLeasesTest {
     private val context = CoreContext(1)
     private val leases = FollowerLeases(context, PEERS, LEASE_MS)
 
-    private fun requestAt(moment: Long): List<PeerMessage.FollowerLeaseRequest> {
-        context.now = Now(moment, moment)
+    private fun requestAt(ms: Long): List<PeerMessage.FollowerLeaseRequest> {
+        context.now = Now(ms, ms)
         leases.requestIfDue(fencingToken = 5, ready = true)
         return context.drain().map { (it as Effect.Send).message as PeerMessage.FollowerLeaseRequest }
     }
@@ -25,7 +24,7 @@
         PeerMessage.FollowerLeaseResponse(5, seq, granted = true, stateServed = served)
 
     @Test
-    fun `every peer is asked, four times within a lease`() {
+    fun `leases are requested from every peer four times within a lease`() {
         assertEquals(PEERS, requestAt(0).size)
         assertEquals(0, requestAt(LEASE_MS / 4 - 1).size)
         assertEquals(PEERS, requestAt(LEASE_MS / 4).size)
@@ -36,23 +35,23 @@
         val first = requestAt(0).first().seq
         val second = requestAt(1_000).first().seq
         leases.accept(0, granted(second))
-        assertTrue(leases.majorityUntil() < 0, "two of five are no majority")
+        assertTrue(leases.majorityUntilMs() < 0, "two of five are not a majority")
         leases.accept(1, granted(first))
-        assertEquals(minusClockDrift(LEASE_MS), leases.majorityUntil())
+        assertEquals(minusClockDrift(LEASE_MS), leases.majorityUntilMs())
         leases.accept(1, granted(second))
-        assertEquals(1_000 + minusClockDrift(LEASE_MS), leases.majorityUntil())
+        assertEquals(1_000 + minusClockDrift(LEASE_MS), leases.majorityUntilMs())
     }
 
     @Test
-    fun `a refusal takes nothing from a lease that was granted before`() {
+    fun `a denied request does not shorten a lease that was granted before`() {
         val seq = requestAt(0).first().seq
         for (peer in 0..1) leases.accept(peer, granted(seq))
         leases.accept(0, granted(seq).copy(granted = false))
-        assertEquals(minusClockDrift(LEASE_MS), leases.majorityUntil())
+        assertEquals(minusClockDrift(LEASE_MS), leases.majorityUntilMs())
     }
 
     @Test
-    fun `an answer to a request that is no longer remembered is refused`() {
+    fun `a response to a request whose time is no longer known is not accepted`() {
         val first = requestAt(0).first().seq
         for (i in 1L..63L) requestAt(i * LEASE_MS)
         assertTrue(leases.accept(0, granted(first)))
@@ -61,7 +60,7 @@
     }
 
     @Test
-    fun `a peer counts as served from when it was asked, until the next term`() {
+    fun `a peer counts as served from when the lease was requested, until the next term`() {
         val seq = requestAt(1_000).first().seq
         leases.accept(3, granted(seq, served = true))
         assertTrue(leases.anyPeerServedAfter(999))
@@ -71,8 +70,8 @@
     }
 
     @Test
-    fun `a controller without peers needs nobody's lease`() {
-        assertEquals(Long.MAX_VALUE, FollowerLeases(context, 0, LEASE_MS).majorityUntil())
+    fun `a controller without peers needs no follower lease`() {
+        assertEquals(Long.MAX_VALUE, FollowerLeases(context, 0, LEASE_MS).majorityUntilMs())
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipBench.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipHarness.kt
@@ -11,39 +11,40 @@
 import org.chalkhollow.settings.OperatorSettings
 import org.junit.jupiter.api.Assertions.assertEquals
 
-/** The leadership of one controller by itself; tests play its peers and the state service. */
-class LeadershipBench(peers: Int = 2, begunAt: Long = 0) : Leadership.Events {
+/** The leadership of one controller; tests simulate its peers and the state service. */
+class LeadershipHarness(peers: Int = 2, processStartedAtMs: Long = 0) : Leadership.Events {
     val context = CoreContext(3)
     val options = OperatorSettings(leaderLeaseMs = 2000, leaderRenewMs = 450, followerLeaseMs = 1800)
 
-    /** The fencing token under which this controller was elected last, 0 if never. */
-    var elected = 0L
-    var deposed = false
-    val leadership = Leadership(context, LABEL, List(peers) { "p$it" }, INCARNATION, options, 0, begunAt, this)
+    /** The fencing token with which this controller was last elected; 0 if it never was. */
+    var electedFencingToken = 0L
+    var steppedDown = false
+    val leadership =
+        Leadership(context, LABEL, List(peers) { "p$it" }, INCARNATION, options, 0, processStartedAtMs, this)
 
-    /** The revision of the record for which the snapshot was read, as far as [reads] lets it be. */
-    var preparedFor: Long? = null
+    /** The revision of the record for which the snapshot is complete; null if it is not. */
+    var completeForRevision: Long? = null
 
-    /** Whether a snapshot that is asked for is read at once, or never. */
-    var reads = true
+    /** Whether a requested snapshot is complete at once, or never. */
+    var canReadSnapshot = true
 
     override fun requestSnapshot(revision: Long) {
-        if (reads) preparedFor = revision
+        if (canReadSnapshot) completeForRevision = revision
     }
 
-    override fun snapshotComplete(revision: Long) = preparedFor == revision
+    override fun snapshotComplete(revision: Long) = completeForRevision == revision
 
     override fun discardSnapshot() {
-        preparedFor = null
+        completeForRevision = null
     }
 
     override fun onElected(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) {
-        assertEquals(preparedFor, snapshotRevision)
-        elected = fencingToken
+        assertEquals(completeForRevision, snapshotRevision)
+        electedFencingToken = fencingToken
     }
 
     override fun onSteppedDown() {
-        deposed = true
+        steppedDown = true
     }
 
     /** Runs [step] at [ms] and returns its effects. */
@@ -53,41 +54,41 @@
         return context.drain()
     }
 
-    fun answer(request: Effect.State, reply: StateReply) {
-        context.reply(Input.State(request.ticket, reply))
+    fun reply(call: Effect.State, reply: StateReply) {
+        context.reply(Input.State(call.ticket, reply))
     }
 
-    /** The leadership record as [owner] wrote it in its [incarnation], under fencing token 5. */
+    /** A read of the leadership record that [owner] wrote in its [incarnation] with fencing token 5. */
     fun record(owner: String, incarnation: Long, revision: Long): StateReply {
         val record = LeadershipRecord(owner, incarnation, 5, 9)
         return StateReply.Found(KeyValue(LeadershipRecord.KEY, record.value(), revision))
     }
 
-    /** Ticks from [from] to [to] while every read finds a peer's record, unchanged at [revision]. */
-    fun watch(from: Long, to: Long, revision: Long): List<Effect> {
+    /** Ticks from [fromMs] to [toMs] while every read finds a peer's record, unchanged at [revision]. */
+    fun watch(fromMs: Long, toMs: Long, revision: Long): List<Effect> {
         val all = ArrayList<Effect>()
-        for (ms in from..to step TICK_MS) {
+        for (ms in fromMs..toMs step TICK_MS) {
             val effects = at(ms)
-            for (read in effects.reads()) answer(read, record("p0", 1, revision))
+            for (read in effects.reads()) reply(read, record("p0", 1, revision))
             all.addAll(effects + context.drain())
         }
         return all
     }
 
-    /** Becomes the leader at time 0, as the first that writes the record. */
-    fun lead() {
-        answer(at(0).stateRequest(), StateReply.Missing)
-        answer(context.drain().stateRequest(), StateReply.Committed(2))
+    /** Becomes the leader at time 0, as the first controller that writes the record. */
+    fun becomeLeader() {
+        reply(at(0).stateCall(), StateReply.Missing)
+        reply(context.drain().stateCall(), StateReply.Committed(2))
     }
 
-    /** Whether a vote is granted to the second peer, asked for at [ms]. */
+    /** Whether a vote that the second peer requests at [ms] is granted. */
     fun grantsVote(ms: Long, seq: Long = 1): Boolean =
         at(ms) { onPeer(1, PeerMessage.VoteRequest(6, 4, seq)) }
             .messages<PeerMessage.VoteResponse>()
             .single()
             .granted
 
-    /** Whether a follower lease is granted to the first peer, asked for at [ms] under [fencingToken]. */
+    /** Whether a follower lease that the first peer requests at [ms] with [fencingToken] is granted. */
     fun grantsLease(ms: Long, fencingToken: Long, seq: Long = ms): Boolean =
         at(ms) { onPeer(0, PeerMessage.FollowerLeaseRequest(fencingToken, seq, true)) }
             .messages<PeerMessage.FollowerLeaseResponse>()
@@ -95,19 +96,18 @@
             .granted
 
     companion object {
-        /** The controller under test, and its incarnation. */
         const val LABEL = "m"
         const val INCARNATION = 77L
         const val TICK_MS = 100L
     }
 }
 
-/** The messages of one type to peers. */
+/** The messages of type [T] that were sent to peers. */
 inline fun <reified T : PeerMessage> List<Effect>.messages(): List<T> =
     filterIsInstance<Effect.Send>().map { it.message }.filterIsInstance<T>()
 
-/** The only request to the state service. */
-fun List<Effect>.stateRequest(): Effect.State = filterIsInstance<Effect.State>().single()
+/** The single call of the state service. */
+fun List<Effect>.stateCall(): Effect.State = filterIsInstance<Effect.State>().single()
 
 fun List<Effect>.reads(): List<Effect.State> = filterIsInstance<Effect.State>().filter { it.op is StateOp.Read }
 
--- a/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatchTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatchTest.kt
@@ -14,23 +14,23 @@
 class LeadershipRecordWatchTest {
     private val context = CoreContext(1)
     private val options = OperatorSettings(leaderRenewMs = 450)
-    private val watch = LeadershipRecordWatch(context, options, startedAt = 0)
+    private val watch = LeadershipRecordWatch(context, options, startedAtMs = 0)
     private val record = LeadershipRecord("a", 1, 5, 9)
-    private val requestTimes = ArrayList<Long>()
+    private val requestTimesMs = ArrayList<Long>()
 
-    private fun at(moment: Long) = watch.also { context.now = Now(moment, moment) }
+    private fun at(ms: Long) = watch.also { context.now = Now(ms, ms) }
 
-    private fun readAt(moment: Long): List<Effect.State> {
-        at(moment).readIfDue { requestedAt, _ -> requestTimes.add(requestedAt) }
+    private fun readAt(ms: Long): List<Effect.State> {
+        at(ms).readIfDue { requestedAtMs, _ -> requestTimesMs.add(requestedAtMs) }
         return context.drain().filterIsInstance<Effect.State>()
     }
 
     @Test
-    fun `one read is in flight at a time, and the next is due a renewal period after the answer`() {
+    fun `one read is in flight at a time, and the next is due a renewal period after the reply`() {
         val read = readAt(0).single()
         assertEquals(0, readAt(5_000).size)
         context.reply(Input.State(read.ticket, StateReply.Missing))
-        assertEquals(listOf(0L), requestTimes)
+        assertEquals(listOf(0L), requestTimesMs)
         assertEquals(0, readAt(5_449).size)
         assertEquals(1, readAt(5_450).size)
     }
@@ -45,23 +45,23 @@
     }
 
     @Test
-    fun `a release counts only once the record was read after it, and for that leader alone`() {
-        at(1_000).stateServiceAnswered()
+    fun `a release counts only for its leader, and only after the record was read again`() {
+        at(1_000).onStateServiceReply()
         watch.onRelease(5)
         assertFalse(watch.isReleased(record, 0))
-        at(1_001).stateServiceAnswered()
+        at(1_001).onStateServiceReply()
         assertTrue(watch.isReleased(record, 0))
         assertFalse(watch.isReleased(record, 80), "the candidate's own delay has not passed")
         assertFalse(watch.isReleased(record.copy(fencingToken = 6), 0))
     }
 
     @Test
-    fun `the state service counts as answering for two renewal periods and a margin`() {
-        assertFalse(at(0).stateServiceAnswers)
-        watch.stateServiceAnswered()
-        assertTrue(at(1_099).recentlyServed)
-        assertFalse(at(1_100).recentlyServed)
-        assertTrue(at(1_600).stateServiceAnswers)
-        assertFalse(at(1_601).stateServiceAnswers)
+    fun `the state service counts as available for two renewal periods and a margin after a reply`() {
+        assertFalse(at(0).isStateServiceAvailable)
+        watch.onStateServiceReply()
+        assertTrue(at(1_099).isRecentlyServed)
+        assertFalse(at(1_100).isRecentlyServed)
+        assertTrue(at(1_600).isStateServiceAvailable)
+        assertFalse(at(1_601).isStateServiceAvailable)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/storage/TransactionComposerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/TransactionComposerTest.kt
@@ -21,7 +21,7 @@
     private fun write(vararg changes: Change) = Write(changes.toList(), onRejected = {}) {}
 
     @Test
-    fun `each transaction is conditional on the record and on what it changes, and raises the record`() {
+    fun `each transaction is conditional on the record and the keys it changes, and increments the write count`() {
         composer.rememberRevision("known", 4)
         val changes = arrayOf(Change("known", mapOf("x" to 1)), Change("new", mapOf("x" to 2)))
         val transaction = composer.compose(listOf(write(*changes)))
@@ -37,7 +37,7 @@
     }
 
     @Test
-    fun `a transaction in place of a refused one counts one more in the record, on the same revision`() {
+    fun `a transaction that replaces a rejected one increments the write count on the same revision`() {
         composer.compose(emptyList())
         val second = composer.compose(emptyList())
         assertEquals(2, composer.record.writes)
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `after a commit its keys have the new revision, and deleted ones none`() {
+    fun `after a commit its keys have the new revision, and deleted keys have none`() {
         composer.rememberRevision("gone", 4)
         val first = composer.compose(listOf(write(Change("kept", mapOf("x" to 1)), Change("gone", null))))
         composer.onCommitted(first, 11)
@@ -54,7 +54,7 @@
     }
 
     @Test
-    fun `producers are asked in order until the changes are used up`() {
+    fun `producers are called in order until the budget of changes is used up`() {
         assertEquals(listOf("a", "b", "c"), composer.collectWrites(maxOps = 3).map { it.changes.single().key })
         assertEquals(emptyList<Write>(), composer.collectWrites(maxOps = 0))
     }
--- a/src/test/kotlin/org/chalkhollow/core/storage/WriteRateLimiterTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/storage/WriteRateLimiterTest.kt
@@ -11,13 +11,13 @@
     private val context = CoreContext(1).also { it.now = Now(1_000, 1_000) }
     private val limiter = WriteRateLimiter(context, changesPerSecond = 20.0).also { it.start() }
 
-    private fun refillAt(moment: Long) {
-        context.now = Now(moment, moment)
+    private fun refillAt(ms: Long) {
+        context.now = Now(ms, ms)
         limiter.refill()
     }
 
     @Test
-    fun `it begins with half of a second's changes and never holds more than a second's`() {
+    fun `the limiter starts with half of a second's changes and never holds more than a second's`() {
         assertEquals(9.0, limiter.available)
         refillAt(1_250)
         assertEquals(13.5, limiter.available)
@@ -26,14 +26,14 @@
     }
 
     @Test
-    fun `changes are scarce below half of a second's`() {
+    fun `changes are scarce when less than half of a second's are left`() {
         assertFalse(limiter.isScarce)
         limiter.spend(1)
         assertTrue(limiter.isScarce)
     }
 
     @Test
-    fun `retries take what is left, but nothing in advance`() {
+    fun `retries use up available changes but never take them below 0`() {
         limiter.spendOnRetry(4)
         assertEquals(5.0, limiter.available)
         limiter.spendOnRetry(8)
