--- a/src/main/kotlin/org/chalkhollow/core/placement/DeferredJobs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/DeferredJobs.kt
@@ -19,20 +19,20 @@
     private val cpusByType = HashMap<Int, Double>()
 
     /** CPUs of all machines in this round. */
-    val capacity: Double get() = cpusOf(ALL_TYPES)
+    val fleetCpus: Double get() = cpusOf(ALL_TYPES)
 
     /** Work that has to share machines: what fits one type only, by priority. */
     private data class Pool(val type: Int, val priority: Priority)
 
-    private class Load(val job: OpenJob, val seconds: Double)
+    private class Load(val job: OpenJob, val durationS: Double)
 
     operator fun contains(job: OpenJob): Boolean = job in deferred
 
     fun update() {
         cpusByType.clear()
         deferred.clear()
-        val started = jobs.open.filter { it.placeable || !it.tasks.noneLive }
-        for ((pool, jobsOfPool) in started.groupBy { Pool(it.onlyType, it.spec.priority) }) {
+        val activeJobs = jobs.open.filter { it.placeable || !it.tasks.noneLive }
+        for ((pool, jobsOfPool) in activeJobs.groupBy { Pool(it.onlyType, it.spec.priority) }) {
             val cpus = cpusOf(pool.type)
             if (cpus > 0) deferAmong(jobsOfPool, cpus)
         }
@@ -41,21 +41,21 @@
     private fun cpusOf(type: Int): Double = cpusByType.getOrPut(type) { fleet.cpus(type) }
 
     private fun deferAmong(jobs: List<OpenJob>, cpus: Double) {
-        val chosen = PriorityQueue<Load>(compareBy { -it.seconds })
-        var totalSeconds = 0.0
-        val candidates = jobs.filter { deadlines.hasDeadline(it) && !deadlines.isMissed(it) }
-        for (job in candidates.sortedBy { deadlines.dueWall(it) }) {
-            val load = Load(job, secondsLeft(job, cpus))
-            chosen.add(load)
-            totalSeconds += load.seconds
-            if (deadlines.mayEndInTime(job, maxOf(totalSeconds, job.spec.expectedS))) continue
-            val largest = chosen.poll()
-            totalSeconds -= largest.seconds
+        val scheduled = PriorityQueue<Load>(compareBy { -it.durationS })
+        var totalS = 0.0
+        val candidates = jobs.filter { deadlines.hasDeadline(it) && !deadlines.isRunningLate(it) }
+        for (job in candidates.sortedBy { deadlines.dueWallMs(it) }) {
+            val load = Load(job, remainingS(job, cpus))
+            scheduled.add(load)
+            totalS += load.durationS
+            if (deadlines.canFinishInTime(job, maxOf(totalS, job.spec.expectedS))) continue
+            val largest = scheduled.poll()
+            totalS -= largest.durationS
             if (largest.job.tasks.noneLive) deferred.add(largest.job)
         }
     }
 
-    private fun secondsLeft(job: OpenJob, cpus: Double): Double =
+    private fun remainingS(job: OpenJob, cpus: Double): Double =
         (job.spec.tasks - job.progress.doneCount) * job.taskResources.cpus * job.spec.expectedS / cpus
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -28,14 +28,14 @@
     private val guaranteed = HashSet<OpenJob>()
 
     /** CPUs of all machines in this round. */
-    val capacity: Double get() = deferred.capacity
+    val fleetCpus: Double get() = deferred.fleetCpus
 
     fun begin() {
-        findGuaranteed()
+        updateGuaranteed()
         deferred.update()
     }
 
-    private fun findGuaranteed() {
+    private fun updateGuaranteed() {
         guaranteed.clear()
         val cpusByTeam = HashMap<Int, Double>()
         val gpusByTeam = HashMap<Int, Double>()
@@ -49,48 +49,48 @@
     }
 
     /** Jobs with ready tasks, most urgent first. */
-    fun waiting(): List<OpenJob> {
-        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
-        return waiting.sortedWith(
+    fun pendingJobs(): List<OpenJob> {
+        val pending = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
+        return pending.sortedWith(
             compareBy(
-                { if (starvation.goesFirst(it)) -1 else it.spec.priority.ordinal },
-                { if (starvation.goesFirst(it)) 0 else urgency(it).ordinal },
-                { if (starvation.goesFirst(it)) starvation.lastPlacedWall(it) else deadlines.dueWall(it) },
-                { if (starvation.goesFirst(it)) it.credit.sinceWall else it.acceptedWall },
+                { if (starvation.isServedFirst(it)) -1 else it.spec.priority.ordinal },
+                { if (starvation.isServedFirst(it)) 0 else urgency(it).ordinal },
+                { if (starvation.isServedFirst(it)) starvation.kindLastPlacedWallMs(it) else deadlines.dueWallMs(it) },
+                { if (starvation.isServedFirst(it)) it.credit.sinceWall else it.acceptedWall },
                 { it.entry.index },
             ),
         )
     }
 
     /** Whether neither of two jobs has to go before the other. */
-    fun areEqual(first: OpenJob, second: OpenJob): Boolean {
-        if (starvation.goesFirst(first) || starvation.goesFirst(second)) return false
+    fun haveSameRank(first: OpenJob, second: OpenJob): Boolean {
+        if (starvation.isServedFirst(first) || starvation.isServedFirst(second)) return false
         if (first.spec.priority != second.spec.priority) return false
         if (objectives.awaitsPromptStart(first) != objectives.awaitsPromptStart(second)) return false
         val urgency = urgency(first)
-        return urgency == urgency(second) && (deadlines.hasSlack(first) || urgency == Urgency.LATE)
+        return urgency == urgency(second) && (deadlines.hasSlack(first) || urgency == Urgency.LATE_OR_DEFERRED)
     }
 
-    fun withinGuarantee(job: OpenJob): Boolean = job in guaranteed
+    fun isWithinGuarantee(job: OpenJob): Boolean = job in guaranteed
 
     /** Whether the job is within its team's guarantee, and users would still see it start in time. */
-    fun freshGuarantee(job: OpenJob): Boolean =
-        withinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
+    fun canMeetGuarantee(job: OpenJob): Boolean =
+        isWithinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
 
     /** Whether the job leaves the headroom free that is reserved for urgent work to come. */
-    fun leavesHeadroom(job: OpenJob): Boolean {
+    fun mustLeaveUrgentHeadroom(job: OpenJob): Boolean {
         if (job.spec.priority < Priority.STANDARD || objectives.awaitsPromptStart(job)) return false
-        return !withinGuarantee(job) && !isPressing(job, 0.0) && !job.credit.waitsLong(context.now.wall)
+        return !isWithinGuarantee(job) && !mayMissObjective(job, 0.0) && !job.credit.waitsLong(context.now.wall)
     }
 
     /** Whether a job that waits for [waitS] more seconds would start or end too late. */
-    fun isPressing(job: OpenJob, waitS: Double): Boolean {
-        if (objectives.awaitsPromptStart(job) || withinGuarantee(job)) return true
+    fun mayMissObjective(job: OpenJob, waitS: Double): Boolean {
+        if (objectives.awaitsPromptStart(job) || isWithinGuarantee(job)) return true
         return deadlines.isAtRisk(job, waitS)
     }
 
     /** How urgent a job is among those of its priority. */
-    private enum class Urgency { IN_TIME_TO_START, GUARANTEED, COMMON, LATE }
+    private enum class Urgency { CAN_START_IN_TIME, WITHIN_GUARANTEE, NORMAL, LATE_OR_DEFERRED }
 
     /**
      * Work whose start its users still wait for goes first, then what can be done in time, the teams' guarantees before
@@ -98,11 +98,11 @@
      */
     private fun urgency(job: OpenJob): Urgency =
         when {
-            objectives.canStartInTime(job, context.now.wall) -> Urgency.IN_TIME_TO_START
-            freshGuarantee(job) -> Urgency.IN_TIME_TO_START
-            objectives.startDeadlineNear(job, context.now.wall) -> Urgency.IN_TIME_TO_START
-            deadlines.isMissed(job) || job in deferred -> Urgency.LATE
-            withinGuarantee(job) -> Urgency.GUARANTEED
-            else -> Urgency.COMMON
+            objectives.canStartInTime(job, context.now.wall) -> Urgency.CAN_START_IN_TIME
+            canMeetGuarantee(job) -> Urgency.CAN_START_IN_TIME
+            objectives.startDeadlineNear(job, context.now.wall) -> Urgency.CAN_START_IN_TIME
+            deadlines.isRunningLate(job) || job in deferred -> Urgency.LATE_OR_DEFERRED
+            isWithinGuarantee(job) -> Urgency.WITHIN_GUARANTEE
+            else -> Urgency.NORMAL
         }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -21,51 +21,51 @@
     private val objectives: ServiceLevelObjectives,
     private val starvation: StarvationPrevention,
     private val scarceTypes: ScarceMachineTypes,
-    private val replicas: Replicas,
+    private val replicaPlacement: ReplicaPlacement,
 ) {
     /** Whether [job] may use [machine]; room aside. */
-    fun allowed(job: OpenJob, machine: Machine): Boolean =
+    fun isAllowed(job: OpenJob, machine: Machine): Boolean =
         fleet.allows(
             job,
             machine.type,
             machine.zone,
             machine.spot,
         ) && !job.backoff.avoids(machine.id, context.steady) &&
-            !scarceTypes.reservedFromJob(job, machine.type)
+            !scarceTypes.isReservedForOthers(job, machine.type)
 
     /** Whether [machine] would have to fetch the job's image. */
-    fun fetches(job: OpenJob, machine: Machine): Boolean = job.image >= 0 && job.image !in machine.images
+    fun needsImageFetch(job: OpenJob, machine: Machine): Boolean = job.image >= 0 && job.image !in machine.images
 
     /** Places all [wanted] tasks of a gang, or gives back whatever it had taken; returns how many it placed. */
-    fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, out: MutableList<Allocation>): Int {
-        val roomBefore = machines.map { it.roundRoom }
-        val sizeBefore = out.size
-        if (place(job, wanted, machines, out, skip = 0, heldOnly = false) == wanted) return wanted
-        for ((index, machine) in machines.withIndex()) machine.roundRoom = roomBefore[index]
-        while (out.size > sizeBefore) out.removeLast()
+    fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, allocations: MutableList<Allocation>): Int {
+        val freeCapacityBefore = machines.map { it.roundRoom }
+        val allocationsBefore = allocations.size
+        if (place(job, wanted, machines, allocations, skip = 0, cachedImageOnly = false) == wanted) return wanted
+        for ((index, machine) in machines.withIndex()) machine.roundRoom = freeCapacityBefore[index]
+        while (allocations.size > allocationsBefore) allocations.removeLast()
         return 0
     }
 
     /**
-     * Places up to [wanted] tasks, after the [skip] that this round has placed already; [heldOnly]: only where the
-     * image is. Returns how many it placed.
+     * Places up to [wanted] tasks, after the [skip] that this round has placed already; [cachedImageOnly]: only where
+     * the image is. Returns how many it placed.
      */
     fun place(
         job: OpenJob,
         wanted: Int,
         machines: List<Machine>,
-        out: MutableList<Allocation>,
+        allocations: MutableList<Allocation>,
         skip: Int,
-        heldOnly: Boolean,
+        cachedImageOnly: Boolean,
     ): Int {
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked) return 0
-        val fitting = fitting(job, machines, heldOnly)
+        val fitting = fitting(job, machines, cachedImageOnly)
         if (fitting.isEmpty()) return 0
         val candidates = sample(fitting, wanted, job)
         candidates.sortWith(preference)
         if (job.spec.together) zones.chooseZone(candidates)
-        val assignment = Assignment(job, zones, skip, out)
+        val assignment = Assignment(job, zones, skip, allocations)
         var left = wanted
         // Replicas of one service are spread over machines first, and share machines only for want of others.
         if (job.service) left -= assignment.assign(candidates, left, spread = true)
@@ -78,7 +78,7 @@
         private val job: OpenJob,
         private val zones: ZoneConstraint,
         skip: Int,
-        private val out: MutableList<Allocation>,
+        private val allocations: MutableList<Allocation>,
     ) {
         private var nextTask = job.tasks.nextReady(0)
 
@@ -92,7 +92,9 @@
             for (machine in machines) {
                 if (left == 0) break
                 var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.roomIn(machine.zone))
-                if (spread) tasks = minOf(tasks, replicas.maxPerMachine(job) - replicas.countOn(machine, job))
+                if (spread) {
+                    tasks = minOf(tasks, replicaPlacement.maxPerMachine(job) - replicaPlacement.countOn(machine, job))
+                }
                 if (tasks <= 0) continue
                 assignTo(machine, tasks)
                 left -= tasks
@@ -101,7 +103,7 @@
         }
 
         private fun assignTo(machine: Machine, count: Int) {
-            out.add(Allocation(job, machine, nextTasks(count), starvation.goesFirst(job)))
+            allocations.add(Allocation(job, machine, nextTasks(count), starvation.isServedFirst(job)))
             zones.addTasks(machine.zone, count)
             machine.roundRoom = machine.roundRoom.without(job.taskResources, count)
             if (job.image >= 0) machine.images.add(job.image)
@@ -117,25 +119,25 @@
         }
     }
 
-    private fun fitting(job: OpenJob, machines: List<Machine>, heldOnly: Boolean): ArrayList<Machine> {
+    private fun fitting(job: OpenJob, machines: List<Machine>, cachedImageOnly: Boolean): ArrayList<Machine> {
         val urgent = objectives.awaitsPromptStart(job)
         val fitting = ArrayList<Machine>()
         for (machine in machines) {
-            if (!job.taskResources.fitsIn(machine.roundRoom) || !allowed(job, machine)) continue
-            val fetches = fetches(job, machine)
-            if (heldOnly && fetches) continue
-            val elsewhereRank = if (scarceTypes.wantedElsewhere(job, machine.type)) WANTED_ELSEWHERE else 0
-            machine.roundRank = elsewhereRank + fetchRank(fetches, urgent)
+            if (!job.taskResources.fitsIn(machine.roundRoom) || !isAllowed(job, machine)) continue
+            val needsFetch = needsImageFetch(job, machine)
+            if (cachedImageOnly && needsFetch) continue
+            val neededByOthersRank = if (scarceTypes.isNeededByOthers(job, machine.type)) RANK_NEEDED_BY_OTHERS else 0
+            machine.roundRank = neededByOthersRank + fetchRank(needsFetch, urgent)
             fitting.add(machine)
         }
         return fitting
     }
 
-    private fun fetchRank(fetches: Boolean, urgent: Boolean): Int =
+    private fun fetchRank(needsFetch: Boolean, urgent: Boolean): Int =
         when {
-            !fetches -> 0
-            urgent -> FETCHES_URGENT
-            else -> FETCHES
+            !needsFetch -> 0
+            urgent -> RANK_FETCH_FOR_URGENT
+            else -> RANK_FETCH
         }
 
     /**
@@ -160,13 +162,13 @@
      */
     private fun sample(fitting: ArrayList<Machine>, wanted: Int, job: OpenJob): ArrayList<Machine> {
         if (fitting.size <= options.sampleSize) return fitting
-        val (holders, others) = fitting.partition { !fetches(job, it) }
+        val (withImage, withoutImage) = fitting.partition { !needsImageFetch(job, it) }
         val sample = ArrayList<Machine>(options.sampleSize * 2)
-        addSample(holders, sample)
-        addSample(others, sample)
-        var room = 0
-        for (machine in sample) room += job.taskResources.countIn(machine.roundRoom)
-        return if (room >= wanted) sample else fitting
+        addSample(withImage, sample)
+        addSample(withoutImage, sample)
+        var fittingTasks = 0
+        for (machine in sample) fittingTasks += job.taskResources.countIn(machine.roundRoom)
+        return if (fittingTasks >= wanted) sample else fitting
     }
 
     /** Adds up to the size of a sample of [machines] to [sample], from a random one on. */
@@ -180,8 +182,8 @@
 
     private companion object {
         // Ranks, the lower the better. The lowest bit counts after the size of the machine's type, the others before.
-        const val FETCHES = 1
-        const val FETCHES_URGENT = 3
-        const val WANTED_ELSEWHERE = 4
+        const val RANK_FETCH = 1
+        const val RANK_FETCH_FOR_URGENT = 3
+        const val RANK_NEEDED_BY_OTHERS = 4
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -28,13 +28,13 @@
     options: OperatorSettings,
     private val objectives: ServiceLevelObjectives,
 ) {
-    private val replicas = Replicas(jobs)
+    private val replicaPlacement = ReplicaPlacement(jobs)
     private val starvation = StarvationPrevention(context, jobs, reconciler, options)
     private val scarceTypes = ScarceMachineTypes(context, jobs, fleet, objectives)
     private val urgentHeadroom = UrgentHeadroom(jobs, objectives, options)
     private val order = JobOrder(context, jobs, quotas, fleet, objectives, starvation)
     private val selector = MachineSelector(context, fleet, options, objectives, starvation, scarceTypes, replicas)
-    private val migration = ReplicaMigration(context, fleet, quotas, replicas, selector::allowed)
+    private val migration = ReplicaMigration(context, fleet, quotas, replicaPlacement, selector::isAllowed)
     private val preemption = Preemption(context, quotas, fleet, objectives, order, selector)
 
     /** What the last round found no room for, most urgent first. */
@@ -48,20 +48,20 @@
     fun urgentHeadroomCpus(): Double = urgentHeadroom.cpus()
 
     /** Whether [job] may use [machine] now; room aside. */
-    fun mayUse(job: OpenJob, machine: Machine): Boolean = selector.allowed(job, machine)
+    fun mayUse(job: OpenJob, machine: Machine): Boolean = selector.isAllowed(job, machine)
 
     fun round(): List<Allocation> {
         preemption.begin()
         unplaced = emptyList()
-        if (jobs.open.none { it.placeable } && !migration.pending()) return emptyList()
+        if (jobs.open.none { it.placeable } && !migration.hasWork()) return emptyList()
         scarceTypes.update()
         order.begin()
-        urgentHeadroom.recordSizes()
-        starvation.begin(order.capacity)
-        val waiting = order.waiting()
+        urgentHeadroom.recordJobSizes()
+        starvation.begin(order.fleetCpus)
+        val pendingJobs = order.pendingJobs()
         val placeable = fleet.placeable()
-        val round = newRound(waiting, placeable)
-        serve(waiting, round)
+        val round = newRound(pendingJobs, placeable)
+        serve(pendingJobs, round)
         round.migrateReplicas()
         preemption.preempted.addAll(round.stoppedOn)
         unplaced = round.unplaced
@@ -71,28 +71,28 @@
     }
 
     /** A round with the restarts of replicas that migrate, which come before all else. */
-    private fun newRound(waiting: List<OpenJob>, placeable: List<Machine>): PlacementRound {
-        val machines = withRoom(placeable, waiting)
-        val room = PlacementRound.Room(machines, urgentHeadroom.cpus()) { migration.plan(placeable) }
-        val restarts = migration.start(placeable)
-        val round = PlacementRound(context, quotas, fleet, order, starvation, selector, replicas, room)
+    private fun newRound(pendingJobs: List<OpenJob>, placeable: List<Machine>): PlacementRound {
+        val machines = withFreeCapacity(placeable, pendingJobs)
+        val freeCapacity = PlacementRound.FreeCapacity(machines, urgentHeadroom.cpus()) { migration.plan(placeable) }
+        val restarts = migration.allocateRestarts(placeable)
+        val round = PlacementRound(context, quotas, fleet, order, starvation, selector, replicaPlacement, freeCapacity)
         round.addRestarts(restarts)
         return round
     }
 
     /** Serves the jobs in their order, those that are equal in it together. */
-    private fun serve(waiting: List<OpenJob>, round: PlacementRound) {
+    private fun serve(pendingJobs: List<OpenJob>, round: PlacementRound) {
         var start = 0
-        while (start < waiting.size) {
-            val first = waiting[start]
+        while (start < pendingJobs.size) {
+            val first = pendingJobs[start]
             var end = start + 1
-            while (end < waiting.size && order.areEqual(first, waiting[end])) end++
-            val equal = waiting.subList(start, end)
+            while (end < pendingJobs.size && order.haveSameRank(first, pendingJobs[end])) end++
+            val sameRank = pendingJobs.subList(start, end)
             // Among equal jobs, a machine goes first to one whose image it holds: fetching costs machine time.
-            if (equal.size > 1 && !objectives.awaitsPromptStart(first)) {
-                for (job in equal) round.serve(job, heldOnly = true)
+            if (sameRank.size > 1 && !objectives.awaitsPromptStart(first)) {
+                for (job in sameRank) round.serve(job, cachedImageOnly = true)
             }
-            for (job in equal) round.serve(job, heldOnly = false)
+            for (job in sameRank) round.serve(job, cachedImageOnly = false)
             start = end
         }
     }
@@ -100,9 +100,9 @@
     /**
      * The machines that could take the smallest task that waits; in a full fleet they are few, and a round is short.
      */
-    private fun withRoom(placeable: List<Machine>, waiting: List<OpenJob>): List<Machine> {
-        val cpus = waiting.minOfOrNull { it.taskResources.cpus } ?: 0.0
-        val memory = waiting.minOfOrNull { it.taskResources.memoryGb } ?: 0.0
+    private fun withFreeCapacity(placeable: List<Machine>, pendingJobs: List<OpenJob>): List<Machine> {
+        val cpus = pendingJobs.minOfOrNull { it.taskResources.cpus } ?: 0.0
+        val memory = pendingJobs.minOfOrNull { it.taskResources.memoryGb } ?: 0.0
         val smallest = Resources(cpus, 0.0, memory)
         return placeable.filter { machine ->
             machine.roundRoom = machine.room(fleet.types)
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -26,14 +26,14 @@
     private val order: JobOrder,
     private val starvation: StarvationPrevention,
     private val selector: MachineSelector,
-    private val replicas: Replicas,
-    private val room: Room,
+    private val replicaPlacement: ReplicaPlacement,
+    private val freeCapacity: FreeCapacity,
 ) {
     /**
      * The machines with room for any task that waits, CPUs that are to stay free for urgent work, and what finds room
      * for replicas that have to migrate.
      */
-    class Room(
+    class FreeCapacity(
         val machines: List<Machine>,
         val urgentHeadroomCpus: Double,
         val planMigrations: () -> ReplicaMigration.Plan,
@@ -45,29 +45,29 @@
 
     /** Machines on which replicas were commanded to stop, since room for them was found elsewhere. */
     val stoppedOn = ArrayList<Machine>()
-    private val machines get() = room.machines
+    private val machines get() = freeCapacity.machines
     private var freeCpus = machines.sumOf { it.roundRoom.cpus }
-    private val capacity = order.capacity
+    private val fleetCpus = order.fleetCpus
 
     /** CPU seconds of waiting work, this job's and what goes before it. */
-    private var backlog = 0.0
-    private val givenCpusByTeam = HashMap<Int, Double>()
-    private val givenGpusByTeam = HashMap<Int, Double>()
-    private val givenTasks = HashMap<OpenJob, Int>()
+    private var backlogCpuS = 0.0
+    private val allocatedCpusByTeam = HashMap<Int, Double>()
+    private val allocatedGpusByTeam = HashMap<Int, Double>()
+    private val allocatedTasks = HashMap<OpenJob, Int>()
 
     /** Whether headroom for services has been taken off what is left for other work. */
-    private var headroomReserved = false
-    private var headroomOffersLeft = MAX_HEADROOM_OFFERS
+    private var serviceHeadroomReserved = false
+    private var headroomReleasesLeft = MAX_HEADROOM_RELEASES
 
     /** Services of which a replica starts on the room held for it; the rest of them waits for the next round. */
-    private val migrated = HashSet<OpenJob>()
+    private val servicesRestarting = HashSet<OpenJob>()
     private var migrationsPlanned = false
 
     /** Takes in [restarts] of replicas that migrate, which have their places already. */
     fun addRestarts(restarts: List<Allocation>) {
         for (allocation in restarts) {
             allocations.add(allocation)
-            migrated.add(allocation.job)
+            servicesRestarting.add(allocation.job)
             recordPlaced(allocation.job, allocation.tasks.size)
         }
     }
@@ -76,82 +76,84 @@
     fun migrateReplicas() {
         if (migrationsPlanned) return
         migrationsPlanned = true
-        val plan = room.planMigrations()
+        val plan = freeCapacity.planMigrations()
         stoppedOn.addAll(plan.stoppedOn)
         unplaced.addAll(plan.unplaced)
     }
 
-    /** Gives the job what it may have; with [heldOnly] only on machines that hold its image. */
-    fun serve(job: OpenJob, heldOnly: Boolean) {
-        if (job in migrated) return
+    /** Gives the job what it may have; with [cachedImageOnly] only on machines that hold its image. */
+    fun serve(job: OpenJob, cachedImageOnly: Boolean) {
+        if (job in servicesRestarting) return
         reserveHeadroomBefore(job)
-        val ready = job.tasks.readyCount - (givenTasks[job] ?: 0)
-        val withinQuota = minOf(ready, quotaLeft(job))
+        val ready = job.tasks.readyCount - (allocatedTasks[job] ?: 0)
+        val withinQuota = minOf(ready, tasksLeftInQuota(job))
         if (job.service && withinQuota < ready) overQuota.add(ReplicasOverQuota(job, ready - withinQuota))
         // Zone constraints are counted over what one call places, so such jobs are placed in one.
         val inOnePass = job.gang || job.boundToZones
-        val wanted = if (heldOnly && inOnePass) 0 else wantedTasks(job, withinQuota, ready)
-        val placed = if (wanted > 0) placeWithHeadroom(job, wanted, heldOnly) else 0
+        val wanted = if (cachedImageOnly && inOnePass) 0 else wantedTasks(job, withinQuota, ready)
+        val placed = if (wanted > 0) placeWithHeadroom(job, wanted, cachedImageOnly) else 0
         if (placed > 0) recordPlaced(job, placed)
         if (placed == ready) job.credit.allPlaced(context.now.wall)
-        if (!heldOnly && placed < withinQuota) recordUnplaced(job, withinQuota - placed, mayPress = wanted > 0)
+        if (!cachedImageOnly && placed < withinQuota) {
+            recordUnplaced(job, withinQuota - placed, canBePressing = wanted > 0)
+        }
     }
 
     /** Before the first job that is neither a service nor has credit, headroom for services is reserved. */
     private fun reserveHeadroomBefore(job: OpenJob) {
-        if (headroomReserved || job.service || starvation.goesFirst(job)) return
-        headroomReserved = true
+        if (serviceHeadroomReserved || job.service || starvation.isServedFirst(job)) return
+        serviceHeadroomReserved = true
         migrateReplicas()
-        freeCpus -= replicas.reserveHeadroom(machines)
+        freeCpus -= replicaPlacement.reserveHeadroom(machines)
     }
 
-    /** How many of the [most] tasks that the team's quota allows this round should give the job. */
-    private fun wantedTasks(job: OpenJob, most: Int, ready: Int): Int {
-        var wanted = most
+    /** How many of the [maxTasks] tasks that the team's quota allows this round should give the job. */
+    private fun wantedTasks(job: OpenJob, maxTasks: Int, ready: Int): Int {
+        var wanted = maxTasks
         // A probe, not the whole array.
         if (job.backoff.failures > 0 && job.backoff.failsOnSeveralMachines(context.steady)) wanted = minOf(wanted, 1)
-        if (starvation.goesFirst(job) && !job.gang) {
+        if (starvation.isServedFirst(job) && !job.gang) {
             wanted = minOf(wanted, starvation.tasksFromCredit(job))
-        } else if (order.leavesHeadroom(job)) {
-            wanted = minOf(wanted, ((freeCpus - room.urgentHeadroomCpus) / job.countedCpus).toInt())
+        } else if (order.mustLeaveUrgentHeadroom(job)) {
+            wanted = minOf(wanted, ((freeCpus - freeCapacity.urgentHeadroomCpus) / job.countedCpus).toInt())
         }
         if (job.gang && (!job.tasks.noneLive || wanted < ready)) wanted = 0 // all at once or not at all
         return wanted
     }
 
     /** Places tasks, also on the headroom for services if the job may use that. */
-    private fun placeWithHeadroom(job: OpenJob, wanted: Int, heldOnly: Boolean): Int {
-        val placed = place(job, wanted, 0, heldOnly)
-        if (heldOnly || placed >= wanted || !takeHeadroomOffer(job, placed)) return placed
-        replicas.releaseHeadroom()
+    private fun placeWithHeadroom(job: OpenJob, wanted: Int, cachedImageOnly: Boolean): Int {
+        val placed = place(job, wanted, 0, cachedImageOnly)
+        if (cachedImageOnly || placed >= wanted || !trySpendHeadroomRelease(job, placed)) return placed
+        replicaPlacement.releaseHeadroom()
         val more = place(job, wanted - placed, placed, false)
-        replicas.reserveHeadroom(machines)
+        replicaPlacement.reserveHeadroom(machines)
         return placed + more
     }
 
-    private fun place(job: OpenJob, wanted: Int, placed: Int, heldOnly: Boolean): Int {
+    private fun place(job: OpenJob, wanted: Int, placed: Int, cachedImageOnly: Boolean): Int {
         if (job.gang) return selector.placeGang(job, wanted, machines, allocations)
-        val skip = (givenTasks[job] ?: 0) + placed
-        return selector.place(job, wanted, machines, allocations, skip, heldOnly)
+        val skip = (allocatedTasks[job] ?: 0) + placed
+        return selector.place(job, wanted, machines, allocations, skip, cachedImageOnly)
     }
 
     /** Headroom for services is no longer reserved from what waits long, see [FairShareCredit.waitsLong]. */
-    private fun takeHeadroomOffer(job: OpenJob, placed: Int): Boolean {
-        if (!headroomReserved || job.service) return false
+    private fun trySpendHeadroomRelease(job: OpenJob, placed: Int): Boolean {
+        if (!serviceHeadroomReserved || job.service) return false
         if (placed > 0 && job.boundToZones) return false
-        return job.credit.waitsLong(context.now.wall) && headroomOffersLeft-- > 0
+        return job.credit.waitsLong(context.now.wall) && headroomReleasesLeft-- > 0
     }
 
-    private fun quotaLeft(job: OpenJob): Int {
-        val cpus = givenCpusByTeam[job.team] ?: 0.0
-        val gpus = givenGpusByTeam[job.team] ?: 0.0
+    private fun tasksLeftInQuota(job: OpenJob): Int {
+        val cpus = allocatedCpusByTeam[job.team] ?: 0.0
+        val gpus = allocatedGpusByTeam[job.team] ?: 0.0
         return quotas.headroom(job.team, job.taskResources, Resources(cpus, gpus, 0.0))
     }
 
-    /** Records [count] tasks that found no room; they are pressing only if [mayPress]. */
-    private fun recordUnplaced(job: OpenJob, count: Int, mayPress: Boolean) {
-        if (mayPress) backlog += count * job.taskResources.cpus * job.spec.expectedS
-        val pressing = mayPress && order.isPressing(job, backlog / maxOf(1.0, capacity))
+    /** Records [count] tasks that found no room; they are pressing only if [canBePressing]. */
+    private fun recordUnplaced(job: OpenJob, count: Int, canBePressing: Boolean) {
+        if (canBePressing) backlogCpuS += count * job.taskResources.cpus * job.spec.expectedS
+        val pressing = canBePressing && order.mayMissObjective(job, backlogCpuS / maxOf(1.0, fleetCpus))
         val zones = if (job.boundToZones) zonesAfter(job) else null
         unplaced.add(UnplacedTasks(job, count, pressing, zones))
     }
@@ -167,16 +169,16 @@
 
     private fun recordPlaced(job: OpenJob, placed: Int) {
         freeCpus -= placed * job.taskResources.cpus
-        givenTasks.merge(job, placed, Int::plus)
+        allocatedTasks.merge(job, placed, Int::plus)
         starvation.onPlaced(job, placed)
-        givenCpusByTeam.merge(job.team, placed * job.taskResources.cpus, Double::plus)
-        givenGpusByTeam.merge(job.team, placed * job.taskResources.gpus, Double::plus)
+        allocatedCpusByTeam.merge(job.team, placed * job.taskResources.cpus, Double::plus)
+        allocatedGpusByTeam.merge(job.team, placed * job.taskResources.gpus, Double::plus)
     }
 
     private companion object {
         /**
          * Of the jobs that wait long only the first few are offered the headroom for services: each offer costs a pass.
          */
-        const val MAX_HEADROOM_OFFERS = 5
+        const val MAX_HEADROOM_RELEASES = 5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -38,26 +38,26 @@
 
     /** Preempts for what this round has left [unplaced]. */
     fun preemptFor(unplaced: List<UnplacedTasks>, placeable: List<Machine>) {
-        val withVictims by lazy(LazyThreadSafetyMode.NONE) { placeable.filter(::hasVictims) }
+        val machinesWithVictims by lazy(LazyThreadSafetyMode.NONE) { placeable.filter(::hasVictims) }
         for (tasks in unplaced) {
             val claim = claimOf(tasks) ?: continue
             if (tasks.job.service) {
-                preemptFor(claim, placeable.filter { hasVictimsOfReplica(it, tasks.job) })
+                preemptFor(claim, placeable.filter { hasVictimsForReplica(it, tasks.job) })
                 continue
             }
-            if (withVictims.isEmpty()) return
-            preemptFor(claim, withVictims)
+            if (machinesWithVictims.isEmpty()) return
+            preemptFor(claim, machinesWithVictims)
         }
     }
 
     private fun hasVictims(machine: Machine): Boolean = machine.attempts.any { it.stopRequested || isPreemptible(it) }
 
-    private fun hasVictimsOfReplica(machine: Machine, service: OpenJob): Boolean =
+    private fun hasVictimsForReplica(machine: Machine, service: OpenJob): Boolean =
         machine.attempts.any { it.stopRequested || isPreemptibleByReplica(it, service) }
 
     private fun claimOf(tasks: UnplacedTasks): Claim? {
         val urgent = objectives.canStartInTime(tasks.job, context.now.wall) && tasks.job.spec.priority <= Priority.HIGH
-        val withinGuarantee = order.freshGuarantee(tasks.job)
+        val withinGuarantee = order.canMeetGuarantee(tasks.job)
         if (tasks.job.gang || !urgent && !withinGuarantee) return null
         return Claim(tasks, urgent, withinGuarantee)
     }
@@ -91,16 +91,18 @@
     private fun preemptFor(claim: Claim, candidates: List<Machine>) {
         val job = claim.job
         val machines = candidates.filter { isUsable(claim, it) }
-        var needed = claim.tasks.count - machines.sumOf { job.taskResources.countIn(roomAfterStops(it)) }
+        var needed = claim.tasks.count - machines.sumOf { job.taskResources.countIn(freeCapacityAfterStops(it)) }
         if (needed <= 0) return
         val victims =
             machines
                 .associateWith { machine -> victimsOn(machine, claim) }
                 .filterValues { it.isNotEmpty() }
-        val heldFirst = compareBy<Map.Entry<Machine, List<Attempt>>> { if (selector.fetches(job, it.key)) 1 else 0 }
-        for ((machine, attempts) in victims.entries.sortedWith(heldFirst.thenBy(cheapestFirst) { it.value.first() })) {
+        val cachedImageFirst =
+            compareBy<Map.Entry<Machine, List<Attempt>>> { if (selector.needsImageFetch(job, it.key)) 1 else 0 }
+        val preference = cachedImageFirst.thenBy(cheapestFirst) { it.value.first() }
+        for ((machine, attempts) in victims.entries.sortedWith(preference)) {
             if (needed <= 0) return
-            needed -= stopOn(machine, attempts, job, needed)
+            needed -= stopVictims(machine, attempts, job, needed)
         }
     }
 
@@ -109,8 +111,8 @@
 
     private fun isUsable(claim: Claim, machine: Machine): Boolean {
         val job = claim.job
-        if (!job.service && selector.fetches(job, machine)) return false
-        return selector.allowed(job, machine) && claim.tasks.admits(machine.zone)
+        if (!job.service && selector.needsImageFetch(job, machine)) return false
+        return selector.isAllowed(job, machine) && claim.tasks.admits(machine.zone)
     }
 
     private val cheapestFirst =
@@ -126,41 +128,41 @@
      * not; returns for how many tasks. An earlier version counted CPUs over all machines, so what was stopped went back
      * to where it had been, since the room was too small for the other.
      */
-    private fun stopOn(machine: Machine, victims: List<Attempt>, job: OpenJob, wanted: Int): Int {
-        var room = roomAfterStops(machine)
-        var fitting = job.taskResources.countIn(room)
-        var gained = 0
-        val pending = ArrayList<Attempt>()
+    private fun stopVictims(machine: Machine, victims: List<Attempt>, job: OpenJob, wanted: Int): Int {
+        var freeCapacity = freeCapacityAfterStops(machine)
+        var fittingTasks = job.taskResources.countIn(freeCapacity)
+        var gainedTasks = 0
+        val toStop = ArrayList<Attempt>()
         for (victim in victims) {
-            if (gained >= wanted) break
-            pending.add(victim)
-            room += victim.job.taskResources
-            val fittingNow = job.taskResources.countIn(room)
-            if (fittingNow == fitting) continue
-            gained += fittingNow - fitting
-            fitting = fittingNow
-            for (attempt in pending) attempt.requestStop()
-            pending.clear()
+            if (gainedTasks >= wanted) break
+            toStop.add(victim)
+            freeCapacity += victim.job.taskResources
+            val fittingTasksNow = job.taskResources.countIn(freeCapacity)
+            if (fittingTasksNow == fittingTasks) continue
+            gainedTasks += fittingTasksNow - fittingTasks
+            fittingTasks = fittingTasksNow
+            for (attempt in toStop) attempt.requestStop()
+            toStop.clear()
             preempted.add(machine)
         }
-        return gained
+        return gainedTasks
     }
 
     /** The room that this round leaves on [machine], and what its tasks that are being stopped will leave. */
-    private fun roomAfterStops(machine: Machine): Resources {
-        var room = machine.roundRoom
+    private fun freeCapacityAfterStops(machine: Machine): Resources {
+        var freeCapacity = machine.roundRoom
         for (attempt in machine.attempts) {
-            if (attempt.stopRequested && attempt.onMachine) room += attempt.job.taskResources
+            if (attempt.stopRequested && attempt.onMachine) freeCapacity += attempt.job.taskResources
         }
-        return room
+        return freeCapacity
     }
 
     /** Whether little is lost by stopping [attempt], whatever for. */
     private fun isPreemptible(attempt: Attempt): Boolean {
         if (!attempt.onMachine || attempt.stopRequested || attempt.fromCredit) return false
         if (attempt.job.spec.shape != Shape.ARRAY) return false
-        val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAt < YOUNG_MS
-        return losesLittle && !order.withinGuarantee(attempt.job)
+        val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAt < RECENT_START_MS
+        return losesLittle && !order.isWithinGuarantee(attempt.job)
     }
 
     /**
@@ -177,18 +179,18 @@
         val job = claim.job
         if (job.service && isPreemptibleByReplica(attempt, job)) return true
         if (!isPreemptible(attempt)) return false
-        val isLower = attempt.job.spec.priority > job.spec.priority
-        return claim.urgent && isLower || claim.withinGuarantee && borrowsFrom(job, attempt)
+        val hasLowerPriority = attempt.job.spec.priority > job.spec.priority
+        return claim.urgent && hasLowerPriority || claim.withinGuarantee && usesBorrowedQuota(job, attempt)
     }
 
     /** Whether [attempt] runs on what its team has beyond its guarantee, and [job] is another's and no less urgent. */
-    private fun borrowsFrom(job: OpenJob, attempt: Attempt): Boolean {
+    private fun usesBorrowedQuota(job: OpenJob, attempt: Attempt): Boolean {
         val team = attempt.job.team
         return team != job.team && attempt.job.spec.priority >= job.spec.priority && quotas.exceedsGuarantee(team)
     }
 
     private companion object {
         /** Less is lost by stopping a task that began this short a time ago than by letting others wait. */
-        const val YOUNG_MS = 12_000L
+        const val RECENT_START_MS = 12_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -16,45 +16,45 @@
 /**
  * Migrates replicas off machines that have to be emptied: those with a spot notice, those drained as faulty and those
  * cordoned so that they can be deleted. A replica is stopped only once room for it is held on another machine, and one
- * replica of a service at a time, unless its machine will be gone before that can be kept to. The held room is given to
- * the replica when its old attempt is proved gone, under the same rules as any start. Called by [Placement] and
+ * replica of a service at a time, unless its machine will be gone before that can be kept to. The held room is allocated
+ * to the replica when its old attempt is proved gone, under the same rules as any start. Called by [Placement] and
  * [PlacementRound].
  */
 class ReplicaMigration(
     private val context: CoreContext,
     private val fleet: Fleet,
     private val quotas: Quotas,
-    private val replicas: Replicas,
+    private val replicaPlacement: ReplicaPlacement,
     private val mayUse: (OpenJob, Machine) -> Boolean,
 ) {
     /** A replica whose [old] attempt is being stopped, and the machine that holds room for it. */
     private class Migration(val old: Attempt, val target: Machine) {
         val job: OpenJob get() = old.job
-        val oldGone: Boolean get() = old.resolved || old.phase == Attempt.Phase.EXITED
+        val hasOldEnded: Boolean get() = old.resolved || old.phase == Attempt.Phase.EXITED
     }
 
     private val migrations = ArrayList<Migration>()
 
     /** Whether a placement round has something to do here, even if no task waits. */
-    fun pending(): Boolean =
+    fun hasWork(): Boolean =
         migrations.isNotEmpty() ||
-            fleet.machines.any { machine -> isLeaving(machine) && machine.attempts.any(::mustMigrate) }
+            fleet.machines.any { machine -> mustBeEmptied(machine) && machine.attempts.any(::mustMigrate) }
 
     /**
      * Starts the replicas whose old attempts are gone, at most one of a service in a round since zone constraints are
      * counted over what is on machines, and takes the room held for the others off the room of their machines.
      */
-    fun start(placeable: List<Machine>): List<Allocation> {
+    fun allocateRestarts(placeable: List<Machine>): List<Allocation> {
         val allocations = ArrayList<Allocation>()
         migrations.removeAll { isObsolete(it) }
         for (migration in ArrayList(migrations)) {
-            if (!migration.oldGone || allocations.any { it.job === migration.job }) {
-                holdRoom(migration)
+            if (!migration.hasOldEnded || allocations.any { it.job === migration.job }) {
+                reserveOnTarget(migration)
                 continue
             }
             migrations.remove(migration)
             if (!mayStart(migration, placeable, allocations)) continue // it is placed like any other task that is ready
-            holdRoom(migration)
+            reserveOnTarget(migration)
             val task = migration.job.tasks.nextReady(0)
             allocations.add(Allocation(migration.job, migration.target, intArrayOf(task), fromCredit = false))
         }
@@ -68,8 +68,8 @@
     fun plan(placeable: List<Machine>): Plan {
         val stoppedOn = ArrayList<Machine>()
         val unplaced = ArrayList<UnplacedTasks>()
-        val leaving = fleet.machines.filter(::isLeaving).flatMap { it.attempts.filter(::mustMigrate) }
-        for (attempts in leaving.groupBy { it.job }.values) {
+        val attemptsToMigrate = fleet.machines.filter(::mustBeEmptied).flatMap { it.attempts.filter(::mustMigrate) }
+        for (attempts in attemptsToMigrate.groupBy { it.job }.values) {
             planService(attempts, placeable, stoppedOn, unplaced)
         }
         return Plan(stoppedOn, unplaced)
@@ -82,12 +82,12 @@
         stoppedOn: MutableList<Machine>,
         unplaced: MutableList<UnplacedTasks>,
     ) {
-        val byDeadline = attempts.sortedWith(compareBy({ deadline(it.machine) }, { it.index }))
-        for (attempt in byDeadline) {
-            if (othersDown(attempt) && canWait(attempt, attempts.size)) return
+        val byReclaimTime = attempts.sortedWith(compareBy({ reclaimAtMs(it.machine) }, { it.index }))
+        for (attempt in byReclaimTime) {
+            if (hasOtherReplicaDown(attempt) && canMigrateInTurn(attempt, attempts.size)) return
             val zones = zonesWithout(attempt)
-            val target = target(attempt, zones, placeable)
-            if (target == null && !outOfTime(attempt)) {
+            val target = selectTarget(attempt, zones, placeable)
+            if (target == null && !isOutOfTime(attempt)) {
                 unplaced.add(UnplacedTasks(attempt.job, 1, pressing = true, zones))
                 return
             }
@@ -99,43 +99,43 @@
 
     private fun begin(migration: Migration) {
         migrations.add(migration)
-        holdRoom(migration)
+        reserveOnTarget(migration)
     }
 
-    private fun isLeaving(machine: Machine): Boolean =
+    private fun mustBeEmptied(machine: Machine): Boolean =
         machine.state == Machine.State.UP && machine.availability.isBeingEmptied
 
     private fun mustMigrate(attempt: Attempt): Boolean =
-        attempt.job.service && isWanted(attempt.job) && attempt.onMachine && !attempt.stopRequested
+        attempt.job.service && isOpen(attempt.job) && attempt.onMachine && !attempt.stopRequested
 
-    private fun isWanted(job: OpenJob): Boolean = !job.cancelling && job.entry.state == JobState.OPEN
+    private fun isOpen(job: OpenJob): Boolean = !job.cancelling && job.entry.state == JobState.OPEN
 
     /** Of no use any more: the job is withdrawn, or the migration was planned in an earlier term as leader. */
     private fun isObsolete(migration: Migration): Boolean {
-        if (!isWanted(migration.job)) return true
+        if (!isOpen(migration.job)) return true
         val machine = migration.old.machine
-        return !migration.oldGone && fleet.find(machine.name) !== machine
+        return !migration.hasOldEnded && fleet.find(machine.name) !== machine
     }
 
-    private fun mayStart(migration: Migration, placeable: List<Machine>, given: List<Allocation>): Boolean {
+    private fun mayStart(migration: Migration, placeable: List<Machine>, allocated: List<Allocation>): Boolean {
         val job = migration.job
         val target = migration.target
         if (!job.placeable || job.backoff.notBefore > context.steady || target !in placeable) return false
         if (!job.taskResources.fitsIn(target.roundRoom) || !mayUse(job, target)) return false
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked || !zones.admits(target.zone)) return false
-        return withinQuota(job, given)
+        return withinQuota(job, allocated)
     }
 
-    /** Whether the team's quota allows one more replica beside what was [given] in this round. */
-    private fun withinQuota(job: OpenJob, given: List<Allocation>): Boolean {
-        val ofTeam = given.filter { it.job.team == job.team }
+    /** Whether the team's quota allows one more replica beside what was [allocated] in this round. */
+    private fun withinQuota(job: OpenJob, allocated: List<Allocation>): Boolean {
+        val ofTeam = allocated.filter { it.job.team == job.team }
         val cpus = ofTeam.sumOf { it.job.taskResources.cpus }
         val gpus = ofTeam.sumOf { it.job.taskResources.gpus }
         return quotas.headroom(job.team, job.taskResources, Resources(cpus, gpus, 0.0)) >= 1
     }
 
-    private fun holdRoom(migration: Migration) {
+    private fun reserveOnTarget(migration: Migration) {
         val target = migration.target
         target.roundRoom = target.roundRoom.without(migration.job.taskResources, 1)
         // It is not deleted for idling meanwhile.
@@ -143,7 +143,7 @@
     }
 
     /** Whether a replica of the same service other than [attempt] is down, or was commanded to stop. */
-    private fun othersDown(attempt: Attempt): Boolean {
+    private fun hasOtherReplicaDown(attempt: Attempt): Boolean {
         val job = attempt.job
         val stopping = migrations.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.resolved }
         val itself = if (attempt.phase == Attempt.Phase.RUNNING) 0 else 1
@@ -151,10 +151,10 @@
     }
 
     /** Whether [count] replicas of the service can still migrate one after the other before the machine is gone. */
-    private fun canWait(attempt: Attempt, count: Int): Boolean {
-        val deadline = deadline(attempt.machine)
-        if (deadline == Long.MAX_VALUE) return true
-        return deadline - context.steady > LAST_STOP_MS + count * (RESTART_MS + fetchMs(attempt))
+    private fun canMigrateInTurn(attempt: Attempt, count: Int): Boolean {
+        val reclaimAtMs = reclaimAtMs(attempt.machine)
+        if (reclaimAtMs == Long.MAX_VALUE) return true
+        return reclaimAtMs - context.steady > STOP_BEFORE_RECLAIM_MS + count * (RESTART_MS + fetchMs(attempt))
     }
 
     private fun fetchMs(attempt: Attempt): Long {
@@ -163,10 +163,11 @@
         return (attempt.job.spec.imageGb / fetchGbPerS * MS_PER_S).toLong()
     }
 
-    private fun outOfTime(attempt: Attempt): Boolean = deadline(attempt.machine) - context.steady <= LAST_STOP_MS
+    private fun isOutOfTime(attempt: Attempt): Boolean =
+        reclaimAtMs(attempt.machine) - context.steady <= STOP_BEFORE_RECLAIM_MS
 
     /** When the cloud reclaims the machine; [Long.MAX_VALUE] if it stays until it is empty. */
-    private fun deadline(machine: Machine): Long =
+    private fun reclaimAtMs(machine: Machine): Long =
         if (machine.availability.hasSpotNotice) machine.availability.reclaimAt else Long.MAX_VALUE
 
     /** The zone constraint as it will stand once the migrations under way are over and [attempt] is gone. */
@@ -174,7 +175,7 @@
         val zones = ZoneConstraint(attempt.job, fleet)
         for (migration in migrations) {
             if (migration.job !== attempt.job) continue
-            if (!migration.oldGone) zones.removeTask(migration.old.machine.zone)
+            if (!migration.hasOldEnded) zones.removeTask(migration.old.machine.zone)
             zones.addTasks(migration.target.zone, 1)
         }
         zones.removeTask(attempt.machine.zone)
@@ -182,7 +183,7 @@
     }
 
     /** One that holds the image if there is any, then one that has few replicas of the service, then the fullest. */
-    private fun target(attempt: Attempt, zones: ZoneConstraint, placeable: List<Machine>): Machine? {
+    private fun selectTarget(attempt: Attempt, zones: ZoneConstraint, placeable: List<Machine>): Machine? {
         val job = attempt.job
         if (zones.blocked) return null
         return placeable
@@ -190,7 +191,7 @@
             .minWithOrNull(
                 compareBy(
                     { if (job.image < 0 || job.image in it.images) 0 else 1 },
-                    { if (replicas.countOn(it, job) < replicas.maxPerMachine(job)) 0 else 1 },
+                    { if (replicaPlacement.countOn(it, job) < replicaPlacement.maxPerMachine(job)) 0 else 1 },
                     { it.roundRoom.cpus },
                     { it.id },
                 ),
@@ -199,7 +200,7 @@
 
     private companion object {
         /** A replica without room elsewhere is stopped this long before its machine is gone. */
-        const val LAST_STOP_MS = 1500L
+        const val STOP_BEFORE_RECLAIM_MS = 1500L
 
         /** How long a stop, its proof and a start elsewhere take, without the image. */
         const val RESTART_MS = 2000L
--- a/src/main/kotlin/org/chalkhollow/core/placement/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaPlacement.kt
@@ -13,12 +13,12 @@
  * that has just come, need not wait for a task to end or a machine to boot. Called by [PlacementRound],
  * [MachineSelector] and [ReplicaMigration].
  */
-class Replicas(private val jobs: JobTable) {
+class ReplicaPlacement(private val jobs: JobTable) {
     /** The largest service seen of a class, and the images that its services run. */
     private class ServiceClass(var taskResources: Resources, var count: Int, var spotAllowed: Boolean) {
         val images = IntOpenHashSet()
 
-        fun imagesOn(machine: Machine): Int = images.count { it in machine.images }
+        fun countCachedImages(machine: Machine): Int = images.count { it in machine.images }
     }
 
     private val classes = HashMap<String, ServiceClass>()
@@ -49,8 +49,8 @@
         val machinesByZone = machines.groupBy { it.zone }
         for (serviceClass in classes.values) {
             for (machinesOfZone in machinesByZone.values) {
-                val perZone = (serviceClass.count + machinesByZone.size - 1) / machinesByZone.size
-                reserve(serviceClass, perZone, machinesOfZone)
+                val replicasPerZone = (serviceClass.count + machinesByZone.size - 1) / machinesByZone.size
+                reserve(serviceClass, replicasPerZone, machinesOfZone)
             }
         }
         return reservedCpus
@@ -60,12 +60,12 @@
     private fun reserve(serviceClass: ServiceClass, count: Int, machines: List<Machine>) {
         var left = count
         // Where their images are kept already, a replica that comes or comes back need not wait for one.
-        val imagesFirst = compareBy<Machine>({ -serviceClass.imagesOn(it) }, { it.roundRoom.cpus })
-        for (machine in machines.sortedWith(imagesFirst)) {
+        val cachedImagesFirst = compareBy<Machine>({ -serviceClass.countCachedImages(it) }, { it.roundRoom.cpus })
+        for (machine in machines.sortedWith(cachedImagesFirst)) {
             if (left == 0) break
             if (machine.spot && !serviceClass.spotAllowed) continue
             val fitting = serviceClass.taskResources.countIn(machine.roundRoom)
-            val replicas = minOf(left, fitting, MAX_PER_MACHINE)
+            val replicas = minOf(left, fitting, MAX_RESERVED_PER_MACHINE)
             if (replicas <= 0) continue
             left -= replicas
             reservedCpus += replicas * serviceClass.taskResources.cpus
@@ -85,7 +85,7 @@
         if (known == null && classes.size >= MAX_CLASSES) return
         val serviceClass = known ?: ServiceClass(job.taskResources, 0, job.spec.spotAllowed)
         if (known == null) classes[job.spec.workload] = serviceClass
-        if (job.image >= 0 && serviceClass.images.size < MAX_IMAGES) serviceClass.images.add(job.image)
+        if (job.image >= 0 && serviceClass.images.size < MAX_IMAGES_PER_CLASS) serviceClass.images.add(job.image)
         if (serviceClass.count >= job.spec.tasks) return
         serviceClass.taskResources = job.taskResources
         serviceClass.count = job.spec.tasks
@@ -97,8 +97,8 @@
         const val MACHINES_PER_SERVICE = 4
 
         /** Replicas of a class for which room is reserved on one machine. */
-        const val MAX_PER_MACHINE = 4
+        const val MAX_RESERVED_PER_MACHINE = 4
         const val MAX_CLASSES = 50
-        const val MAX_IMAGES = 50
+        const val MAX_IMAGES_PER_CLASS = 50
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -20,54 +20,54 @@
     private val objectives: ServiceLevelObjectives,
 ) {
     /** When jobs that fit no other type were last seen, and last seen waiting, by type. */
-    private val seenAt = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
-    private val waitedAt = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
+    private val lastSeenMs = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
+    private val lastPendingMs = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
 
     fun update() {
         for (job in jobs.open) {
             val type = onlyType(job)
             job.updateOnlyType(type)
             if (type < 0) continue
-            seenAt.put(type, context.steady)
-            if (!job.tasks.noneReady) waitedAt.put(type, context.steady)
+            lastSeenMs.put(type, context.steady)
+            if (!job.tasks.noneReady) lastPendingMs.put(type, context.steady)
         }
     }
 
     /** The only type that is large enough for the job; negative if several are, or if none is. */
     private fun onlyType(job: OpenJob): Int {
         var only = Machine.UNKNOWN
-        var othersAreTooSmall = false
+        var hasTooSmallType = false
         for ((index, type) in fleet.types.withIndex()) {
             if (type == null || (job.types != null && index !in job.types)) continue
             if (!job.taskResources.fitsIn(type.room)) {
-                othersAreTooSmall = true
+                hasTooSmallType = true
             } else if (only >= 0) {
                 return Machine.UNKNOWN
             } else {
                 only = index
             }
         }
-        return if (othersAreTooSmall) only else Machine.UNKNOWN
+        return if (hasTooSmallType) only else Machine.UNKNOWN
     }
 
     /** Whether tasks that fit no other type have lately waited for this one, which [job] does not need. */
-    fun wantedElsewhere(job: OpenJob, type: Int): Boolean = job.onlyType != type && waitedLately(type)
+    fun isNeededByOthers(job: OpenJob, type: Int): Boolean = job.onlyType != type && hadPendingTasksRecently(type)
 
     /**
      * Whether [type] is reserved for others than [job]. Urgent work may use it all the same, and so may work that has
      * waited long while nothing waits for the type.
      */
-    fun reservedFromJob(job: OpenJob, type: Int): Boolean {
-        if (context.steady - seenAt.get(type) > SCARCE_MS || job.onlyType == type) return false
+    fun isReservedForOthers(job: OpenJob, type: Int): Boolean {
+        if (context.steady - lastSeenMs.get(type) > RESERVATION_MS || job.onlyType == type) return false
         if (objectives.awaitsPromptStart(job) || job.spec.priority < Priority.STANDARD) return false
         if (job.credit.waitsLong(context.now.wall)) return false
-        return context.now.wall - job.acceptedWall < WAITED_MS || waitedLately(type)
+        return context.now.wall - job.acceptedWall < RECENT_WAIT_MS || hadPendingTasksRecently(type)
     }
 
-    private fun waitedLately(type: Int): Boolean = context.steady - waitedAt.get(type) < WAITED_MS
+    private fun hadPendingTasksRecently(type: Int): Boolean = context.steady - lastPendingMs.get(type) < RECENT_WAIT_MS
 
     private companion object {
-        const val SCARCE_MS = 300_000L
-        const val WAITED_MS = 30_000L
+        const val RESERVATION_MS = 300_000L
+        const val RECENT_WAIT_MS = 30_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -28,54 +28,55 @@
      * When a task of a kind was last placed: what a flood of one kind leaves over is shared among kinds, not among its
      * jobs.
      */
-    private val kindPlacedWall = HashMap<Kind, Long>()
+    private val lastPlacedWallMs = HashMap<Kind, Long>()
 
     /** When a task of a kind was last placed in the common order, without credit. */
-    private val kindPlacedInOrderWall = HashMap<Kind, Long>()
+    private val lastPlacedWithoutCreditWallMs = HashMap<Kind, Long>()
 
     /** CPUs that this round may still give to jobs with credit. */
-    private var creditLeft = 0.0
+    private var creditCpusLeft = 0.0
 
-    /** Gives credit to what has waited for too long, in a fleet of [capacity] CPUs. */
-    fun begin(capacity: Double) {
-        val patienceMs = (options.patienceS * MS_PER_S).toLong()
-        val fairShareCpus = options.patienceShare * capacity
+    /** Gives credit to what has waited for too long, in a fleet of [fleetCpus] CPUs. */
+    fun begin(fleetCpus: Double) {
+        val maxPassedOverMs = (options.patienceS * MS_PER_S).toLong()
+        val fairShareCpus = options.patienceShare * fleetCpus
         for (job in jobs.open) {
-            if (!isStarving(job, patienceMs)) continue
-            job.credit.grant(fairShareCpus, job.credit.lastPlacedWall + patienceMs)
+            if (!isStarving(job, maxPassedOverMs)) continue
+            job.credit.grant(fairShareCpus, job.credit.lastPlacedWall + maxPassedOverMs)
         }
-        creditLeft = fairShareCpus - reconciler.creditCpus
+        creditCpusLeft = fairShareCpus - reconciler.creditCpus
     }
 
-    private fun isStarving(job: OpenJob, patienceMs: Long): Boolean {
+    private fun isStarving(job: OpenJob, maxPassedOverMs: Long): Boolean {
         if (!job.placeable || job.credit.cpus > 0 ||
-            context.now.wall - job.credit.lastPlacedWall < patienceMs
+            context.now.wall - job.credit.lastPlacedWall < maxPassedOverMs
         ) {
             return false
         }
         // While its like are served in the common order, it will be served there too.
-        return context.now.wall - (kindPlacedInOrderWall[Kind(job)] ?: 0L) >= patienceMs
+        return context.now.wall - (lastPlacedWithoutCreditWallMs[Kind(job)] ?: 0L) >= maxPassedOverMs
     }
 
     /** Whether the job goes before all that have no credit. */
-    fun goesFirst(job: OpenJob): Boolean = job.credit.cpus > 0 && creditLeft > 0
+    fun isServedFirst(job: OpenJob): Boolean = job.credit.cpus > 0 && creditCpusLeft > 0
 
     /** When a job of the same kind was last served; of jobs that go first, the longest ago is next. */
-    fun lastPlacedWall(job: OpenJob): Long = kindPlacedWall[Kind(job)] ?: 0L
+    fun kindLastPlacedWallMs(job: OpenJob): Long = lastPlacedWallMs[Kind(job)] ?: 0L
 
     /** How many tasks the credit of a job that goes first pays for now; at least one. */
-    fun tasksFromCredit(job: OpenJob): Int = maxOf(1, (minOf(job.credit.cpus, creditLeft) / job.countedCpus).toInt())
+    fun tasksFromCredit(job: OpenJob): Int =
+        maxOf(1, (minOf(job.credit.cpus, creditCpusLeft) / job.countedCpus).toInt())
 
     fun onPlaced(job: OpenJob, tasks: Int) {
         val now = context.now.wall
         val cpus = tasks * job.taskResources.cpus
         val kind = Kind(job)
-        if (kindPlacedWall.size > MAX_KINDS) {
-            kindPlacedWall.clear()
-            kindPlacedInOrderWall.clear()
+        if (lastPlacedWallMs.size > MAX_KINDS) {
+            lastPlacedWallMs.clear()
+            lastPlacedWithoutCreditWallMs.clear()
         }
-        kindPlacedWall[kind] = now
-        if (goesFirst(job)) creditLeft -= cpus else kindPlacedInOrderWall[kind] = now
+        lastPlacedWallMs[kind] = now
+        if (isServedFirst(job)) creditCpusLeft -= cpus else lastPlacedWithoutCreditWallMs[kind] = now
         job.credit.placed(cpus, now)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
@@ -7,7 +7,7 @@
 
 /**
  * Owns the headroom that work which can wait leaves free for urgent work to come: as much as jobs of urgent classes
- * mostly take, by the last ones seen. Headroom for services is reserved by machine, see [Replicas]. Called by
+ * mostly take, by the last ones seen. Headroom for services is reserved by machine, see [ReplicaPlacement]. Called by
  * [Placement], once a round, and read by [ScaleIn].
  */
 class UrgentHeadroom(
@@ -16,24 +16,24 @@
     private val options: OperatorSettings,
 ) {
     /** Sizes in CPUs of the last jobs of classes whose users wait for tasks to start. */
-    private val sizes = ArrayDeque<Double>()
-    private var newestSeenId = -1
+    private val jobCpus = ArrayDeque<Double>()
+    private var newestSeenIndex = -1
 
-    fun recordSizes() {
-        var newestId = newestSeenId
+    fun recordJobSizes() {
+        var newestIndex = newestSeenIndex
         for (job in jobs.open) {
-            if (job.entry.index <= newestSeenId || !objectives.awaitsPromptStart(job)) continue
-            newestId = maxOf(newestId, job.entry.index)
+            if (job.entry.index <= newestSeenIndex || !objectives.awaitsPromptStart(job)) continue
+            newestIndex = maxOf(newestIndex, job.entry.index)
             if (job.service) continue
-            sizes.addLast(job.taskResources.cpus * job.spec.tasks)
-            if (sizes.size > MAX_SIZES) sizes.removeFirst()
+            jobCpus.addLast(job.taskResources.cpus * job.spec.tasks)
+            if (jobCpus.size > MAX_RECORDED_JOBS) jobCpus.removeFirst()
         }
-        newestSeenId = newestId
+        newestSeenIndex = newestIndex
     }
 
-    fun cpus(): Double = if (sizes.isEmpty()) 0.0 else options.urgentReserve * sizes.average()
+    fun cpus(): Double = if (jobCpus.isEmpty()) 0.0 else options.urgentReserve * jobCpus.average()
 
     private companion object {
-        const val MAX_SIZES = 50
+        const val MAX_RECORDED_JOBS = 50
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -48,10 +48,10 @@
         ).also { fleet ->
             fleet.tick(leading = false, unplaced = emptyList(), mayScaleOut = false)
             val request = context.drain().filterIsInstance<Effect.Cloud>().single { it.op == CloudOp.Catalog }
-            val small = MachineType("small", EIGHT, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west"))
+            val small = MachineType("small", EIGHT_CPUS, 1.0, 20.0, 0.5, 0.2, 5.0, listOf("east", "west"))
             context.reply(Input.Cloud(request.ticket, CloudReply.Catalog(listOf(small))))
         }
-    private val migration = ReplicaMigration(context, fleet, quotas, Replicas(jobs)) { _, _ -> true }
+    private val migration = ReplicaMigration(context, fleet, quotas, ReplicaPlacement(jobs)) { _, _ -> true }
 
     private fun service(tasks: Int, change: (JobSpec) -> JobSpec = { it }): OpenJob =
         jobs.acceptDurably(change(serviceSpec("j-1", tasks).copy(taskResources = Resources(2.0, 0.0, 1.0))))
@@ -60,24 +60,24 @@
         fleet.getOrAdd(name).also {
             it.markUp()
             it.describe(0, zone, isSpot = false)
-            offer(it, cpus)
+            setFreeCpus(it, cpus)
         }
 
     /** What a placement round finds left of the machine. */
-    private fun offer(machine: Machine, cpus: Double) {
+    private fun setFreeCpus(machine: Machine, cpus: Double) {
         machine.roundRoom = Resources(cpus, 0.0, 64.0)
     }
 
-    private fun running(job: OpenJob, index: Int, machine: Machine): Attempt =
+    private fun addRunningAttempt(job: OpenJob, index: Int, machine: Machine): Attempt =
         reconciler.reserve(job, index, 100L + index, machine, null).also {
             it.entered(Attempt.Phase.RUNNING, context.steady)
             job.tasks.runStarted()
         }
 
     /** The attempt is certainly gone, as when its worker reports that it has obeyed. */
-    private fun gone(machine: Machine) = reconciler.onMachineGone(machine)
+    private fun confirmAbsent(machine: Machine) = reconciler.onMachineGone(machine)
 
-    private fun notice(machine: Machine, inMs: Long) {
+    private fun recordSpotNotice(machine: Machine, inMs: Long) {
         machine.availability.recordSpotNotice(context.steady + inMs)
     }
 
@@ -86,11 +86,11 @@
         val job = service(2)
         val old = machine("n-1")
         val full = machine("n-2", cpus = 1.0)
-        val replica = running(job, 0, old)
-        running(job, 1, full)
-        assertFalse(migration.pending())
-        notice(old, 15_000)
-        assertTrue(migration.pending())
+        val replica = addRunningAttempt(job, 0, old)
+        addRunningAttempt(job, 1, full)
+        assertFalse(migration.hasWork())
+        recordSpotNotice(old, 15_000)
+        assertTrue(migration.hasWork())
         val plan = migration.plan(listOf(full))
         assertFalse(replica.stopRequested)
         assertEquals(emptyList<Machine>(), plan.stoppedOn)
@@ -105,13 +105,13 @@
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
-        val replicas = List(3) { running(job, it, old) }
+        val replicas = List(3) { addRunningAttempt(job, it, old) }
         old.availability.drain()
         assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, false, false), replicas.map { it.stopRequested })
         assertEquals(6.0, other.roundRoom.cpus)
-        offer(other, 8.0)
-        assertEquals(emptyList<Allocation>(), migration.start(listOf(other)), "the old attempt is not gone")
+        setFreeCpus(other, 8.0)
+        assertEquals(emptyList<Allocation>(), migration.allocateRestarts(listOf(other)), "the old attempt is not gone")
         assertEquals(6.0, other.roundRoom.cpus, "the room is held in the next round, too")
         assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "one is under way")
 
@@ -119,12 +119,12 @@
         job.tasks.runEnded()
         quotas.remove(job.team, job.taskResources)
         job.tasks.attemptReleased(0)
-        offer(other, 8.0)
-        val started = migration.start(listOf(other)).single()
+        setFreeCpus(other, 8.0)
+        val started = migration.allocateRestarts(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
         assertEquals(6.0, other.roundRoom.cpus)
         assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "the first does not run again yet")
-        running(job, 0, other)
+        addRunningAttempt(job, 0, other)
         assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, true, false), replicas.map { it.stopRequested })
     }
@@ -134,21 +134,21 @@
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
-        val replicas = List(3) { running(job, it, old) }
-        notice(old, 10_000)
+        val replicas = List(3) { addRunningAttempt(job, it, old) }
+        recordSpotNotice(old, 10_000)
         migration.plan(listOf(other))
         assertTrue(replicas.all { it.stopRequested })
         assertEquals(2.0, other.roundRoom.cpus)
-        gone(old)
+        confirmAbsent(old)
         // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
-        offer(other, 8.0)
-        val first = migration.start(listOf(other)).single()
-        running(job, first.tasks.single(), other)
-        offer(other, 6.0)
+        setFreeCpus(other, 8.0)
+        val first = migration.allocateRestarts(listOf(other)).single()
+        addRunningAttempt(job, first.tasks.single(), other)
+        setFreeCpus(other, 6.0)
         assertEquals(
             listOf(1),
             migration
-                .start(listOf(other))
+                .allocateRestarts(listOf(other))
                 .single()
                 .tasks
                 .toList(),
@@ -161,11 +161,11 @@
         val job = service(1)
         val old = machine("n-1")
         val fuller = machine("n-2", cpus = 2.0)
-        val holder = machine("n-3", cpus = 4.0).also { it.images.add(job.image) }
-        running(job, 0, old)
+        val withImage = machine("n-3", cpus = 4.0).also { it.images.add(job.image) }
+        addRunningAttempt(job, 0, old)
         old.availability.cordon()
-        migration.plan(listOf(fuller, holder))
-        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, holder.roundRoom.cpus))
+        migration.plan(listOf(fuller, withImage))
+        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, withImage.roundRoom.cpus))
     }
 
     @Test
@@ -174,10 +174,10 @@
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 2.0)
         val otherZone = machine("n-3", zone = 1, cpus = 8.0)
-        running(job, 0, old)
-        running(job, 1, sameZone)
-        running(job, 2, otherZone)
-        running(job, 3, otherZone)
+        addRunningAttempt(job, 0, old)
+        addRunningAttempt(job, 1, sameZone)
+        addRunningAttempt(job, 2, otherZone)
+        addRunningAttempt(job, 3, otherZone)
         old.availability.drain()
         val plan = migration.plan(listOf(otherZone))
         assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
@@ -192,11 +192,11 @@
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 1.0)
         val otherZone = machine("n-3", zone = 1, cpus = 8.0)
-        running(job, 0, old)
-        running(job, 1, sameZone)
+        addRunningAttempt(job, 0, old)
+        addRunningAttempt(job, 1, sameZone)
         old.availability.drain()
         assertEquals(emptyList<Machine>(), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
-        offer(sameZone, 2.0)
+        setFreeCpus(sameZone, 2.0)
         assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
     }
 
@@ -208,14 +208,14 @@
             val job = test.service(4) { it.copy(spread = true) }
             val old = test.machine("n-1", zone = 0)
             val target = test.machine("n-2", zone = 0, cpus = 8.0)
-            test.running(job, 0, old)
-            test.running(job, 1, test.machine("n-3", zone = 0))
-            test.running(job, 2, test.machine("n-4", zone = 1))
-            test.notice(old, 4000)
+            test.addRunningAttempt(job, 0, old)
+            test.addRunningAttempt(job, 1, test.machine("n-3", zone = 0))
+            test.addRunningAttempt(job, 2, test.machine("n-4", zone = 1))
+            test.recordSpotNotice(old, 4000)
             test.migration.plan(listOf(target))
-            test.gone(old)
+            test.confirmAbsent(old)
             test.change(job, target)
-            return test.migration.start(listOf(target).filter { !it.availability.hasSpotNotice }).size
+            return test.migration.allocateRestarts(listOf(target).filter { !it.availability.hasSpotNotice }).size
         }
         assertEquals(1, startAfter { _, _ -> })
         assertEquals(
@@ -229,7 +229,11 @@
             "it is about to be taken itself",
         )
         assertEquals(0, startAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) }, "it has no room")
-        assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
+        assertEquals(
+            0,
+            startAfter { job, _ -> addRunningAttempt(job, 3, machine("n-5", zone = 0)) },
+            "its zone is full",
+        )
         assertEquals(0, startAfter { job, _ -> job.beginCancellation() }, "the service is withdrawn")
         assertEquals(0, startAfter { job, _ -> job.backoff.pauseUntil(1000) }, "its replicas fail")
     }
@@ -239,15 +243,15 @@
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
-        repeat(3) { running(job, it, old) }
-        notice(old, 5000)
+        repeat(3) { addRunningAttempt(job, it, old) }
+        recordSpotNotice(old, 5000)
         migration.plan(listOf(other))
-        gone(old)
+        confirmAbsent(old)
         quotas.add(job.team, job.taskResources, 4)
-        assertEquals(emptyList<Allocation>(), migration.start(listOf(other)))
+        assertEquals(emptyList<Allocation>(), migration.allocateRestarts(listOf(other)))
     }
 
     private companion object {
-        val EIGHT = Resources(8.0, 0.0, 64.0)
+        val EIGHT_CPUS = Resources(8.0, 0.0, 64.0)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaPlacementTest.kt
@@ -17,14 +17,14 @@
 import org.junit.jupiter.api.Test
 
 /** Where headroom is reserved for services. */
-class ReplicasTest {
+class ReplicaPlacementTest {
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val settings = Simulation(1).settings
     private val names = Interners().apply { teams.intern("t") }
     private val jobs = JobTable(context, names, settings.stateLimits)
     private val fleet =
         Fleet(context, names, settings, OperatorSettings(), "a", StaticMachines(context, settings.stateLimits))
-    private val replicas = Replicas(jobs)
+    private val replicaPlacement = ReplicaPlacement(jobs)
 
     private fun service(id: String, tasks: Int): OpenJob =
         jobs.acceptDurably(serviceSpec(id, tasks).copy(spread = true, spotAllowed = false))
@@ -41,15 +41,15 @@
         service("j-2", 4)
         val fullest = machine("n-1", 0, 2.0)
         val fuller = machine("n-2", 0, 4.0)
-        val holder = machine("n-3", 0, 2.0).also { it.images.add(job.image) }
+        val withImage = machine("n-3", 0, 2.0).also { it.images.add(job.image) }
         val otherZone = machine("n-4", 1, 8.0)
-        val machines = listOf(fullest, fuller, holder, otherZone)
-        assertEquals(6.0, replicas.reserveHeadroom(machines))
+        val machines = listOf(fullest, fuller, withImage, otherZone)
+        assertEquals(6.0, replicaPlacement.reserveHeadroom(machines))
         assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.roundRoom.cpus })
-        replicas.releaseHeadroom()
+        replicaPlacement.releaseHeadroom()
         assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.roundRoom.cpus })
         val spot = machine("n-5", 0, 1.0).also { it.describe(it.type, it.zone, isSpot = true) }
-        replicas.reserveHeadroom(listOf(spot))
+        replicaPlacement.reserveHeadroom(listOf(spot))
         assertEquals(1.0, spot.roundRoom.cpus, "its services may not use spot machines")
     }
 }
