--- a/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
@@ -5,21 +5,25 @@
 import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.jobs.ServiceLevelObjectives
 
-/** Judges whether jobs can still end when their users expect it. Holds no state; [JobOrder] and its parts call it. */
+/** Estimates whether jobs can still meet their deadlines. Stateless; called by [JobOrder] and [DeferredJobs]. */
 class Deadlines(private val context: CoreContext, private val objectives: ServiceLevelObjectives) {
-    /** When the job is due; [Long.MAX_VALUE] if it may take any time. */
+    /**
+     * The first of the job's deadlines that it can still meet, or the last one if it can meet none, in wall-clock time;
+     * [Long.MAX_VALUE] without a deadline.
+     */
     fun dueWallMs(job: OpenJob): Long =
         objectives.dueWall(job, context.now.wall, optimisticMs(job.spec.expectedS).toLong())
 
     fun hasDeadline(job: OpenJob): Boolean = dueWallMs(job) != Long.MAX_VALUE
 
-    /** Whether work that takes [durationS] from now on may be over when the job is due. */
+    /** Whether work that takes an estimated [durationS] seconds from now on can meet the job's deadline. */
     fun canFinishInTime(job: OpenJob, durationS: Double): Boolean =
         context.now.wall + optimisticMs(durationS) <= dueWallMs(job)
 
     /**
-     * Whether the job has missed what its users wait for. When more is asked than can be done, work that can still be
-     * in time goes first: running what is late anyway would only make the rest late too.
+     * Whether the job will miss its deadline even by the optimistic estimate; false while it can meet a start
+     * objective. Under overload, jobs that can still be in time are served first: a late job served earlier makes
+     * others late too.
      */
     fun isRunningLate(job: OpenJob): Boolean {
         if (objectives.canStartInTime(job, context.now.wall)) return false
@@ -27,14 +31,14 @@
         return dueMs != Long.MAX_VALUE && context.now.wall + optimisticMs(job.spec.expectedS) > dueMs
     }
 
-    /** Whether the job may be late if it starts only after [waitS] more seconds. */
+    /** Whether the job may miss its deadline if it starts [waitS] seconds from now. */
     fun isAtRisk(job: OpenJob, waitS: Double): Boolean {
         val dueMs = dueWallMs(job)
         if (dueMs == Long.MAX_VALUE) return false
         return context.now.wall + (waitS + job.spec.expectedS * PESSIMISTIC_FACTOR) * MS_PER_S > dueMs
     }
 
-    /** Whether others may go before the job for a while without making it late. */
+    /** Whether the job can wait for others for a while and still meet its deadline. */
     fun hasSlack(job: OpenJob): Boolean {
         val dueMs = dueWallMs(job)
         if (dueMs == Long.MAX_VALUE) return true
@@ -46,10 +50,10 @@
     private companion object {
         const val MIN_SLACK_MS = 20_000L
 
-        /** Estimates are often too high; what may still do is not given up. */
+        /** Run time estimates are often too high: a job is late only if a run this much shorter would be late. */
         const val OPTIMISTIC_FACTOR = 0.8
 
-        /** And some are too low: what takes this much longer should still be in time. */
+        /** Some run time estimates are too low: a job that takes this much longer should still be in time. */
         const val PESSIMISTIC_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/DeferredJobs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/DeferredJobs.kt
@@ -7,23 +7,23 @@
 import java.util.PriorityQueue
 
 /**
- * Owns which jobs are deferred in a round. When more is asked of a machine type than it can do in time, some job will
- * be late; those that cost most machine time are deferred, as many as it takes to bring the rest in on time (Moore and
- * Hodgson's rule, by type and priority). They are not deferred for ever, see [StarvationPrevention]. Called by
- * [JobOrder].
+ * Owns which jobs are deferred in a round. When the jobs that need a machine type cannot all meet their deadlines,
+ * those with the most remaining work are deferred until the rest can (Moore-Hodgson algorithm, by type and priority).
+ * [StarvationPrevention] bounds how long a job is deferred. Called by [JobOrder].
  */
 class DeferredJobs(private val jobs: JobTable, private val fleet: Fleet, private val deadlines: Deadlines) {
     private val deferred = HashSet<OpenJob>()
 
-    /** CPUs by machine type in this round; all under [ALL_TYPES]. */
+    /** CPUs by machine type, cached for this round; the total is under [ALL_TYPES]. */
     private val cpusByType = HashMap<Int, Double>()
 
     /** CPUs of all machines in this round. */
     val fleetCpus: Double get() = cpusOf(ALL_TYPES)
 
-    /** Work that has to share machines: what fits one type only, by priority. */
+    /** Jobs of one priority that compete for machines: those that fit only [type], or all others for [ALL_TYPES]. */
     private data class Pool(val type: Int, val priority: Priority)
 
+    /** A job, and how long all machines of its pool together need for its remaining tasks. */
     private class Load(val job: OpenJob, val durationS: Double)
 
     operator fun contains(job: OpenJob): Boolean = job in deferred
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -9,9 +9,10 @@
 import org.chalkhollow.model.Priority
 
 /**
- * Owns the order in which a round serves the jobs: priority first; within it work whose start is still in time, then
- * what can be finished in time, guarantees first, then what is late anyway. Reads the jobs as [begin] found them, and
- * is called by [Placement] and the parts of its rounds.
+ * Owns the order in which a round serves jobs. Jobs with credit come first, the others are sorted by priority. Within a
+ * priority, jobs that can still start in time come first, then jobs that can finish in time (those within a guarantee
+ * before the others), then jobs that are running late. [begin] computes guarantees and deferred jobs once a round.
+ * Called by [Placement] and the parts of its rounds.
  */
 class JobOrder(
     private val context: CoreContext,
@@ -24,7 +25,7 @@
     private val deadlines = Deadlines(context, objectives)
     private val deferred = DeferredJobs(jobs, fleet, deadlines)
 
-    /** Jobs that fit into their team's guarantee together with the team's earlier unfinished ones. */
+    /** Jobs that fit into their team's guarantee together with the team's unfinished jobs accepted earlier. */
     private val guaranteed = HashSet<OpenJob>()
 
     /** CPUs of all machines in this round. */
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Jobs with ready tasks, most urgent first. */
+    /** Jobs with ready tasks that are not in backoff, in the order in which they are served. */
     fun pendingJobs(): List<OpenJob> {
         val pending = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
         return pending.sortedWith(
@@ -62,7 +63,7 @@
         )
     }
 
-    /** Whether neither of two jobs has to go before the other. */
+    /** Whether the two jobs may be served in either order. */
     fun haveSameRank(first: OpenJob, second: OpenJob): Boolean {
         if (starvation.isServedFirst(first) || starvation.isServedFirst(second)) return false
         if (first.spec.priority != second.spec.priority) return false
@@ -73,28 +74,28 @@
 
     fun isWithinGuarantee(job: OpenJob): Boolean = job in guaranteed
 
-    /** Whether the job is within its team's guarantee, and users would still see it start in time. */
+    /** Whether the job is within its team's guarantee and a start now meets the guarantee's objective. */
     fun canMeetGuarantee(job: OpenJob): Boolean =
         isWithinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
 
-    /** Whether the job leaves the headroom free that is reserved for urgent work to come. */
+    /** Whether the job may not use the headroom for urgent jobs, see [UrgentHeadroom]. */
     fun mustLeaveUrgentHeadroom(job: OpenJob): Boolean {
         if (job.spec.priority < Priority.STANDARD || objectives.awaitsPromptStart(job)) return false
         return !isWithinGuarantee(job) && !mayMissObjective(job, 0.0) && !job.credit.waitsLong(context.now.wall)
     }
 
-    /** Whether a job that waits for [waitS] more seconds would start or end too late. */
+    /** Whether the job may start or finish too late if it waits [waitS] more seconds. */
     fun mayMissObjective(job: OpenJob, waitS: Double): Boolean {
         if (objectives.awaitsPromptStart(job) || isWithinGuarantee(job)) return true
         return deadlines.isAtRisk(job, waitS)
     }
 
-    /** How urgent a job is among those of its priority. */
+    /** How urgent a job is among those of its priority; the most urgent value is first. */
     private enum class Urgency { CAN_START_IN_TIME, WITHIN_GUARANTEE, NORMAL, LATE_OR_DEFERRED }
 
     /**
-     * Work whose start its users still wait for goes first, then what can be done in time, the teams' guarantees before
-     * the rest.
+     * Jobs that can still meet a start objective are the most urgent, then jobs that can finish in time, those within a
+     * guarantee before the others.
      */
     private fun urgency(job: OpenJob): Urgency =
         when {
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -10,9 +10,10 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Chooses machines for the tasks of one job (bin packing): best fit first among a sample of those that fit, all of them
- * if the sample has no room. A job's tasks are alike, so each machine is given as many as it has room for. It takes the
- * room off [Machine.roundRoom]; [PlacementRound] and [Preemption] call it.
+ * Chooses machines for the tasks of one job (bin packing): best fit among a sample of the machines that fit, or among
+ * all of them if the sample has too little free capacity. The tasks of a job have the same resource demand, so each
+ * machine gets as many as fit. What it allocates is subtracted from [Machine.roundRoom]. Called by [PlacementRound] and
+ * [Preemption].
  */
 class MachineSelector(
     private val context: CoreContext,
@@ -23,7 +24,7 @@
     private val scarceTypes: ScarceMachineTypes,
     private val replicaPlacement: ReplicaPlacement,
 ) {
-    /** Whether [job] may use [machine]; room aside. */
+    /** Whether [job] may use [machine], whatever its free capacity. */
     fun isAllowed(job: OpenJob, machine: Machine): Boolean =
         fleet.allows(
             job,
@@ -36,7 +37,7 @@
     /** Whether [machine] would have to fetch the job's image. */
     fun needsImageFetch(job: OpenJob, machine: Machine): Boolean = job.image >= 0 && job.image !in machine.images
 
-    /** Places all [wanted] tasks of a gang, or gives back whatever it had taken; returns how many it placed. */
+    /** Places either all [wanted] tasks of a gang or none; returns how many it placed. */
     fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, allocations: MutableList<Allocation>): Int {
         val freeCapacityBefore = machines.map { it.roundRoom }
         val allocationsBefore = allocations.size
@@ -47,8 +48,8 @@
     }
 
     /**
-     * Places up to [wanted] tasks, after the [skip] that this round has placed already; [cachedImageOnly]: only where
-     * the image is. Returns how many it placed.
+     * Places up to [wanted] ready tasks after the first [skip], which this round has placed already; with
+     * [cachedImageOnly] only on machines that have the image. Returns how many it placed.
      */
     fun place(
         job: OpenJob,
@@ -67,13 +68,13 @@
         if (job.spec.together) zones.chooseZone(candidates)
         val assignment = Assignment(job, zones, skip, allocations)
         var left = wanted
-        // Replicas of one service are spread over machines first, and share machines only for want of others.
+        // Replicas of a service exceed the maximum per machine only if no other machine fits them.
         if (job.service) left -= assignment.assign(candidates, left, spread = true)
         left -= assignment.assign(candidates, left, spread = false)
         return wanted - left
     }
 
-    /** Hands the ready tasks of one job out to machines, the first [skip] excepted. */
+    /** Assigns the ready tasks of one job to machines, except the first [skip]. */
     private inner class Assignment(
         private val job: OpenJob,
         private val zones: ZoneConstraint,
@@ -86,7 +87,10 @@
             repeat(skip) { nextTask = job.tasks.nextReady(nextTask + 1) }
         }
 
-        /** Assigns up to [count] tasks; with [spread] only as many to a machine as a service wants there at most. */
+        /**
+         * Assigns up to [count] tasks; with [spread] each machine gets at most [ReplicaPlacement.maxPerMachine]
+         * replicas. Returns how many it assigned.
+         */
         fun assign(machines: List<Machine>, count: Int, spread: Boolean): Int {
             var left = count
             for (machine in machines) {
@@ -141,9 +145,14 @@
         }
 
     /**
-     * Which of the machines that fit come first: those that no other work has to wait for; for work whose start users
-     * wait for, those that hold the image; the smaller types, so that large ones stay whole; then those that hold the
-     * image; then the fullest. Cost was tried as a tie-break and did not help, see docs/measurements.md.
+     * Order of preference among machines that fit:
+     * 1. types that no other job needs;
+     * 2. for jobs whose users wait for the start, machines that have the image;
+     * 3. smaller types, so that large machines stay free for large tasks;
+     * 4. machines that have the image;
+     * 5. the fullest machines.
+     *
+     * Cost as a tie-break did not help, see docs/measurements.md.
      */
     private val preference =
         Comparator<Machine> { first, second ->
@@ -156,9 +165,9 @@
         }
 
     /**
-     * Some of the machines that fit: those that hold the image first, then others, each from a random place on; all of
-     * them when the sample has too little room. A sample drawn from all alike would mostly miss the few that hold the
-     * image.
+     * A sample of the machines that fit: first machines that have the image, then others, each group from a random
+     * start on. Returns all of [fitting] if the sample has too little free capacity for [wanted] tasks. A sample drawn
+     * evenly from all machines would mostly miss the few that have the image.
      */
     private fun sample(fitting: ArrayList<Machine>, wanted: Int, job: OpenJob): ArrayList<Machine> {
         if (fitting.size <= options.sampleSize) return fitting
@@ -171,7 +180,7 @@
         return if (fittingTasks >= wanted) sample else fitting
     }
 
-    /** Adds up to the size of a sample of [machines] to [sample], from a random one on. */
+    /** Adds up to [OperatorSettings.sampleSize] of [machines] to [sample], from a random one on. */
     private fun addSample(machines: List<Machine>, sample: MutableList<Machine>) {
         if (machines.isEmpty()) return
         val start = context.random.nextInt(machines.size)
@@ -181,7 +190,7 @@
     }
 
     private companion object {
-        // Ranks, the lower the better. The lowest bit counts after the size of the machine's type, the others before.
+        // Lower ranks are better. The lowest bit is compared after the size of the machine type, the others before it.
         const val RANK_FETCH = 1
         const val RANK_FETCH_FOR_URGENT = 3
         const val RANK_NEEDED_BY_OTHERS = 4
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -14,10 +14,11 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns which ready tasks go where, round by round: [JobOrder] says which job is served first, [PlacementRound] how much
- * it is given, [MachineSelector] on which machines, and [Preemption] what is preempted for those that found no room. A
- * round gives only what teams' quotas and zone constraints allow, counting every attempt that cannot be disproved.
- * Called by the controller, which persists the dispatch markers of what a round gives before it starts any of it.
+ * Decides in rounds which ready tasks run on which machines. [JobOrder] sorts the jobs, [PlacementRound] decides how
+ * many tasks of each are placed, [MachineSelector] selects the machines, and [Preemption] stops tasks to make way for
+ * others that could not be placed. A round allocates only what the teams' quotas and zone constraints allow, counting
+ * every attempt that is not confirmed absent. Called by the controller, which persists the dispatch markers of a
+ * round's allocations before it starts any of them.
  */
 class Placement(
     private val context: CoreContext,
@@ -33,21 +34,22 @@
     private val scarceTypes = ScarceMachineTypes(context, jobs, fleet, objectives)
     private val urgentHeadroom = UrgentHeadroom(jobs, objectives, options)
     private val order = JobOrder(context, jobs, quotas, fleet, objectives, starvation)
-    private val selector = MachineSelector(context, fleet, options, objectives, starvation, scarceTypes, replicas)
+    private val selector =
+        MachineSelector(context, fleet, options, objectives, starvation, scarceTypes, replicaPlacement)
     private val migration = ReplicaMigration(context, fleet, quotas, replicaPlacement, selector::isAllowed)
     private val preemption = Preemption(context, quotas, fleet, objectives, order, selector)
 
-    /** What the last round found no room for, most urgent first. */
+    /** Tasks that the last round could not place, most urgent first. */
     var unplaced: List<UnplacedTasks> = emptyList()
         private set
 
-    /** Machines on which the last round decided to stop tasks. */
+    /** Machines on which the last round requested stops. */
     val preempted: Set<Machine> get() = preemption.preempted
 
-    /** CPUs that work which can wait leaves free for urgent work to come. */
+    /** CPUs that jobs which can wait leave free for urgent jobs to come. */
     fun urgentHeadroomCpus(): Double = urgentHeadroom.cpus()
 
-    /** Whether [job] may use [machine] now; room aside. */
+    /** Whether [job] may use [machine] now, whatever its free capacity. */
     fun mayUse(job: OpenJob, machine: Machine): Boolean = selector.isAllowed(job, machine)
 
     fun round(): List<Allocation> {
@@ -70,7 +72,7 @@
         return round.allocations
     }
 
-    /** A round with the restarts of replicas that migrate, which come before all else. */
+    /** Starts a round with the restarts of migrating replicas, which come before all other tasks. */
     private fun newRound(pendingJobs: List<OpenJob>, placeable: List<Machine>): PlacementRound {
         val machines = withFreeCapacity(placeable, pendingJobs)
         val freeCapacity = PlacementRound.FreeCapacity(machines, urgentHeadroom.cpus()) { migration.plan(placeable) }
@@ -80,7 +82,7 @@
         return round
     }
 
-    /** Serves the jobs in their order, those that are equal in it together. */
+    /** Serves the jobs in their order; jobs of the same rank are served together. */
     private fun serve(pendingJobs: List<OpenJob>, round: PlacementRound) {
         var start = 0
         while (start < pendingJobs.size) {
@@ -88,7 +90,7 @@
             var end = start + 1
             while (end < pendingJobs.size && order.haveSameRank(first, pendingJobs[end])) end++
             val sameRank = pendingJobs.subList(start, end)
-            // Among equal jobs, a machine goes first to one whose image it holds: fetching costs machine time.
+            // Among jobs of the same rank, a machine first takes tasks whose image it has: a fetch costs machine time.
             if (sameRank.size > 1 && !objectives.awaitsPromptStart(first)) {
                 for (job in sameRank) round.serve(job, cachedImageOnly = true)
             }
@@ -97,9 +99,7 @@
         }
     }
 
-    /**
-     * The machines that could take the smallest task that waits; in a full fleet they are few, and a round is short.
-     */
+    /** The machines that fit the smallest pending task. In a full fleet they are few, which keeps a round short. */
     private fun withFreeCapacity(placeable: List<Machine>, pendingJobs: List<OpenJob>): List<Machine> {
         val cpus = pendingJobs.minOfOrNull { it.taskResources.cpus } ?: 0.0
         val memory = pendingJobs.minOfOrNull { it.taskResources.memoryGb } ?: 0.0
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -11,13 +11,13 @@
 import org.chalkhollow.core.jobs.Quotas
 import org.chalkhollow.model.Resources
 
-/** Replicas of one service that their team's quota keeps from running. */
+/** Ready replicas of one service that exceed their team's quota. */
 class ReplicasOverQuota(val job: OpenJob, val count: Int)
 
 /**
- * Owns what one round has given away so far: which tasks go to which machines, and what is left over. Teams' quotas,
- * the headroom for urgent work and for services, and the credit of jobs hold over all that the round gives. Made and
- * called by [Placement], job by job in their order.
+ * Owns what one round has allocated so far and which tasks it could not place. Teams' quotas, the headroom for urgent
+ * jobs and for services, and the credit of jobs apply to the round as a whole. Created by [Placement], which calls it
+ * for each job in their order.
  */
 class PlacementRound(
     private val context: CoreContext,
@@ -30,8 +30,8 @@
     private val freeCapacity: FreeCapacity,
 ) {
     /**
-     * The machines with room for any task that waits, CPUs that are to stay free for urgent work, and what finds room
-     * for replicas that have to migrate.
+     * The machines with free capacity for some pending task, the CPUs that have to stay free for urgent jobs, and a
+     * function that reserves capacity for replicas that have to migrate.
      */
     class FreeCapacity(
         val machines: List<Machine>,
@@ -43,27 +43,27 @@
     val unplaced = ArrayList<UnplacedTasks>()
     val overQuota = ArrayList<ReplicasOverQuota>()
 
-    /** Machines on which replicas were commanded to stop, since room for them was found elsewhere. */
+    /** Machines on which this round requested stops of replicas that migrate. */
     val stoppedOn = ArrayList<Machine>()
     private val machines get() = freeCapacity.machines
     private var freeCpus = machines.sumOf { it.roundRoom.cpus }
     private val fleetCpus = order.fleetCpus
 
-    /** CPU seconds of waiting work, this job's and what goes before it. */
+    /** CPU seconds of the pending work of this job and of those served before it. */
     private var backlogCpuS = 0.0
     private val allocatedCpusByTeam = HashMap<Int, Double>()
     private val allocatedGpusByTeam = HashMap<Int, Double>()
     private val allocatedTasks = HashMap<OpenJob, Int>()
 
-    /** Whether headroom for services has been taken off what is left for other work. */
+    /** Whether the headroom for services has been subtracted from the free capacity for other jobs. */
     private var serviceHeadroomReserved = false
     private var headroomReleasesLeft = MAX_HEADROOM_RELEASES
 
-    /** Services of which a replica starts on the room held for it; the rest of them waits for the next round. */
+    /** Services of which a replica restarts on reserved capacity; their other replicas wait for the next round. */
     private val servicesRestarting = HashSet<OpenJob>()
     private var migrationsPlanned = false
 
-    /** Takes in [restarts] of replicas that migrate, which have their places already. */
+    /** Adds [restarts] of migrating replicas, whose machines are already chosen. */
     fun addRestarts(restarts: List<Allocation>) {
         for (allocation in restarts) {
             allocations.add(allocation)
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Plans migrations of replicas, once in a round: after the starts of services and before any other work. */
+    /** Plans replica migrations, once a round: after service replicas are placed and before any other job is. */
     fun migrateReplicas() {
         if (migrationsPlanned) return
         migrationsPlanned = true
@@ -81,14 +81,14 @@
         unplaced.addAll(plan.unplaced)
     }
 
-    /** Gives the job what it may have; with [cachedImageOnly] only on machines that hold its image. */
+    /** Places as many tasks of the job as it may have; with [cachedImageOnly] only on machines that have its image. */
     fun serve(job: OpenJob, cachedImageOnly: Boolean) {
         if (job in servicesRestarting) return
         reserveHeadroomBefore(job)
         val ready = job.tasks.readyCount - (allocatedTasks[job] ?: 0)
         val withinQuota = minOf(ready, tasksLeftInQuota(job))
         if (job.service && withinQuota < ready) overQuota.add(ReplicasOverQuota(job, ready - withinQuota))
-        // Zone constraints are counted over what one call places, so such jobs are placed in one.
+        // A zone constraint does not count what earlier calls of this round placed: one call places all of such a job.
         val inOnePass = job.gang || job.boundToZones
         val wanted = if (cachedImageOnly && inOnePass) 0 else wantedTasks(job, withinQuota, ready)
         val placed = if (wanted > 0) placeWithHeadroom(job, wanted, cachedImageOnly) else 0
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Before the first job that is neither a service nor has credit, headroom for services is reserved. */
+    /** Reserves headroom for services before the first job that is neither a service nor has credit. */
     private fun reserveHeadroomBefore(job: OpenJob) {
         if (serviceHeadroomReserved || job.service || starvation.isServedFirst(job)) return
         serviceHeadroomReserved = true
@@ -107,10 +107,10 @@
         freeCpus -= replicaPlacement.reserveHeadroom(machines)
     }
 
-    /** How many of the [maxTasks] tasks that the team's quota allows this round should give the job. */
+    /** How many of the [maxTasks] tasks that the team's quota allows should be placed. */
     private fun wantedTasks(job: OpenJob, maxTasks: Int, ready: Int): Int {
         var wanted = maxTasks
-        // A probe, not the whole array.
+        // The job's tasks fail on several machines: one task is placed as a probe.
         if (job.backoff.failures > 0 && job.backoff.failsOnSeveralMachines(context.steady)) wanted = minOf(wanted, 1)
         if (starvation.isServedFirst(job) && !job.gang) {
             wanted = minOf(wanted, starvation.tasksFromCredit(job))
@@ -121,7 +121,7 @@
         return wanted
     }
 
-    /** Places tasks, also on the headroom for services if the job may use that. */
+    /** Places tasks, also in the headroom for services if the job may use it. */
     private fun placeWithHeadroom(job: OpenJob, wanted: Int, cachedImageOnly: Boolean): Int {
         val placed = place(job, wanted, 0, cachedImageOnly)
         if (cachedImageOnly || placed >= wanted || !trySpendHeadroomRelease(job, placed)) return placed
@@ -137,7 +137,10 @@
         return selector.place(job, wanted, machines, allocations, skip, cachedImageOnly)
     }
 
-    /** Headroom for services is no longer reserved from what waits long, see [FairShareCredit.waitsLong]. */
+    /**
+     * Whether the job may use the headroom for services because it has waited long, see [FairShareCredit.waitsLong]. If
+     * so, this uses up one of the round's [MAX_HEADROOM_RELEASES].
+     */
     private fun trySpendHeadroomRelease(job: OpenJob, placed: Int): Boolean {
         if (!serviceHeadroomReserved || job.service) return false
         if (placed > 0 && job.boundToZones) return false
@@ -150,7 +153,7 @@
         return quotas.headroom(job.team, job.taskResources, Resources(cpus, gpus, 0.0))
     }
 
-    /** Records [count] tasks that found no room; they are pressing only if [canBePressing]. */
+    /** Records [count] tasks that could not be placed; they are pressing only if [canBePressing]. */
     private fun recordUnplaced(job: OpenJob, count: Int, canBePressing: Boolean) {
         if (canBePressing) backlogCpuS += count * job.taskResources.cpus * job.spec.expectedS
         val pressing = canBePressing && order.mayMissObjective(job, backlogCpuS / maxOf(1.0, fleetCpus))
@@ -158,7 +161,7 @@
         unplaced.add(UnplacedTasks(job, count, pressing, zones))
     }
 
-    /** The zone constraint as it stands with what this round has given the job. */
+    /** The zone constraint including the tasks of the job that this round has placed. */
     private fun zonesAfter(job: OpenJob): ZoneConstraint {
         val zones = ZoneConstraint(job, fleet)
         for (allocation in allocations) {
@@ -176,9 +179,7 @@
     }
 
     private companion object {
-        /**
-         * Of the jobs that wait long only the first few are offered the headroom for services: each offer costs a pass.
-         */
+        /** Only the first few jobs that have waited long may use the headroom for services: each costs another pass. */
         const val MAX_HEADROOM_RELEASES = 5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -13,10 +13,10 @@
 import org.chalkhollow.model.Shape
 
 /**
- * Owns which running tasks are preempted for others: for urgent tasks whose start is still in time, work of lower
- * priority; for tasks within a guarantee, what other teams run beyond theirs. A task is preempted only if that makes
- * room for another on its machine, and only if it writes checkpoints or has hardly begun; replicas of services also
- * preempt other work of lower priority. Called by [Placement] at the end of a round.
+ * Owns which running tasks are preempted for others. Urgent tasks that can still start in time preempt tasks of lower
+ * priority. Tasks within a guarantee preempt tasks of other teams that exceed theirs. A task is preempted only if
+ * another task then fits on its machine, and only if it writes checkpoints or was placed recently. Replicas of services
+ * preempt other tasks of lower priority, too. Called by [Placement] at the end of a round.
  */
 class Preemption(
     private val context: CoreContext,
@@ -26,17 +26,17 @@
     private val order: JobOrder,
     private val selector: MachineSelector,
 ) {
-    /** Machines on which this round decided to stop tasks. */
+    /** Machines on which this round requested stops. */
     val preempted = LinkedHashSet<Machine>()
 
-    /** Tasks that wait for room, and what entitles them to that of others. */
+    /** Unplaced tasks, and what entitles them to preempt others. */
     private class Claim(val tasks: UnplacedTasks, val urgent: Boolean, val withinGuarantee: Boolean) {
         val job: OpenJob get() = tasks.job
     }
 
     fun begin() = preempted.clear()
 
-    /** Preempts for what this round has left [unplaced]. */
+    /** Preempts tasks for those that this round left [unplaced]. */
     fun preemptFor(unplaced: List<UnplacedTasks>, placeable: List<Machine>) {
         val machinesWithVictims by lazy(LazyThreadSafetyMode.NONE) { placeable.filter(::hasVictims) }
         for (tasks in unplaced) {
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Preempts work of lower priority of its own team for [count] replicas of [job] that the team's quota would keep
-     * from running.
+     * Preempts tasks of lower priority of the same team for [count] replicas of [job], which would otherwise exceed the
+     * team's quota.
      */
     fun preemptWithinQuota(job: OpenJob, count: Int) {
         var neededCpus = count * job.taskResources.cpus
@@ -97,10 +97,9 @@
             machines
                 .associateWith { machine -> victimsOn(machine, claim) }
                 .filterValues { it.isNotEmpty() }
-        val cachedImageFirst =
+        val imageFirst =
             compareBy<Map.Entry<Machine, List<Attempt>>> { if (selector.needsImageFetch(job, it.key)) 1 else 0 }
-        val preference = cachedImageFirst.thenBy(cheapestFirst) { it.value.first() }
-        for ((machine, attempts) in victims.entries.sortedWith(preference)) {
+        for ((machine, attempts) in victims.entries.sortedWith(imageFirst.thenBy(cheapestFirst) { it.value.first() })) {
             if (needed <= 0) return
             needed -= stopVictims(machine, attempts, job, needed)
         }
@@ -124,9 +123,10 @@
         )
 
     /**
-     * Stops as many of [victims] on [machine] as make room there for tasks of [job], at most [wanted], and none that do
-     * not; returns for how many tasks. An earlier version counted CPUs over all machines, so what was stopped went back
-     * to where it had been, since the room was too small for the other.
+     * Stops [victims] on [machine] until [wanted] more tasks of [job] fit there; victims that would not let another
+     * task fit are not stopped. Returns how many more tasks fit. An earlier version counted CPUs over all machines: the
+     * tasks that it stopped were placed again where they had been, since the capacity freed there was too small for
+     * [job].
      */
     private fun stopVictims(machine: Machine, victims: List<Attempt>, job: OpenJob, wanted: Int): Int {
         var freeCapacity = freeCapacityAfterStops(machine)
@@ -148,7 +148,7 @@
         return gainedTasks
     }
 
-    /** The room that this round leaves on [machine], and what its tasks that are being stopped will leave. */
+    /** The free capacity that this round leaves on [machine], plus that of its tasks that are being stopped. */
     private fun freeCapacityAfterStops(machine: Machine): Resources {
         var freeCapacity = machine.roundRoom
         for (attempt in machine.attempts) {
@@ -157,7 +157,7 @@
         return freeCapacity
     }
 
-    /** Whether little is lost by stopping [attempt], whatever for. */
+    /** Whether any claim may preempt [attempt], because a stop loses little of its work. */
     private fun isPreemptible(attempt: Attempt): Boolean {
         if (!attempt.onMachine || attempt.stopRequested || attempt.fromCredit) return false
         if (attempt.job.spec.shape != Shape.ARRAY) return false
@@ -166,8 +166,8 @@
     }
 
     /**
-     * A replica may preempt any task of lower priority, those that lose least first: who asks for a service waits for
-     * it all along.
+     * A replica may preempt any task of an array of lower priority, those that lose least first: users wait for a
+     * service as long as its replica does not run.
      */
     private fun isPreemptibleByReplica(attempt: Attempt, service: OpenJob): Boolean {
         if (!attempt.onMachine || attempt.stopRequested) return false
@@ -183,14 +183,14 @@
         return claim.urgent && hasLowerPriority || claim.withinGuarantee && usesBorrowedQuota(job, attempt)
     }
 
-    /** Whether [attempt] runs on what its team has beyond its guarantee, and [job] is another's and no less urgent. */
+    /** Whether the team of [attempt] exceeds its guarantee, and [job] is another team's and of no lower priority. */
     private fun usesBorrowedQuota(job: OpenJob, attempt: Attempt): Boolean {
         val team = attempt.job.team
         return team != job.team && attempt.job.spec.priority >= job.spec.priority && quotas.exceedsGuarantee(team)
     }
 
     private companion object {
-        /** Less is lost by stopping a task that began this short a time ago than by letting others wait. */
+        /** Stopping a task that was placed within this time costs less than letting others wait. */
         const val RECENT_START_MS = 12_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -14,11 +14,11 @@
 import org.chalkhollow.model.Resources
 
 /**
- * Migrates replicas off machines that have to be emptied: those with a spot notice, those drained as faulty and those
- * cordoned so that they can be deleted. A replica is stopped only once room for it is held on another machine, and one
- * replica of a service at a time, unless its machine will be gone before that can be kept to. The held room is allocated
- * to the replica when its old attempt is proved gone, under the same rules as any start. Called by [Placement] and
- * [PlacementRound].
+ * Migrates replicas off machines that have to be emptied: those with a spot termination notice, those drained as faulty
+ * and those cordoned for deletion. A replica is stopped only once capacity for it is reserved on another machine, and
+ * only one replica of a service at a time, unless its machine is reclaimed too soon for that. The replica gets the
+ * reserved capacity once its old attempt is confirmed absent, under the same rules as any start. Called by [Placement]
+ * and [PlacementRound].
  */
 class ReplicaMigration(
     private val context: CoreContext,
@@ -27,7 +27,7 @@
     private val replicaPlacement: ReplicaPlacement,
     private val mayUse: (OpenJob, Machine) -> Boolean,
 ) {
-    /** A replica whose [old] attempt is being stopped, and the machine that holds room for it. */
+    /** A replica whose [old] attempt is being stopped, and the machine on which capacity for it is reserved. */
     private class Migration(val old: Attempt, val target: Machine) {
         val job: OpenJob get() = old.job
         val hasOldEnded: Boolean get() = old.resolved || old.phase == Attempt.Phase.EXITED
@@ -35,14 +35,15 @@
 
     private val migrations = ArrayList<Migration>()
 
-    /** Whether a placement round has something to do here, even if no task waits. */
+    /** Whether a placement round has migrations to plan or to continue, even if no task is pending. */
     fun hasWork(): Boolean =
         migrations.isNotEmpty() ||
             fleet.machines.any { machine -> mustBeEmptied(machine) && machine.attempts.any(::mustMigrate) }
 
     /**
-     * Starts the replicas whose old attempts are gone, at most one of a service in a round since zone constraints are
-     * counted over what is on machines, and takes the room held for the others off the room of their machines.
+     * Allocates the reserved capacity to replicas whose old attempts have ended, and subtracts what is reserved for the
+     * others from the free capacity of their targets. Restarts at most one replica of a service in a round, since zone
+     * constraints count only attempts on machines.
      */
     fun allocateRestarts(placeable: List<Machine>): List<Allocation> {
         val allocations = ArrayList<Allocation>()
@@ -53,7 +54,7 @@
                 continue
             }
             migrations.remove(migration)
-            if (!mayStart(migration, placeable, allocations)) continue // it is placed like any other task that is ready
+            if (!mayStart(migration, placeable, allocations)) continue // it is placed like any other ready task
             reserveOnTarget(migration)
             val task = migration.job.tasks.nextReady(0)
             allocations.add(Allocation(migration.job, migration.target, intArrayOf(task), fromCredit = false))
@@ -61,10 +62,10 @@
         return allocations
     }
 
-    /** What [plan] decided: the machines on which replicas stop, and the replicas for which there is no room yet. */
+    /** What [plan] decided: the machines on which replicas stop, and the replicas that fit on no other machine yet. */
     class Plan(val stoppedOn: List<Machine>, val unplaced: List<UnplacedTasks>)
 
-    /** Finds room for replicas that have to migrate, holds it, and stops those whose turn it is. */
+    /** Reserves capacity for replicas that have to migrate, and stops those that may stop now. */
     fun plan(placeable: List<Machine>): Plan {
         val stoppedOn = ArrayList<Machine>()
         val unplaced = ArrayList<UnplacedTasks>()
@@ -75,7 +76,7 @@
         return Plan(stoppedOn, unplaced)
     }
 
-    /** Plans the migration of [attempts], which are replicas of one service, as far as they may go now. */
+    /** Plans the migration of [attempts], all replicas of one service, as far as they may migrate now. */
     private fun planService(
         attempts: List<Attempt>,
         placeable: List<Machine>,
@@ -110,7 +111,7 @@
 
     private fun isOpen(job: OpenJob): Boolean = !job.cancelling && job.entry.state == JobState.OPEN
 
-    /** Of no use any more: the job is withdrawn, or the migration was planned in an earlier term as leader. */
+    /** Whether the job is no longer open, or the migration was planned in an earlier leader term of this controller. */
     private fun isObsolete(migration: Migration): Boolean {
         if (!isOpen(migration.job)) return true
         val machine = migration.old.machine
@@ -127,7 +128,7 @@
         return withinQuota(job, allocated)
     }
 
-    /** Whether the team's quota allows one more replica beside what was [allocated] in this round. */
+    /** Whether the team's quota allows one more replica on top of what was [allocated] in this round. */
     private fun withinQuota(job: OpenJob, allocated: List<Allocation>): Boolean {
         val ofTeam = allocated.filter { it.job.team == job.team }
         val cpus = ofTeam.sumOf { it.job.taskResources.cpus }
@@ -138,11 +139,11 @@
     private fun reserveOnTarget(migration: Migration) {
         val target = migration.target
         target.roundRoom = target.roundRoom.without(migration.job.taskResources, 1)
-        // It is not deleted for idling meanwhile.
+        // Keeps the target from being deleted as idle.
         target.availability.recordIdle(idle = false, context.steady)
     }
 
-    /** Whether a replica of the same service other than [attempt] is down, or was commanded to stop. */
+    /** Whether a replica of the same service other than [attempt] does not run or is being stopped. */
     private fun hasOtherReplicaDown(attempt: Attempt): Boolean {
         val job = attempt.job
         val stopping = migrations.count { it.job === job && it.old.phase == Attempt.Phase.RUNNING && !it.old.resolved }
@@ -150,7 +151,7 @@
         return job.spec.tasks - job.tasks.running + stopping - itself > 0
     }
 
-    /** Whether [count] replicas of the service can still migrate one after the other before the machine is gone. */
+    /** Whether [count] replicas of the service can still migrate one by one before the machine is reclaimed. */
     private fun canMigrateInTurn(attempt: Attempt, count: Int): Boolean {
         val reclaimAtMs = reclaimAtMs(attempt.machine)
         if (reclaimAtMs == Long.MAX_VALUE) return true
@@ -166,11 +167,11 @@
     private fun isOutOfTime(attempt: Attempt): Boolean =
         reclaimAtMs(attempt.machine) - context.steady <= STOP_BEFORE_RECLAIM_MS
 
-    /** When the cloud reclaims the machine; [Long.MAX_VALUE] if it stays until it is empty. */
+    /** When the cloud reclaims the machine, in monotonic time; [Long.MAX_VALUE] if it stays until it is empty. */
     private fun reclaimAtMs(machine: Machine): Long =
         if (machine.availability.hasSpotNotice) machine.availability.reclaimAt else Long.MAX_VALUE
 
-    /** The zone constraint as it will stand once the migrations under way are over and [attempt] is gone. */
+    /** The zone constraint as it will be once the current migrations are over and [attempt] has ended. */
     private fun zonesWithout(attempt: Attempt): ZoneConstraint {
         val zones = ZoneConstraint(attempt.job, fleet)
         for (migration in migrations) {
@@ -182,7 +183,7 @@
         return zones
     }
 
-    /** One that holds the image if there is any, then one that has few replicas of the service, then the fullest. */
+    /** Prefers machines that have the image, then those with few replicas of the service, then the fullest. */
     private fun selectTarget(attempt: Attempt, zones: ZoneConstraint, placeable: List<Machine>): Machine? {
         val job = attempt.job
         if (zones.blocked) return null
@@ -199,10 +200,10 @@
     }
 
     private companion object {
-        /** A replica without room elsewhere is stopped this long before its machine is gone. */
+        /** A replica that fits on no other machine is stopped this long before its machine is reclaimed. */
         const val STOP_BEFORE_RECLAIM_MS = 1500L
 
-        /** How long a stop, its proof and a start elsewhere take, without the image. */
+        /** How long a stop, its confirmation and a start on another machine take, without fetching the image. */
         const val RESTART_MS = 2000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaPlacement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaPlacement.kt
@@ -8,13 +8,13 @@
 import org.chalkhollow.model.Resources
 
 /**
- * Owns what placement does for services alone: how many replicas of one a machine should take, so that its loss takes
- * few, and headroom reserved from other work in every zone, so that a replica that has lost its machine, or a service
- * that has just come, need not wait for a task to end or a machine to boot. Called by [PlacementRound],
+ * Owns the placement rules for services alone. It limits how many replicas of a service a machine should take, so that
+ * the loss of a machine stops few of them. It reserves headroom in every zone, so that a replica that has lost its
+ * machine, or a new service, does not wait for a task to end or a machine to boot. Called by [PlacementRound],
  * [MachineSelector] and [ReplicaMigration].
  */
 class ReplicaPlacement(private val jobs: JobTable) {
-    /** The largest service seen of a class, and the images that its services run. */
+    /** The largest service seen of a job class, and the images that the class's services run. */
     private class ServiceClass(var taskResources: Resources, var count: Int, var spotAllowed: Boolean) {
         val images = IntOpenHashSet()
 
@@ -23,7 +23,7 @@
 
     private val classes = HashMap<String, ServiceClass>()
 
-    /** How many replicas of [job] a machine takes as long as others have room. */
+    /** How many replicas of [job] a machine takes as long as others have free capacity. */
     fun maxPerMachine(job: OpenJob): Int = (job.spec.tasks + MACHINES_PER_SERVICE - 1) / MACHINES_PER_SERVICE
 
     /** How many replicas of [job] may be on [machine] now. */
@@ -35,13 +35,13 @@
     private val reservations = ArrayList<Reservation>()
     private var reservedCpus = 0.0
 
-    /** Gives the room that [reserveHeadroom] took off back to the machines. */
+    /** Returns what [reserveHeadroom] reserved to the free capacity of the machines. */
     fun releaseHeadroom() {
         for (reservation in reservations) reservation.machine.roundRoom += reservation.resources
         reservations.clear()
     }
 
-    /** Takes the headroom for services off the room of [machines] in this round; returns how many CPUs that is. */
+    /** Subtracts the headroom for services from the free capacity of [machines] in this round; returns its CPUs. */
     fun reserveHeadroom(machines: List<Machine>): Double {
         reservations.clear()
         updateClasses()
@@ -56,10 +56,10 @@
         return reservedCpus
     }
 
-    /** Reserves room for [count] replicas on [machines]. */
+    /** Reserves capacity for [count] replicas on [machines]. */
     private fun reserve(serviceClass: ServiceClass, count: Int, machines: List<Machine>) {
         var left = count
-        // Where their images are kept already, a replica that comes or comes back need not wait for one.
+        // A replica that starts where its image is cached does not wait for a fetch.
         val cachedImagesFirst = compareBy<Machine>({ -serviceClass.countCachedImages(it) }, { it.roundRoom.cpus })
         for (machine in machines.sortedWith(cachedImagesFirst)) {
             if (left == 0) break
@@ -93,10 +93,10 @@
     }
 
     private companion object {
-        /** A service is spread over this many machines if there are as many with room. */
+        /** A service is spread over this many machines if so many have free capacity. */
         const val MACHINES_PER_SERVICE = 4
 
-        /** Replicas of a class for which room is reserved on one machine. */
+        /** Replicas of a job class for which capacity is reserved on one machine, at most. */
         const val MAX_RESERVED_PER_MACHINE = 4
         const val MAX_CLASSES = 50
         const val MAX_IMAGES_PER_CLASS = 50
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -10,8 +10,8 @@
 import org.chalkhollow.model.Priority
 
 /**
- * Owns which machine types are scarce: they alone can hold some jobs' tasks. Those types are reserved for such jobs,
- * since their work has nowhere else to go. Called by [Placement], once a round, and read by [MachineSelector].
+ * Owns which machine types are scarce: the tasks of some jobs fit no other type. Scarce types are reserved for such
+ * jobs, since these cannot run elsewhere. Called by [Placement], once a round, and read by [MachineSelector].
  */
 class ScarceMachineTypes(
     private val context: CoreContext,
@@ -19,8 +19,10 @@
     private val fleet: Fleet,
     private val objectives: ServiceLevelObjectives,
 ) {
-    /** When jobs that fit no other type were last seen, and last seen waiting, by type. */
+    /** When a job that fits no other type was last seen, by type. */
     private val lastSeenMs = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
+
+    /** When such a job was last seen with pending tasks, by type. */
     private val lastPendingMs = Int2LongOpenHashMap().apply { defaultReturnValue(Machine.NEVER) }
 
     fun update() {
@@ -33,7 +35,7 @@
         }
     }
 
-    /** The only type that is large enough for the job; negative if several are, or if none is. */
+    /** The one type that is large enough for the job when others are too small; [Machine.UNKNOWN] if there is none. */
     private fun onlyType(job: OpenJob): Int {
         var only = Machine.UNKNOWN
         var hasTooSmallType = false
@@ -50,12 +52,13 @@
         return if (hasTooSmallType) only else Machine.UNKNOWN
     }
 
-    /** Whether tasks that fit no other type have lately waited for this one, which [job] does not need. */
+    /** Whether tasks that fit no other type were recently pending for this one, which [job] does not need. */
     fun isNeededByOthers(job: OpenJob, type: Int): Boolean = job.onlyType != type && hadPendingTasksRecently(type)
 
     /**
-     * Whether [type] is reserved for others than [job]. Urgent work may use it all the same, and so may work that has
-     * waited long while nothing waits for the type.
+     * Whether [type] is reserved for jobs other than [job]. Urgent jobs, jobs above standard priority and jobs that
+     * have waited long may use it anyway. So may jobs older than [RECENT_WAIT_MS] if no task that needs the type was
+     * pending within that time.
      */
     fun isReservedForOthers(job: OpenJob, type: Int): Boolean {
         if (context.steady - lastSeenMs.get(type) > RESERVATION_MS || job.onlyType == type) return false
@@ -67,7 +70,10 @@
     private fun hadPendingTasksRecently(type: Int): Boolean = context.steady - lastPendingMs.get(type) < RECENT_WAIT_MS
 
     private companion object {
+        /** How long a type stays reserved after a job that needs it was last seen. */
         const val RESERVATION_MS = 300_000L
+
+        /** How long a pending task counts as recent, and how old a job must be to use a type reserved for others. */
         const val RECENT_WAIT_MS = 30_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -8,10 +8,11 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns the credit of jobs that would starve: nothing is put off for ever, neither by priority nor for being late or
- * wide. A job that was passed over for longer than [OperatorSettings.patienceS] gets credit, and goes before the rest
- * until the credit is used, the kind of job that was served longest ago first. The fair share of all jobs with credit
- * together is [OperatorSettings.patienceShare] of the machines. Called by [Placement] and the parts of its rounds.
+ * Owns the credit of jobs that would starve: no job is deferred for ever because of its priority, its lateness or its
+ * size. A job that was passed over for longer than [OperatorSettings.patienceS] gets credit, and is served before jobs
+ * without credit until it has used the credit up. Among jobs with credit, the kind served longest ago comes first. All
+ * of them together get [OperatorSettings.patienceShare] of the fleet's CPUs. Called by [Placement] and the parts of its
+ * rounds.
  */
 class StarvationPrevention(
     private val context: CoreContext,
@@ -19,24 +20,24 @@
     private val reconciler: AttemptReconciler,
     private val options: OperatorSettings,
 ) {
-    /** Jobs that users would compare: of one class and team, and of about one size. */
-    private data class Kind(val workload: String, val team: Int, val size: Int) {
+    /** Jobs that users would compare: of one job class and team, and with similar numbers of tasks. */
+    private data class Kind(val workload: String, val team: Int, val sizeClass: Int) {
         constructor(job: OpenJob) : this(job.spec.workload, job.team, Integer.numberOfLeadingZeros(job.spec.tasks))
     }
 
     /**
-     * When a task of a kind was last placed: what a flood of one kind leaves over is shared among kinds, not among its
-     * jobs.
+     * When a task of a kind was last placed, in wall-clock time. Kept by kind, so that capacity left by a burst of one
+     * kind is shared among kinds and not among jobs.
      */
     private val lastPlacedWallMs = HashMap<Kind, Long>()
 
-    /** When a task of a kind was last placed in the common order, without credit. */
+    /** When a task of a kind was last placed without credit, in wall-clock time. */
     private val lastPlacedWithoutCreditWallMs = HashMap<Kind, Long>()
 
-    /** CPUs that this round may still give to jobs with credit. */
+    /** CPUs that this round may still allocate to jobs with credit. */
     private var creditCpusLeft = 0.0
 
-    /** Gives credit to what has waited for too long, in a fleet of [fleetCpus] CPUs. */
+    /** Grants credit to jobs that were passed over for too long, in a fleet of [fleetCpus] CPUs. */
     fun begin(fleetCpus: Double) {
         val maxPassedOverMs = (options.patienceS * MS_PER_S).toLong()
         val fairShareCpus = options.patienceShare * fleetCpus
@@ -53,17 +54,17 @@
         ) {
             return false
         }
-        // While its like are served in the common order, it will be served there too.
+        // While jobs of its kind are placed without credit, this one will be, too.
         return context.now.wall - (lastPlacedWithoutCreditWallMs[Kind(job)] ?: 0L) >= maxPassedOverMs
     }
 
-    /** Whether the job goes before all that have no credit. */
+    /** Whether the job has credit to use in this round, so that it is served before all jobs without. */
     fun isServedFirst(job: OpenJob): Boolean = job.credit.cpus > 0 && creditCpusLeft > 0
 
-    /** When a job of the same kind was last served; of jobs that go first, the longest ago is next. */
+    /** When a job of the same kind was last placed; 0 if that is not known. Of jobs with credit, the lowest is next. */
     fun kindLastPlacedWallMs(job: OpenJob): Long = lastPlacedWallMs[Kind(job)] ?: 0L
 
-    /** How many tasks the credit of a job that goes first pays for now; at least one. */
+    /** How many tasks the credit of a job covers now; at least one. */
     fun tasksFromCredit(job: OpenJob): Int =
         maxOf(1, (minOf(job.credit.cpus, creditCpusLeft) / job.countedCpus).toInt())
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
@@ -6,8 +6,8 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns the headroom that work which can wait leaves free for urgent work to come: as much as jobs of urgent classes
- * mostly take, by the last ones seen. Headroom for services is reserved by machine, see [ReplicaPlacement]. Called by
+ * Owns the headroom that jobs which can wait leave free for urgent jobs to come: a multiple of the mean size of the
+ * last jobs of urgent classes. Headroom for services is reserved by machine, see [ReplicaPlacement]. Called by
  * [Placement], once a round, and read by [ScaleIn].
  */
 class UrgentHeadroom(
@@ -15,7 +15,7 @@
     private val objectives: ServiceLevelObjectives,
     private val options: OperatorSettings,
 ) {
-    /** Sizes in CPUs of the last jobs of classes whose users wait for tasks to start. */
+    /** CPUs demanded by each of the last jobs of classes whose users wait for tasks to start, without services. */
     private val jobCpus = ArrayDeque<Double>()
     private var newestSeenIndex = -1
 
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Which replicas are stopped when, and that the room found for one is held for it. */
+/** Checks when replicas are stopped for a migration, and that the capacity found for one stays reserved for it. */
 class ReplicaMigrationTest {
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val settings = Simulation(1).settings
@@ -63,7 +63,7 @@
             setFreeCpus(it, cpus)
         }
 
-    /** What a placement round finds left of the machine. */
+    /** Sets the free capacity that a placement round finds on the machine. */
     private fun setFreeCpus(machine: Machine, cpus: Double) {
         machine.roundRoom = Resources(cpus, 0.0, 64.0)
     }
@@ -74,15 +74,15 @@
             job.tasks.runStarted()
         }
 
-    /** The attempt is certainly gone, as when its worker reports that it has obeyed. */
-    private fun confirmAbsent(machine: Machine) = reconciler.onMachineGone(machine)
+    /** Resolves the attempts on [machine], as a heartbeat does that confirms their stop. */
+    private fun resolveAttemptsOn(machine: Machine) = reconciler.onMachineGone(machine)
 
     private fun recordSpotNotice(machine: Machine, inMs: Long) {
         machine.availability.recordSpotNotice(context.steady + inMs)
     }
 
     @Test
-    fun `nothing is stopped while there is no room elsewhere, and room is requested`() {
+    fun `a replica that fits on no other machine is reported as unplaced and stopped only just before the reclaim`() {
         val job = service(2)
         val old = machine("n-1")
         val full = machine("n-2", cpus = 1.0)
@@ -96,12 +96,12 @@
         assertEquals(emptyList<Machine>(), plan.stoppedOn)
         assertEquals(listOf(job to 1), plan.unplaced.map { it.job to it.count })
         context.now = Now(13_600, 13_600)
-        assertEquals(listOf(old), migration.plan(listOf(full)).stoppedOn, "the notice is nearly over")
+        assertEquals(listOf(old), migration.plan(listOf(full)).stoppedOn, "the machine is about to be reclaimed")
         assertTrue(replica.stopRequested)
     }
 
     @Test
-    fun `replicas of a service migrate one at a time, and the room of each is held until it starts`() {
+    fun `replicas of a service migrate one at a time, and the capacity for each stays reserved until it starts`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
@@ -111,9 +111,9 @@
         assertEquals(listOf(true, false, false), replicas.map { it.stopRequested })
         assertEquals(6.0, other.roundRoom.cpus)
         setFreeCpus(other, 8.0)
-        assertEquals(emptyList<Allocation>(), migration.allocateRestarts(listOf(other)), "the old attempt is not gone")
-        assertEquals(6.0, other.roundRoom.cpus, "the room is held in the next round, too")
-        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "one is under way")
+        assertEquals(emptyList<Allocation>(), migration.allocateRestarts(listOf(other)), "the old attempt still runs")
+        assertEquals(6.0, other.roundRoom.cpus, "the capacity stays reserved in the next round")
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "a migration is in progress")
 
         replicas[0].exited(hasCompleted = false)
         job.tasks.runEnded()
@@ -123,14 +123,14 @@
         val started = migration.allocateRestarts(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
         assertEquals(6.0, other.roundRoom.cpus)
-        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "the first does not run again yet")
+        assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "the first is not running yet")
         addRunningAttempt(job, 0, other)
         assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, true, false), replicas.map { it.stopRequested })
     }
 
     @Test
-    fun `replicas migrate at once when the notice is too short for one after the other`() {
+    fun `replicas migrate together when the spot termination notice is too short for one at a time`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
@@ -139,8 +139,8 @@
         migration.plan(listOf(other))
         assertTrue(replicas.all { it.stopRequested })
         assertEquals(2.0, other.roundRoom.cpus)
-        confirmAbsent(old)
-        // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
+        resolveAttemptsOn(old)
+        // Zone constraints count attempts on machines, so each start waits for the marker of the previous one.
         setFreeCpus(other, 8.0)
         val first = migration.allocateRestarts(listOf(other)).single()
         addRunningAttempt(job, first.tasks.single(), other)
@@ -153,11 +153,11 @@
                 .tasks
                 .toList(),
         )
-        assertEquals(2.0, other.roundRoom.cpus, "room for this one and for the last")
+        assertEquals(2.0, other.roundRoom.cpus, "capacity for this replica and for the last one")
     }
 
     @Test
-    fun `a machine that holds the image goes before a fuller one`() {
+    fun `a machine that has the image is preferred to a fuller one`() {
         val job = service(1)
         val old = machine("n-1")
         val fuller = machine("n-2", cpus = 2.0)
@@ -169,7 +169,7 @@
     }
 
     @Test
-    fun `spread holds for the target, the old attempt left out`() {
+    fun `the target satisfies spread, not counting the old attempt`() {
         val job = service(4) { it.copy(spread = true) }
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 2.0)
@@ -180,14 +180,14 @@
         addRunningAttempt(job, 3, otherZone)
         old.availability.drain()
         val plan = migration.plan(listOf(otherZone))
-        assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
+        assertEquals(emptyList<Machine>(), plan.stoppedOn, "the other zone already has two replicas")
         assertEquals(listOf(true, false), listOf(0, 1).map { plan.unplaced.single().admits(it) })
         assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
         assertEquals(0.0, sameZone.roundRoom.cpus)
     }
 
     @Test
-    fun `together holds for the target`() {
+    fun `the target satisfies together`() {
         val job = service(2) { it.copy(together = true) }
         val old = machine("n-1", zone = 0)
         val sameZone = machine("n-2", zone = 0, cpus = 1.0)
@@ -200,10 +200,10 @@
         assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
     }
 
-    /** A move whose start would break a rule by now is given up: the replica is placed like any that is ready. */
+    /** A migration whose restart is no longer allowed is discarded, and its replica is placed like any ready task. */
     @Test
-    fun `held room is given up when the replica may not start there any more`() {
-        fun startAfter(change: ReplicaMigrationTest.(OpenJob, Machine) -> Unit): Int {
+    fun `reserved capacity is released when the replica may no longer start there`() {
+        fun countRestartsAfter(change: ReplicaMigrationTest.(OpenJob, Machine) -> Unit): Int {
             val test = ReplicaMigrationTest()
             val job = test.service(4) { it.copy(spread = true) }
             val old = test.machine("n-1", zone = 0)
@@ -213,40 +213,44 @@
             test.addRunningAttempt(job, 2, test.machine("n-4", zone = 1))
             test.recordSpotNotice(old, 4000)
             test.migration.plan(listOf(target))
-            test.confirmAbsent(old)
+            test.resolveAttemptsOn(old)
             test.change(job, target)
             return test.migration.allocateRestarts(listOf(target).filter { !it.availability.hasSpotNotice }).size
         }
-        assertEquals(1, startAfter { _, _ -> })
+        assertEquals(1, countRestartsAfter { _, _ -> })
         assertEquals(
             0,
-            startAfter {
+            countRestartsAfter {
                 _,
                 target,
                 ->
                 target.availability.recordSpotNotice(5000)
             },
-            "it is about to be taken itself",
+            "the target is about to be reclaimed",
         )
-        assertEquals(0, startAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) }, "it has no room")
         assertEquals(
             0,
-            startAfter { job, _ -> addRunningAttempt(job, 3, machine("n-5", zone = 0)) },
-            "its zone is full",
+            countRestartsAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) },
+            "the target has too little free capacity",
         )
-        assertEquals(0, startAfter { job, _ -> job.beginCancellation() }, "the service is withdrawn")
-        assertEquals(0, startAfter { job, _ -> job.backoff.pauseUntil(1000) }, "its replicas fail")
+        assertEquals(
+            0,
+            countRestartsAfter { job, _ -> addRunningAttempt(job, 3, machine("n-5", zone = 0)) },
+            "the target's zone is full",
+        )
+        assertEquals(0, countRestartsAfter { job, _ -> job.beginCancellation() }, "the service is being cancelled")
+        assertEquals(0, countRestartsAfter { job, _ -> job.backoff.pauseUntil(1000) }, "the service is in backoff")
     }
 
     @Test
-    fun `migrations do not take a team beyond its quota`() {
+    fun `migrations do not exceed the quota of the team`() {
         val job = service(3)
         val old = machine("n-1")
         val other = machine("n-2", cpus = 8.0)
         repeat(3) { addRunningAttempt(job, it, old) }
         recordSpotNotice(old, 5000)
         migration.plan(listOf(other))
-        confirmAbsent(old)
+        resolveAttemptsOn(old)
         quotas.add(job.team, job.taskResources, 4)
         assertEquals(emptyList<Allocation>(), migration.allocateRestarts(listOf(other)))
     }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaPlacementTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaPlacementTest.kt
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Where headroom is reserved for services. */
+/** Checks where headroom for services is reserved. */
 class ReplicaPlacementTest {
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val settings = Simulation(1).settings
@@ -36,7 +36,7 @@
         }
 
     @Test
-    fun `headroom is reserved in every zone, on machines that hold the image first, then on the fullest`() {
+    fun `headroom is reserved in every zone, first on machines that have the image, then on the fullest`() {
         val job = service("j-1", 6)
         service("j-2", 4)
         val fullest = machine("n-1", 0, 2.0)
