--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -10,9 +10,10 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Chooses machines for the tasks of one job (bin packing): best fit first among a sample of those that fit, all of them
- * if the sample has no room. A job's tasks are alike, so each machine is given as many as it has room for. It takes the
- * room off [Machine.roundRoom]; [PlacementRound] and [Preemption] call it.
+ * Chooses machines for the tasks of one job (bin packing): best fit among a sample of the machines that fit, or among
+ * all of them if the sample has too little free capacity. The tasks of a job have the same resource demand, so each
+ * machine gets as many as fit. What it allocates is subtracted from [Machine.roundRoom]. Called by [PlacementRound] and
+ * [Preemption].
  */
 class MachineSelector(
     private val context: CoreContext,
@@ -21,64 +22,64 @@
     private val objectives: ServiceLevelObjectives,
     private val starvation: StarvationPrevention,
     private val scarceTypes: ScarceMachineTypes,
-    private val replicas: Replicas,
+    private val replicaPlacement: ReplicaPlacement,
 ) {
-    /** Whether [job] may use [machine]; room aside. */
-    fun allowed(job: OpenJob, machine: Machine): Boolean =
+    /** Whether [job] may use [machine], whatever its free capacity. */
+    fun isAllowed(job: OpenJob, machine: Machine): Boolean =
         fleet.allows(
             job,
             machine.type,
             machine.zone,
             machine.spot,
         ) && !job.backoff.avoids(machine.id, context.steady) &&
-            !scarceTypes.reservedFromJob(job, machine.type)
+            !scarceTypes.isReservedForOthers(job, machine.type)
 
     /** Whether [machine] would have to fetch the job's image. */
-    fun fetches(job: OpenJob, machine: Machine): Boolean = job.image >= 0 && job.image !in machine.images
-
-    /** Places all [wanted] tasks of a gang, or gives back whatever it had taken; returns how many it placed. */
-    fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, out: MutableList<Allocation>): Int {
-        val roomBefore = machines.map { it.roundRoom }
-        val sizeBefore = out.size
-        if (place(job, wanted, machines, out, skip = 0, heldOnly = false) == wanted) return wanted
-        for ((index, machine) in machines.withIndex()) machine.roundRoom = roomBefore[index]
-        while (out.size > sizeBefore) out.removeLast()
+    fun needsImageFetch(job: OpenJob, machine: Machine): Boolean = job.image >= 0 && job.image !in machine.images
+
+    /** Places either all [wanted] tasks of a gang or none; returns how many it placed. */
+    fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, allocations: MutableList<Allocation>): Int {
+        val freeCapacityBefore = machines.map { it.roundRoom }
+        val allocationsBefore = allocations.size
+        if (place(job, wanted, machines, allocations, skip = 0, cachedImageOnly = false) == wanted) return wanted
+        for ((index, machine) in machines.withIndex()) machine.roundRoom = freeCapacityBefore[index]
+        while (allocations.size > allocationsBefore) allocations.removeLast()
         return 0
     }
 
     /**
-     * Places up to [wanted] tasks, after the [skip] that this round has placed already; [heldOnly]: only where the
-     * image is. Returns how many it placed.
+     * Places up to [wanted] ready tasks after the first [skip], which this round has placed already; with
+     * [cachedImageOnly] only on machines that have the image. Returns how many it placed.
      */
     fun place(
         job: OpenJob,
         wanted: Int,
         machines: List<Machine>,
-        out: MutableList<Allocation>,
+        allocations: MutableList<Allocation>,
         skip: Int,
-        heldOnly: Boolean,
+        cachedImageOnly: Boolean,
     ): Int {
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked) return 0
-        val fitting = fitting(job, machines, heldOnly)
+        val fitting = fitting(job, machines, cachedImageOnly)
         if (fitting.isEmpty()) return 0
         val candidates = sample(fitting, wanted, job)
         candidates.sortWith(preference)
         if (job.spec.together) zones.chooseZone(candidates)
-        val assignment = Assignment(job, zones, skip, out)
+        val assignment = Assignment(job, zones, skip, allocations)
         var left = wanted
-        // Replicas of one service are spread over machines first, and share machines only for want of others.
+        // Replicas of a service exceed the maximum per machine only if no other machine fits them.
         if (job.service) left -= assignment.assign(candidates, left, spread = true)
         left -= assignment.assign(candidates, left, spread = false)
         return wanted - left
     }
 
-    /** Hands the ready tasks of one job out to machines, the first [skip] excepted. */
+    /** Assigns the ready tasks of one job to machines, except the first [skip]. */
     private inner class Assignment(
         private val job: OpenJob,
         private val zones: ZoneConstraint,
         skip: Int,
-        private val out: MutableList<Allocation>,
+        private val allocations: MutableList<Allocation>,
     ) {
         private var nextTask = job.tasks.nextReady(0)
 
@@ -86,13 +87,18 @@
             repeat(skip) { nextTask = job.tasks.nextReady(nextTask + 1) }
         }
 
-        /** Assigns up to [count] tasks; with [spread] only as many to a machine as a service wants there at most. */
+        /**
+         * Assigns up to [count] tasks; with [spread] each machine gets at most [ReplicaPlacement.maxPerMachine]
+         * replicas. Returns how many it assigned.
+         */
         fun assign(machines: List<Machine>, count: Int, spread: Boolean): Int {
             var left = count
             for (machine in machines) {
                 if (left == 0) break
                 var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.roomIn(machine.zone))
-                if (spread) tasks = minOf(tasks, replicas.maxPerMachine(job) - replicas.countOn(machine, job))
+                if (spread) {
+                    tasks = minOf(tasks, replicaPlacement.maxPerMachine(job) - replicaPlacement.countOn(machine, job))
+                }
                 if (tasks <= 0) continue
                 assignTo(machine, tasks)
                 left -= tasks
@@ -101,7 +107,7 @@
         }
 
         private fun assignTo(machine: Machine, count: Int) {
-            out.add(Allocation(job, machine, nextTasks(count), starvation.goesFirst(job)))
+            allocations.add(Allocation(job, machine, nextTasks(count), starvation.isServedFirst(job)))
             zones.addTasks(machine.zone, count)
             machine.roundRoom = machine.roundRoom.without(job.taskResources, count)
             if (job.image >= 0) machine.images.add(job.image)
@@ -117,31 +123,36 @@
         }
     }
 
-    private fun fitting(job: OpenJob, machines: List<Machine>, heldOnly: Boolean): ArrayList<Machine> {
+    private fun fitting(job: OpenJob, machines: List<Machine>, cachedImageOnly: Boolean): ArrayList<Machine> {
         val urgent = objectives.awaitsPromptStart(job)
         val fitting = ArrayList<Machine>()
         for (machine in machines) {
-            if (!job.taskResources.fitsIn(machine.roundRoom) || !allowed(job, machine)) continue
-            val fetches = fetches(job, machine)
-            if (heldOnly && fetches) continue
-            val elsewhereRank = if (scarceTypes.wantedElsewhere(job, machine.type)) WANTED_ELSEWHERE else 0
-            machine.roundRank = elsewhereRank + fetchRank(fetches, urgent)
+            if (!job.taskResources.fitsIn(machine.roundRoom) || !isAllowed(job, machine)) continue
+            val needsFetch = needsImageFetch(job, machine)
+            if (cachedImageOnly && needsFetch) continue
+            val neededByOthersRank = if (scarceTypes.isNeededByOthers(job, machine.type)) RANK_NEEDED_BY_OTHERS else 0
+            machine.roundRank = neededByOthersRank + fetchRank(needsFetch, urgent)
             fitting.add(machine)
         }
         return fitting
     }
 
-    private fun fetchRank(fetches: Boolean, urgent: Boolean): Int =
+    private fun fetchRank(needsFetch: Boolean, urgent: Boolean): Int =
         when {
-            !fetches -> 0
-            urgent -> FETCHES_URGENT
-            else -> FETCHES
+            !needsFetch -> 0
+            urgent -> RANK_FETCH_FOR_URGENT
+            else -> RANK_FETCH
         }
 
     /**
-     * Which of the machines that fit come first: those that no other work has to wait for; for work whose start users
-     * wait for, those that hold the image; the smaller types, so that large ones stay whole; then those that hold the
-     * image; then the fullest. Cost was tried as a tie-break and did not help, see docs/measurements.md.
+     * Order of preference among machines that fit:
+     * 1. types that no other job needs;
+     * 2. for jobs whose users wait for the start, machines that have the image;
+     * 3. smaller types, so that large machines stay free for large tasks;
+     * 4. machines that have the image;
+     * 5. the fullest machines.
+     *
+     * Cost as a tie-break did not help, see docs/measurements.md.
      */
     private val preference =
         Comparator<Machine> { first, second ->
@@ -154,22 +165,22 @@
         }
 
     /**
-     * Some of the machines that fit: those that hold the image first, then others, each from a random place on; all of
-     * them when the sample has too little room. A sample drawn from all alike would mostly miss the few that hold the
-     * image.
+     * A sample of the machines that fit: first machines that have the image, then others, each group from a random
+     * start on. Returns all of [fitting] if the sample has too little free capacity for [wanted] tasks. A sample drawn
+     * evenly from all machines would mostly miss the few that have the image.
      */
     private fun sample(fitting: ArrayList<Machine>, wanted: Int, job: OpenJob): ArrayList<Machine> {
         if (fitting.size <= options.sampleSize) return fitting
-        val (holders, others) = fitting.partition { !fetches(job, it) }
+        val (withImage, withoutImage) = fitting.partition { !needsImageFetch(job, it) }
         val sample = ArrayList<Machine>(options.sampleSize * 2)
-        addSample(holders, sample)
-        addSample(others, sample)
-        var room = 0
-        for (machine in sample) room += job.taskResources.countIn(machine.roundRoom)
-        return if (room >= wanted) sample else fitting
+        addSample(withImage, sample)
+        addSample(withoutImage, sample)
+        var fittingTasks = 0
+        for (machine in sample) fittingTasks += job.taskResources.countIn(machine.roundRoom)
+        return if (fittingTasks >= wanted) sample else fitting
     }
 
-    /** Adds up to the size of a sample of [machines] to [sample], from a random one on. */
+    /** Adds up to [OperatorSettings.sampleSize] of [machines] to [sample], from a random one on. */
     private fun addSample(machines: List<Machine>, sample: MutableList<Machine>) {
         if (machines.isEmpty()) return
         val start = context.random.nextInt(machines.size)
@@ -179,9 +190,9 @@
     }
 
     private companion object {
-        // Ranks, the lower the better. The lowest bit counts after the size of the machine's type, the others before.
-        const val FETCHES = 1
-        const val FETCHES_URGENT = 3
-        const val WANTED_ELSEWHERE = 4
+        // Lower ranks are better. The lowest bit is compared after the size of the machine type, the others before it.
+        const val RANK_FETCH = 1
+        const val RANK_FETCH_FOR_URGENT = 3
+        const val RANK_NEEDED_BY_OTHERS = 4
     }
 }
