--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -116,7 +116,7 @@
             WriteProducer(completions::next),
             WriteProducer(staticMachines::next),
             WriteProducer(images::next),
-            WriteProducer(dispatch::nextGarbage),
+            WriteProducer(dispatch::nextMarkerRemoval),
             WriteProducer(jobs.garbage::next),
         )
 }
--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -75,7 +75,7 @@
 
     override fun onJobCancelled(job: OpenJob) {
         targets.reconciler.onOutcomesRecorded(job, job.progress.snapshot())
-        if (!job.tasks.noneLive) targets.commands.stopAll(job)
+        if (!job.tasks.noneLive) targets.commands.stopAttempts(job)
     }
 
     /** The write of the next placement round, if one is due. */
--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -32,7 +32,7 @@
         nextAt = context.steady + INTERVAL_MS + context.overload.tickDelayMs * DELAY_PER_LATE_MS
         if (leading && leadership.entitled()) {
             commands.advanceFencingTokenIfNeeded()
-            commands.probeDoubtful()
+            commands.probeUnconfirmedMachines()
         }
         // Whether it is entitled is asked anew: advancing the fencing token ends the term.
         fleet.tick(leading && leadership.entitled(), placement.unplaced, mayScaleOut(), placement.urgentHeadroomCpus())
--- a/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
@@ -33,7 +33,7 @@
         val allocations = placement.round()
         placement.preempted.forEach(commands::send)
         if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
-        return dispatch.writeMarkers(allocations, room)
+        return dispatch.prepareMarkerWrite(allocations, room)
     }
 
     /** Rounds cost processor time, of which there is little: without a change they run far less often. */
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
@@ -31,7 +31,7 @@
     }
 
     /** A marker cannot be written: none of its [attempts] was sent, and their tasks are ready again. */
-    fun onMarkersAbandoned(attempts: List<Attempt>) = attempts.forEach(reservations::resolve)
+    fun onMarkersRejected(attempts: List<Attempt>) = attempts.forEach(reservations::resolve)
 
     /** An attempt whose marker is durable is not started any more: its task is ready again, or over. */
     fun withdraw(attempt: Attempt) {
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
@@ -68,7 +68,7 @@
     }
 
     /** The completions of [done] in [job] are durable: the workers may forget them. */
-    fun onRecorded(job: OpenJob, done: BitSet) {
+    fun onCompletionsRecorded(job: OpenJob, done: BitSet) {
         val iterator = job.unrecorded.iterator()
         while (iterator.hasNext()) {
             val attempt = iterator.next()
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -54,14 +54,14 @@
     /** See [AttemptLifecycle.onMarkersPersisted]. */
     fun onMarkersPersisted(attempts: List<Attempt>) = lifecycle.onMarkersPersisted(attempts)
 
-    /** See [AttemptLifecycle.onMarkersAbandoned]. */
-    fun onMarkersAbandoned(attempts: List<Attempt>) = lifecycle.onMarkersAbandoned(attempts)
+    /** See [AttemptLifecycle.onMarkersRejected]. */
+    fun onMarkersRejected(attempts: List<Attempt>) = lifecycle.onMarkersRejected(attempts)
 
     /** See [AttemptLifecycle.withdraw]. */
     fun withdraw(attempt: Attempt) = lifecycle.withdraw(attempt)
 
-    /** See [AttemptOutcomes.onRecorded]. */
-    fun onOutcomesRecorded(job: OpenJob, done: BitSet) = outcomes.onRecorded(job, done)
+    /** See [AttemptOutcomes.onCompletionsRecorded]. */
+    fun onOutcomesRecorded(job: OpenJob, done: BitSet) = outcomes.onCompletionsRecorded(job, done)
 
     /** Everything on [machine] is certainly gone: it was deleted, its lease expired, or a new epoch has begun. */
     fun onMachineGone(machine: Machine) = resolveEnded(machine, inherited = true)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -13,7 +13,7 @@
  */
 class CommandPlanner(private val reconciler: AttemptReconciler) {
     /** The commands in the response to [machine]'s heartbeat; no starts if the heartbeat is not its newest. */
-    fun inResponse(machine: Machine, startsAllowed: Boolean): List<Command> {
+    fun commandsForResponse(machine: Machine, startsAllowed: Boolean): List<Command> {
         val commands = ArrayList<Command>()
         for (attempt in ArrayList(machine.attempts)) { // a withdrawal removes its attempt
             if (commands.size >= MAX_COMMANDS) break
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -30,7 +30,7 @@
     private var maxMarkerBytes = limits.valueBytes
 
     /** Attempt numbers under this fencing token are used up; the next token has new ones. */
-    val exhausted: Boolean get() = round >= ROUNDS - 1
+    val attemptNumbersExhausted: Boolean get() = round >= ROUNDS - 1
 
     fun start(newFencingToken: Long) {
         fencingToken = newFencingToken
@@ -43,14 +43,14 @@
      * Reserves what fits of [allocations] and gives the markers to write for it; null when nothing fits. What does not
      * fit stays ready for the next round.
      */
-    fun writeMarkers(allocations: List<Allocation>, room: TransactionBudget): Write? {
+    fun prepareMarkerWrite(allocations: List<Allocation>, room: TransactionBudget): Write? {
         val builder = DispatchMarkerBuilder(maxMarkerBytes, room.ops, room.bytes, ::nextMarker)
         val packed = builder.pack(allocations)
         if (packed.isEmpty()) return null
         val attempts = reserve(packed)
         return Write(packed.map { it.change() }, onRefused = {
             if (packed.size == 1) lowerMarkerLimit() // else there were too many
-            reconciler.onMarkersAbandoned(attempts)
+            reconciler.onMarkersRejected(attempts)
         }) {
             raiseMarkerLimit()
             reconciler.onMarkersPersisted(attempts)
@@ -78,7 +78,7 @@
         )
 
     private fun nextMarker(): DispatchMarker? {
-        if (exhausted) return null
+        if (attemptNumbersExhausted) return null
         round++
         return DispatchMarker(DispatchMarkerRecord.key(fencingToken, round), fencingToken * ROUNDS + round)
     }
@@ -98,7 +98,7 @@
     }
 
     /** Removes one marker that no attempt needs any more. */
-    fun nextGarbage(room: TransactionBudget): Write? {
+    fun nextMarkerRemoval(room: TransactionBudget): Write? {
         if (room.ops < 1) return null
         val key = garbage.removeFirstOrNull() ?: return null
         return Write(listOf(Change(key, null)), onRefused = { garbage.add(key) }) {}
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -46,13 +46,13 @@
     }
 
     private fun respond(call: Int, machine: Machine, startsAllowed: Boolean) {
-        val commands = commandPlanner.inResponse(machine, startsAllowed)
+        val commands = commandPlanner.commandsForResponse(machine, startsAllowed)
         if (commands.isEmpty()) return context.respond(call, HttpStatus.OK, emptyResponse())
         context.respond(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
     }
 
     /** A heartbeat that was not read: it came while this controller did not lead. */
-    fun onUnread(call: Int) {
+    fun onUnparsedHeartbeat(call: Int) {
         leadership.heartbeatTraffic.received(context.steady)
         redirect(call)
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -78,13 +78,13 @@
      * What is cancelled is stopped at once where few machines have it, else with the responses to their next
      * heartbeats.
      */
-    fun stopAll(job: OpenJob) {
+    fun stopAttempts(job: OpenJob) {
         val machines = fleet.machines.filter { machine -> machine.attempts.any { it.job === job && it.onMachine } }
         machines.take(MAX_CALLS).forEach(::send)
     }
 
     /** Calls machines that our messages may not reach, without commands: a reply shows that they do. */
-    fun probeDoubtful() {
+    fun probeUnconfirmedMachines() {
         var callsLeft = MAX_CALLS
         for (machine in fleet.machines) {
             if (callsLeft == 0) return
@@ -147,7 +147,7 @@
      * outcome, the token is advanced by giving up the lead: no worker that has seen the new token obeys the old one.
      */
     fun advanceFencingTokenIfNeeded() {
-        if (dispatch.exhausted) return leadership.stepDown(StepDownReason.Own.ATTEMPT_NUMBERS_EXHAUSTED)
+        if (dispatch.attemptNumbersExhausted) return leadership.stepDown(StepDownReason.Own.ATTEMPT_NUMBERS_EXHAUSTED)
         val advancedLately = context.steady - fencingTokenAdvancedAt < MIN_ADVANCE_INTERVAL_MS
         if (log.slow() || advancedLately) return quarantineStuck()
         if (fleet.machines.none { waitsForNewToken(it) || keepsTooMany(it) }) return
--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -19,7 +19,7 @@
     private val jobs: JobTable,
     private val events: JobEvents,
     /** Called when tasks' completions are durable, so that workers may forget them. */
-    private val onRecorded: (OpenJob, BitSet) -> Unit,
+    private val onCompletionsDurable: (OpenJob, BitSet) -> Unit,
 ) {
     fun next(room: TransactionBudget): Write? {
         if (room.ops < 1) return null
@@ -36,12 +36,12 @@
     private fun jobCompletion(job: OpenJob, room: TransactionBudget): Write? {
         val done = job.progress.snapshot()
         val change = Change(JobRecord.key(job.spec.id), JobRecord.encodeDone(job.spec))
-        val onRefused = { job.pages.completionRefused(retryAt = context.steady + REFUSED_RETRY_MS) }
+        val onRefused = { job.pages.completionRefused(retryAt = context.steady + REJECTED_RETRY_MS) }
         val write =
             Write(listOf(change), onRefused) {
                 job.pages.completionWritten()
                 jobs.end(job, JobState.DONE)
-                onRecorded(job, done)
+                onCompletionsDurable(job, done)
                 events.onJobDone(job)
             }
         if (!write.fits(room)) return null
@@ -63,11 +63,11 @@
         val done = job.progress.slice(firstTask, job.pages.firstTask(page + 1))
         val key = ProgressPageRecord.key(job.spec.id, firstTask)
         val change = Change(key, ProgressPageRecord(firstTask, done).encode())
-        val onRefused = { job.pages.pageRefused(page, retryAt = context.steady + REFUSED_RETRY_MS) }
+        val onRefused = { job.pages.pageRefused(page, retryAt = context.steady + REJECTED_RETRY_MS) }
         return Write(listOf(change), onRefused) {
             job.pages.pageWritten(page)
             if (job.entry.state != JobState.OPEN) jobs.garbage.collect(key)
-            onRecorded(job, shifted(done, firstTask))
+            onCompletionsDurable(job, shifted(done, firstTask))
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobRecord.kt
@@ -14,14 +14,14 @@
     /** A job that is accepted, and neither done nor cancelled. */
     class Open(val spec: JobSpec, private val fields: Fields) : JobRecord {
         /** When the job was accepted, by the time of day; fails when the record does not say. */
-        fun acceptedWall(): Long = fields.long(ACCEPTED_AT)
+        fun acceptedWallMs(): Long = fields.long(ACCEPTED_AT)
     }
 
     class Done(val tasks: Int) : JobRecord
 
     /** A cancelled job. Where its tasks may run is known only if the record says what they are. */
     class Cancelled(val tasks: Int, private val storedSpec: Any?, private val key: String) : JobRecord {
-        val describesJob: Boolean get() = storedSpec != null
+        val hasSpec: Boolean get() = storedSpec != null
 
         /** What the job was; fails when the record does not say, or says it in a way that cannot be read. */
         fun readSpec(): JobSpec = UserCodec.storedJob(Fields.of(storedSpec, key))
@@ -54,8 +54,8 @@
             }
         }
 
-        fun encodeOpen(spec: JobSpec, acceptedWall: Long): Map<String, Any?> =
-            mapOf(STATE to OPEN, ACCEPTED_AT to acceptedWall, SPEC to UserCodec.map(spec))
+        fun encodeOpen(spec: JobSpec, acceptedWallMs: Long): Map<String, Any?> =
+            mapOf(STATE to OPEN, ACCEPTED_AT to acceptedWallMs, SPEC to UserCodec.map(spec))
 
         fun encodeDone(spec: JobSpec): Map<String, Any?> = encodeEnd(DONE, spec)
 
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -52,15 +52,15 @@
     fun recordFits(spec: JobSpec): Boolean = EncodedSize.of(JobRecord.encodeOpen(spec, 0)) <= limits.valueBytes
 
     /**
-     * Queues a new job for its durable record; [onAccepted] runs once it is accepted, [onRefused] when its record
+     * Queues a new job for its durable record; [onAccepted] runs once it is accepted, [onRejected] when its record
      * cannot be written.
      */
-    fun accept(spec: JobSpec, onRefused: () -> Unit, onAccepted: () -> Unit) {
+    fun accept(spec: JobSpec, onRejected: () -> Unit, onAccepted: () -> Unit) {
         val entry = findOrAddEntry(spec.id, spec.tasks)
         val wall = context.now.wall
         val change = Change(JobRecord.key(spec.id), JobRecord.encodeOpen(spec, wall))
         urgentWrites.add(
-            Write(listOf(change), onRefused) {
+            Write(listOf(change), onRejected) {
                 entry.accepted()
                 addOpenJob(entry, spec, wall)
                 onAccepted()
@@ -83,19 +83,19 @@
         return entries[index]
     }
 
-    private fun addOpenJob(entry: JobEntry, spec: JobSpec, acceptedWall: Long) {
-        val job = buildJob(entry, spec, acceptedWall)
+    private fun addOpenJob(entry: JobEntry, spec: JobSpec, acceptedWallMs: Long) {
+        val job = buildJob(entry, spec, acceptedWallMs)
         entry.opened(job)
         openJobs.add(job)
         context.changed()
     }
 
-    private fun buildJob(entry: JobEntry, spec: JobSpec, acceptedWall: Long): OpenJob {
+    private fun buildJob(entry: JobEntry, spec: JobSpec, acceptedWallMs: Long): OpenJob {
         val types = spec.types?.let { list -> IntOpenHashSet(list.map { names.types.intern(it) }) }
         val image = spec.image?.let(names.images::intern) ?: Interner.UNKNOWN
         val zone = spec.zone?.let(names.zones::intern) ?: Interner.UNKNOWN
         val tasksPerPage = ProgressPageRecord.tasksPerPage(limits.valueBytes)
-        return OpenJob(entry, spec, names.teams.find(spec.team), image, types, zone, acceptedWall, tasksPerPage)
+        return OpenJob(entry, spec, names.teams.find(spec.team), image, types, zone, acceptedWallMs, tasksPerPage)
     }
 
     // Loading
@@ -108,7 +108,7 @@
                 val entry = findOrAddEntry(id, record.spec.tasks)
                 // Before the moment is read: a job whose moment is unreadable must not be accepted a second time.
                 entry.accepted()
-                addOpenJob(entry, record.spec, record.acceptedWall())
+                addOpenJob(entry, record.spec, record.acceptedWallMs())
             }
             is JobRecord.Done -> findOrAddEntry(id, record.tasks).ended(JobState.DONE)
             is JobRecord.Cancelled -> loadCancelled(id, record)
@@ -122,7 +122,7 @@
     private fun loadCancelled(id: String, record: JobRecord.Cancelled) {
         val entry = findOrAddEntry(id, record.tasks)
         entry.ended(JobState.CANCELLED)
-        if (record.describesJob) cancelledJobs[id] = lazy { buildJob(entry, record.readSpec(), 0) }
+        if (record.hasSpec) cancelledJobs[id] = lazy { buildJob(entry, record.readSpec(), 0) }
     }
 
     /** Takes in a page of done tasks; pages of jobs that are over are removed. */
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -66,21 +66,21 @@
     }
 
     /** Whether most of the time that the class's tasks may wait for their start is over, and not all of it. */
-    fun startDeadlineNear(job: OpenJob, wall: Long): Boolean {
+    fun isStartDeadlineNear(job: OpenJob, wall: Long): Boolean {
         val limits = startWithinMs[job.spec.workload] ?: return false
         val waitedMs = wall - job.acceptedWall
         return limits.any { it >= leastBootMs() && waitedMs < it && waitedMs * NEAR_OF >= it * NEAR }
     }
 
     /** Whether tasks within a guarantee that start now are still in time. */
-    fun guaranteeStartsInTime(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithinMs
+    fun canMeetGuaranteeObjective(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithinMs
 
     /**
      * When the job should be over, by its owner's deadline and its class's objectives: the first moment that can still
      * be kept when it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says, and
      * for a service, which is never over.
      */
-    fun dueWall(job: OpenJob, wall: Long, leastMs: Long): Long {
+    fun dueWallMs(job: OpenJob, wall: Long, leastMs: Long): Long {
         if (job.service) return Long.MAX_VALUE
         var firstKept = Long.MAX_VALUE
         var last = Long.MIN_VALUE
--- a/src/main/kotlin/org/chalkhollow/core/jobs/UrgentWrites.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/UrgentWrites.kt
@@ -7,7 +7,7 @@
 import org.chalkhollow.core.storage.Write
 
 /** After how long a write is tried again that the state service refused. */
-internal const val REFUSED_RETRY_MS = 3000L
+internal const val REJECTED_RETRY_MS = 3000L
 
 /** Whether the write fits into what is left of the transaction. */
 internal fun Write.fits(room: TransactionBudget): Boolean =
@@ -15,7 +15,7 @@
 
 /**
  * Owns the writes about jobs that come before all others, in their order: users wait for acceptances and cancellations.
- * What the state service refused and must not be lost is queued again after [REFUSED_RETRY_MS]. Filled by [JobTable],
+ * What the state service refused and must not be lost is queued again after [REJECTED_RETRY_MS]. Filled by [JobTable],
  * [JobCancellation] and [KeyGarbageCollector], emptied by the [StateWriter].
  */
 class UrgentWrites(private val context: CoreContext) {
@@ -36,7 +36,7 @@
     }
 
     fun retryLater(write: Write) {
-        refused.add(RefusedWrite(context.steady + REFUSED_RETRY_MS, write))
+        refused.add(RefusedWrite(context.steady + REJECTED_RETRY_MS, write))
     }
 
     /** The first write, unless it does not fit: then none, since the order is kept. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
@@ -9,7 +9,7 @@
 class Deadlines(private val context: CoreContext, private val objectives: ServiceLevelObjectives) {
     /** When the job is due; [Long.MAX_VALUE] if it may take any time. */
     fun dueWall(job: OpenJob): Long =
-        objectives.dueWall(job, context.now.wall, optimisticMs(job.spec.expectedS).toLong())
+        objectives.dueWallMs(job, context.now.wall, optimisticMs(job.spec.expectedS).toLong())
 
     fun hasDeadline(job: OpenJob): Boolean = dueWall(job) != Long.MAX_VALUE
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -75,7 +75,7 @@
 
     /** Whether the job is within its team's guarantee, and users would still see it start in time. */
     fun freshGuarantee(job: OpenJob): Boolean =
-        withinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
+        withinGuarantee(job) && objectives.canMeetGuaranteeObjective(job, context.now.wall)
 
     /** Whether the job leaves the headroom free that is reserved for urgent work to come. */
     fun leavesHeadroom(job: OpenJob): Boolean {
@@ -100,7 +100,7 @@
         when {
             objectives.canStartInTime(job, context.now.wall) -> Urgency.IN_TIME_TO_START
             freshGuarantee(job) -> Urgency.IN_TIME_TO_START
-            objectives.startDeadlineNear(job, context.now.wall) -> Urgency.IN_TIME_TO_START
+            objectives.isStartDeadlineNear(job, context.now.wall) -> Urgency.IN_TIME_TO_START
             deadlines.isMissed(job) || job in deferred -> Urgency.LATE
             withinGuarantee(job) -> Urgency.GUARANTEED
             else -> Urgency.COMMON
--- a/src/test/kotlin/org/chalkhollow/core/JobFixtures.kt
+++ b/src/test/kotlin/org/chalkhollow/core/JobFixtures.kt
@@ -46,7 +46,7 @@
 
 /** Accepts a job of [spec], whose record is written at once. */
 internal fun JobTable.acceptDurably(spec: JobSpec): OpenJob {
-    accept(spec, onRefused = {}) {}
+    accept(spec, onRejected = {}) {}
     urgentWrites
         .next(TransactionBudget(10, 10_000))
         ?.onDurable
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
@@ -42,9 +42,9 @@
         assertTrue(attempt.completed)
         assertFalse(attempt.outcomeRecorded)
         assertEquals(listOf(0, 1), listOf(job.tasks.running, job.progress.doneCount))
-        outcomes.onRecorded(job, BitSet())
+        outcomes.onCompletionsRecorded(job, BitSet())
         assertFalse(attempt.outcomeRecorded, "another task's completion was recorded")
-        outcomes.onRecorded(job, job.progress.snapshot())
+        outcomes.onCompletionsRecorded(job, job.progress.snapshot())
         assertTrue(attempt.finished)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
@@ -36,9 +36,9 @@
         assertTrue(objectives.canStartInTime(job("urgent", null), 69_000))
         assertFalse(objectives.canStartInTime(job("urgent", null), 71_000))
         assertFalse(objectives.canStartInTime(job("batch", null), 1_000))
-        assertFalse(objectives.startDeadlineNear(job("batch", null), 70_000))
-        assertTrue(objectives.startDeadlineNear(job("batch", null), 80_000))
-        assertFalse(objectives.startDeadlineNear(job("batch", null), 151_000))
+        assertFalse(objectives.isStartDeadlineNear(job("batch", null), 70_000))
+        assertTrue(objectives.isStartDeadlineNear(job("batch", null), 80_000))
+        assertFalse(objectives.isStartDeadlineNear(job("batch", null), 151_000))
     }
 
     @Test
@@ -47,24 +47,24 @@
         assertEquals(
             listOf(200_000L, 300_000L, 300_000L),
             listOf(0L, 195_000L, 400_000L).map {
-                objectives.dueWall(batch, it, 10_000)
+                objectives.dueWallMs(batch, it, 10_000)
             },
         )
         val urgent = job("urgent", 20.0)
         assertEquals(
             listOf(20_000L, 30_000L, 30_000L),
             listOf(10_000L, 10_001L, 25_000L).map {
-                objectives.dueWall(urgent, it, 10_000)
+                objectives.dueWallMs(urgent, it, 10_000)
             },
         )
-        assertEquals(Long.MAX_VALUE, objectives.dueWall(job("other", null), 0, 1))
+        assertEquals(Long.MAX_VALUE, objectives.dueWallMs(job("other", null), 0, 1))
     }
 
     @Test
     fun `a service is never due, whatever its owner or the objectives of its class say`() {
         val service = job("batch", 20.0, Shape.SERVICE)
-        assertEquals(Long.MAX_VALUE, objectives.dueWall(service, 0, 0))
-        assertEquals(Long.MAX_VALUE, objectives.dueWall(service, 400_000, 0))
+        assertEquals(Long.MAX_VALUE, objectives.dueWallMs(service, 0, 0))
+        assertEquals(Long.MAX_VALUE, objectives.dueWallMs(service, 400_000, 0))
         assertTrue(objectives.awaitsPromptStart(service))
         assertTrue(objectives.canStartInTime(service, 400_000))
     }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
@@ -63,7 +63,7 @@
         val job: OpenJob get() = checkNotNull(jobs.find(JOB_ID)?.open)
 
         fun accept(spec: JobSpec): Leader {
-            jobs.accept(spec, onRefused = {}) {}
+            jobs.accept(spec, onRejected = {}) {}
             writeAll()
             return this
         }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
@@ -33,10 +33,10 @@
         val other = write("b")
         writes.retryLater(refused)
         writes.add(other)
-        context.now = Now(REFUSED_RETRY_MS - 1, 0)
+        context.now = Now(REJECTED_RETRY_MS - 1, 0)
         assertSame(other, writes.next(ample))
         assertNull(writes.next(ample))
-        context.now = Now(REFUSED_RETRY_MS, 0)
+        context.now = Now(REJECTED_RETRY_MS, 0)
         assertSame(refused, writes.next(ample))
     }
 
@@ -46,7 +46,7 @@
         var removal = garbage.next(ample)
         for (attempt in 1L..3L) {
             checkNotNull(removal).onRefused()
-            context.now = Now(REFUSED_RETRY_MS * attempt, 0)
+            context.now = Now(REJECTED_RETRY_MS * attempt, 0)
             removal = writes.next(ample)
         }
         assertEquals(listOf(Change("prog/j-1/0", null)), removal?.changes)
