--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptEvents.kt
@@ -5,13 +5,13 @@
 
 /** Events of attempts, published by [AttemptReconciler]. */
 interface AttemptEvents {
-    /** One of the attempts that [marker] lists needs it no more. */
+    /** An attempt that [marker] lists no longer needs the marker. */
     fun onMarkerReleased(marker: DispatchMarker)
 
-    /** [machine] has attempts whose dispatch markers have just become durable, so they may be started. */
+    /** Dispatch markers of attempts on [machine] have become durable, so the attempts may be started. */
     fun onStartsReady(machine: Machine)
 
-    /** [machine] has started an attempt as this leader commanded: our commands reach it. */
+    /** [machine] has started an attempt as this leader commanded, so this leader's messages reach the machine. */
     fun onStartObserved(machine: Machine)
 
     /** Ignores all events. */
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
@@ -6,16 +6,16 @@
 import org.chalkhollow.core.common.Effect
 
 /**
- * Takes attempts from one phase to the next, from the reservation to the moment that they run, and tells others of it.
- * An attempt becomes startable only once its marker is durable. Called by [AttemptReconciler]; exits are the concern of
- * [AttemptOutcomes].
+ * Moves attempts through their phases from the reservation until they run, and publishes [AttemptEvents]. An attempt
+ * may be started only once its dispatch marker is durable. Called by [AttemptReconciler]; [AttemptOutcomes] handles
+ * exits.
  */
 internal class AttemptLifecycle(
     private val context: CoreContext,
     private val reservations: AttemptReservations,
     private val events: AttemptEvents,
 ) {
-    /** The markers of [attempts] are durable: they may be started. */
+    /** The markers of [attempts] are durable: attempts may be started, or are resolved if their machine is not up. */
     fun onMarkersPersisted(attempts: List<Attempt>) {
         val machines = LinkedHashSet<Machine>()
         for (attempt in attempts) {
@@ -30,15 +30,15 @@
         machines.forEach(events::onStartsReady)
     }
 
-    /** A marker cannot be written: none of its [attempts] was sent, and their tasks are ready again. */
+    /** The state service rejected the markers of [attempts]: no start was sent, and their tasks are pending again. */
     fun onMarkersRejected(attempts: List<Attempt>) = attempts.forEach(reservations::resolve)
 
-    /** An attempt whose marker is durable is not started any more: its task is ready again, or over. */
+    /** Resolves an attempt that will not be started, unless a direct start of it may still be carried out. */
     fun withdraw(attempt: Attempt) {
         if (!attempt.directStartUnresolved) reservations.resolve(attempt)
     }
 
-    /** The attempt's machine says that it is in [phase], which is one of those on a machine. */
+    /** The attempt's machine lists the attempt in [phase]: fetching, running or saving. */
     fun onPhaseObserved(attempt: Attempt, phase: Attempt.Phase) {
         if (attempt.phase == Attempt.Phase.EXITED || attempt.phase == phase) return
         val machine = attempt.machine
@@ -58,7 +58,7 @@
         context.emit(Effect.Timing("start", startMs))
         if (job.tasks.running == 1 && job.progress.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
         val task = "${job.spec.id}/${attempt.index} (${job.spec.workload})"
-        val where = attempt.machine.name + if (attempt.imageWasHeld) ", image held" else ""
+        val where = attempt.machine.name + if (attempt.imageWasHeld) ", image cached" else ""
         context.debug("$task runs $waitMs ms after it was accepted, $startMs ms after it was placed on $where")
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
@@ -10,29 +10,29 @@
 import java.util.BitSet
 
 /**
- * Decides what the exit of an attempt means: the task is done, or it is tried again, at once or after a backoff. A
- * completion is recorded before its machine may forget it. Called by [AttemptReconciler].
+ * Decides what the exit of an attempt means: the task is done, or it is retried at once or after a backoff. The worker
+ * may forget a completed attempt only after its completion is durable. Called by [AttemptReconciler].
  */
 internal class AttemptOutcomes(private val context: CoreContext, private val reservations: AttemptReservations) {
-    /** [attempt] has exited for [cause], as its machine says for the first time. */
+    /** The machine lists [attempt] as exited for the first time, with [cause]. */
     fun onExit(attempt: Attempt, cause: ExitCause) {
         reservations.release(attempt)
         val job = attempt.job
         val completed = cause == ExitCause.DONE && !job.service
-        if (completed) noteRunTime(attempt)
+        if (completed) recordRunTime(attempt)
         attempt.exited(completed)
         if (completed && job.entry.state == JobState.OPEN) return onCompleted(attempt)
         reservations.outcomeRecorded(attempt)
-        retryLater(attempt, cause)
+        applyBackoff(attempt, cause)
     }
 
-    /** Only of runs that this leader saw from begin to end is it known how long they took. */
-    private fun noteRunTime(attempt: Attempt) {
+    /** The run time is known only if this leader observed the run from start to end. */
+    private fun recordRunTime(attempt: Attempt) {
         if (attempt.phase != Attempt.Phase.RUNNING || attempt.inherited) return
         attempt.job.runTimes.add((context.steady - attempt.progressAt) / MS_PER_S)
     }
 
-    /** Its completion is recorded before its machine may forget it. */
+    /** Marks the task as done. The worker may forget the attempt only after the completion is durable. */
     private fun onCompleted(attempt: Attempt) {
         val job = attempt.job
         attempt.machine.failedJobs.clear()
@@ -43,13 +43,13 @@
         job.unrecorded.add(attempt)
     }
 
-    private fun retryLater(attempt: Attempt, cause: ExitCause) {
+    private fun applyBackoff(attempt: Attempt, cause: ExitCause) {
         val job = attempt.job
         when (cause) {
             ExitCause.ERROR -> onFailed(attempt)
             ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) onReplicaEnded(attempt)
-            ExitCause.FULL -> attempt.machine.fullUntil = context.steady + FULL_MACHINE_MS
-            ExitCause.BUSY, ExitCause.NO_SUCH -> job.backoff.pauseUntil(context.steady + REFUSED_START_MS)
+            ExitCause.FULL -> attempt.machine.fullUntil = context.steady + FULL_MACHINE_BACKOFF_MS
+            ExitCause.BUSY, ExitCause.NO_SUCH -> job.backoff.pauseUntil(context.steady + REJECTED_START_BACKOFF_MS)
             ExitCause.HALTED -> Unit
         }
     }
@@ -64,10 +64,12 @@
         val job = attempt.job
         attempt.machine.failedJobs.add(job.entry.index)
         job.backoff.taskFailed(attempt.machine.id, context.steady)
-        context.debug("${job.spec.id}/${attempt.index} failed on ${attempt.machine.name}")
+        context.debug(
+            "task ${job.spec.id}/${attempt.index} failed on ${attempt.machine.name}; its job avoids it for now",
+        )
     }
 
-    /** The completions of [done] in [job] are durable: the workers may forget them. */
+    /** The completions of the tasks [done] of [job] are durable: workers may forget their attempts. */
     fun onCompletionsRecorded(job: OpenJob, done: BitSet) {
         val iterator = job.unrecorded.iterator()
         while (iterator.hasNext()) {
@@ -80,10 +82,10 @@
     }
 
     private companion object {
-        /** A machine that had no room for a start is given none for so long. */
-        const val FULL_MACHINE_MS = 3000L
+        /** A machine whose worker rejected a start for lack of capacity gets no tasks for this long. */
+        const val FULL_MACHINE_BACKOFF_MS = 3000L
 
-        /** A job whose start a worker refused waits so long. */
-        const val REFUSED_START_MS = 2000L
+        /** A job is not placed for this long after a worker rejected a start of it for any other reason. */
+        const val REJECTED_START_BACKOFF_MS = 2000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -13,13 +13,13 @@
 import java.util.BitSet
 
 /**
- * Owns what is known of attempts: reserved, marker persisted, start sent, on a machine, exited. Reconciles it with
- * heartbeats: an attempt is resolved, and its task free to be placed again, only on proof that it runs nowhere and
- * never will.
+ * Owns the state of attempts: reserved, marker persisted, start sent, on a machine, exited. Reconciles it with
+ * heartbeats. An attempt is resolved, and its task can be placed again, only on proof that the attempt does not run
+ * anywhere and will not start later.
  *
- * This is the one entry to the parts that keep attempts. [DispatchLog] calls it for reservations and markers,
- * [HeartbeatHandler] and [WorkerCommandSender] for heartbeats, and the controller's event dispatcher when machines are
- * gone or outcomes are recorded. It publishes [AttemptEvents].
+ * This class is the only entry point to the code that tracks attempts. [DispatchLog] calls it for reservations and
+ * markers, [HeartbeatHandler] and [WorkerCommandSender] for heartbeats, and the controller's event dispatcher when
+ * machines are gone or outcomes are recorded. It publishes [AttemptEvents].
  */
 class AttemptReconciler(
     context: CoreContext,
@@ -34,7 +34,7 @@
 
     fun clear() = reservations.clear()
 
-    /** CPUs held by attempts that were given to jobs that had been passed over. */
+    /** See [AttemptReservations.creditCpus]. */
     val creditCpus: Double get() = reservations.creditCpus
 
     /** See [AttemptReservations.reserve]. */
@@ -63,23 +63,25 @@
     /** See [AttemptOutcomes.onCompletionsRecorded]. */
     fun onOutcomesRecorded(job: OpenJob, done: BitSet) = outcomes.onCompletionsRecorded(job, done)
 
-    /** Everything on [machine] is certainly gone: it was deleted, its lease expired, or a new epoch has begun. */
-    fun onMachineGone(machine: Machine) = resolveEnded(machine, inherited = true)
+    /** All attempts on [machine] are confirmed absent: the machine was deleted or its lease expired. */
+    fun onMachineGone(machine: Machine) = resolveAttempts(machine, includeInherited = true)
 
     /**
-     * [machine] is in a new epoch, which ends what was in the one before. That says nothing of what an earlier leader
-     * started: while the epoch that we knew is only known from heartbeats of before our fencing token, old copies
-     * among them, its starts may be in the new one. An earlier version took them for gone, and they ran twice.
+     * [machine] began a new epoch, which ends the attempts of the previous one. Attempts of earlier leaders are
+     * resolved only if [knewCurrentFencingToken], that is, if the machine had shown this leader's fencing token before.
+     * Otherwise the previous epoch is known only from heartbeats sent before that token, possibly delayed copies, and
+     * an earlier leader's starts may run in the new epoch. An earlier version resolved those attempts too, and their
+     * tasks ran twice.
      */
-    fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) =
-        resolveEnded(machine, inherited = knewOurFencingToken)
+    fun onNewEpoch(machine: Machine, knewCurrentFencingToken: Boolean) =
+        resolveAttempts(machine, includeInherited = knewCurrentFencingToken)
 
-    /** Resolves what an end of [machine]'s epoch ends; of [inherited] attempts only when that is proof of theirs. */
-    private fun resolveEnded(machine: Machine, inherited: Boolean) {
+    /** Resolves the attempts on [machine] after its epoch ended; inherited ones only if [includeInherited]. */
+    private fun resolveAttempts(machine: Machine, includeInherited: Boolean) {
         for (attempt in ArrayList(machine.attempts)) {
-            if (attempt.phase == Attempt.Phase.MARKER_PENDING) continue // its marker decides: see onMarkersPersisted
-            if (attempt.inherited && !inherited) continue
-            // A completion that is being recorded does not need the machine.
+            if (attempt.phase == Attempt.Phase.MARKER_PENDING) continue // see onMarkersPersisted and onMarkersRejected
+            if (attempt.inherited && !includeInherited) continue
+            // The completion is still being recorded, for which the machine is not needed.
             if (attempt.phase == Attempt.Phase.EXITED && !attempt.outcomeRecorded) continue
             attempt.directStartConcluded()
             reservations.resolve(attempt)
@@ -87,13 +89,14 @@
     }
 
     /**
-     * Takes in a task list that is newer than all before it from this machine. Only one [fromHeartbeat] proves by
-     * silence that a start is not under way: the worker has one heartbeat in flight at a time, so it has taken or
-     * dropped every response before it. The reply to a direct command proves no such thing.
+     * Handles a task list that is newer than all earlier ones of this machine. Only absence from a list that comes
+     * [fromHeartbeat] proves that an attempt's start is not under way: the worker has one heartbeat in flight at a
+     * time, so it has handled or dropped every earlier response. Absence from the reply to a direct command does not
+     * prove this.
      */
     fun reconcile(machine: Machine, heartbeat: WorkerHeartbeat, fromHeartbeat: Boolean) {
         if (isUnchanged(machine, heartbeat)) return
-        val atOurFencingToken = heartbeat.fencingToken >= fencingToken()
+        val hasCurrentFencingToken = heartbeat.fencingToken >= fencingToken()
         val known = attemptsByIdentity(machine)
         val reported = HashMap<Attempt, TaskStatus>(heartbeat.tasks.size * 2)
         val unknown = ArrayList<TaskStatus>()
@@ -106,22 +109,25 @@
             if (task != null) {
                 onObserved(attempt, task)
             } else if (fromHeartbeat) {
-                onMissing(attempt, atOurFencingToken)
+                onMissing(attempt, hasCurrentFencingToken)
             }
         }
         machine.orphans = unknown.filter { !adoptOrphan(machine, it) }
         machine.reconciled = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
     }
 
-    /** Whether this says what the last heartbeat did and nothing waits for its silence: most do, so this is cheap. */
+    /**
+     * Whether the heartbeat lists the same tasks as the last one and all attempts are among them. This holds for most
+     * heartbeats, so the check is cheap.
+     */
     private fun isUnchanged(machine: Machine, heartbeat: WorkerHeartbeat): Boolean =
         heartbeat.tasks === machine.reconciled &&
             heartbeat.tasks.size == machine.attempts.size &&
             machine.attempts.all { it.onMachine }
 
     /**
-     * Attempts are distinguished by all that names them. An earlier version mixed it into one number; where two came
-     * out the same, the one's completion was taken for the other's.
+     * Attempts are identified by job, index and number. An earlier version combined the three into one number; when two
+     * attempts got the same one, the completion of one counted for the other.
      */
     private fun attemptsByIdentity(machine: Machine): Map<Identity, Attempt> {
         val known = HashMap<Identity, Attempt>(machine.attempts.size * 2)
@@ -131,29 +137,29 @@
         return known
     }
 
-    /** A heartbeat of the attempt's machine does not list it. */
-    private fun onMissing(attempt: Attempt, atOurFencingToken: Boolean) {
+    /** A heartbeat of the attempt's machine does not list the attempt. */
+    private fun onMissing(attempt: Attempt, hasCurrentFencingToken: Boolean) {
         when (attempt.phase) {
             Attempt.Phase.MARKER_PENDING, Attempt.Phase.MARKER_PERSISTED -> Unit
-            Attempt.Phase.START_SENT -> onStartMissing(attempt, atOurFencingToken)
+            Attempt.Phase.START_SENT -> onStartMissing(attempt, hasCurrentFencingToken)
             Attempt.Phase.EXITED -> if (attempt.outcomeRecorded) reservations.resolve(attempt)
             Attempt.Phase.FETCHING, Attempt.Phase.RUNNING, Attempt.Phase.SAVING -> {
-                val provesAbsence = atOurFencingToken || !attempt.inherited
+                val provesAbsence = hasCurrentFencingToken || !attempt.inherited
                 if (!attempt.directStartUnresolved && provesAbsence) reservations.resolve(attempt)
             }
         }
     }
 
-    private fun onStartMissing(attempt: Attempt, atOurFencingToken: Boolean) {
+    private fun onStartMissing(attempt: Attempt, hasCurrentFencingToken: Boolean) {
         when {
-            attempt.directStartUnresolved -> Unit // the start may still be under way
-            // At our fencing token an older leader's start can no longer be obeyed.
-            attempt.inherited -> if (atOurFencingToken) reservations.resolve(attempt)
-            else -> attempt.startDropped() // the response was dropped, and stays dropped
+            attempt.directStartUnresolved -> Unit // the direct start may still be carried out
+            // A worker that has seen this leader's fencing token rejects starts of earlier leaders.
+            attempt.inherited -> if (hasCurrentFencingToken) reservations.resolve(attempt)
+            else -> attempt.startDropped() // the worker has not handled the response and will not do so later
         }
     }
 
-    /** The attempt's machine lists it. */
+    /** The attempt's machine lists the attempt. */
     private fun onObserved(attempt: Attempt, task: TaskStatus) {
         when (task.phase) {
             TaskStatus.Phase.FETCHING -> lifecycle.onPhaseObserved(attempt, Attempt.Phase.FETCHING)
@@ -165,7 +171,10 @@
         if (attempt.job.image >= 0) attempt.machine.images.add(attempt.job.image)
     }
 
-    /** Takes over a task on [machine] that no marker of ours explains; false if it is only to be removed. */
+    /**
+     * Starts to track a task on [machine] that matches no known attempt; false if the worker is to stop or forget it
+     * instead.
+     */
     private fun adoptOrphan(machine: Machine, task: TaskStatus): Boolean {
         val job = jobs.find(task.jobId)?.open ?: return false
         if (task.index >= job.spec.tasks) return false
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
@@ -8,16 +8,16 @@
 import org.chalkhollow.core.jobs.Quotas
 
 /**
- * Owns what attempts hold: room on their machine, their part of the team's limit, their task, and the marker that lists
- * them. Each is taken once, by a reservation, and given back once: by the exit or, without one, when the attempt is
- * resolved. Called by the other parts of [AttemptReconciler].
+ * Owns what attempts occupy: capacity of their machine, a part of the team's quota, their task, and the marker that
+ * lists them. Each is taken once, by a reservation, and returned once: at the exit or, if no exit is seen, when the
+ * attempt is resolved. Called by the other parts of [AttemptReconciler].
  */
 internal class AttemptReservations(
     private val context: CoreContext,
     private val quotas: Quotas,
     private val events: AttemptEvents,
 ) {
-    /** CPUs held by attempts that were given to jobs that had been passed over. */
+    /** CPUs that attempts occupy on the credit of their jobs, see `StarvationPrevention`; replicas do not count. */
     var creditCpus = 0.0
         private set
 
@@ -25,7 +25,7 @@
         creditCpus = 0.0
     }
 
-    /** An attempt that a placement round has decided on; it is started once [marker] is durable. */
+    /** Reserves an attempt that a placement round has decided on. It is started once [marker] is durable. */
     fun reserve(
         job: OpenJob,
         index: Int,
@@ -34,16 +34,16 @@
         marker: DispatchMarker?,
         fromCredit: Boolean,
     ): Attempt {
-        // A replica never ends: what it is given would be missing from the share of passed over work for good.
+        // A replica never ends by itself, so other starved jobs would lose its part of the credit for good.
         val countsAsCredit = fromCredit && !job.service
-        return hold(Attempt(job, index, number, machine, marker, countsAsCredit, inherited = false, context.steady))
+        return occupy(Attempt(job, index, number, machine, marker, countsAsCredit, inherited = false, context.steady))
     }
 
-    /** An attempt that an earlier leader may have started. */
+    /** Reserves an attempt that an earlier leader may have started. */
     fun reserveInherited(job: OpenJob, index: Int, number: Long, machine: Machine, marker: DispatchMarker?): Attempt =
-        hold(Attempt(job, index, number, machine, marker, fromCredit = false, inherited = true, context.steady))
+        occupy(Attempt(job, index, number, machine, marker, fromCredit = false, inherited = true, context.steady))
 
-    private fun hold(attempt: Attempt): Attempt {
+    private fun occupy(attempt: Attempt): Attempt {
         val job = attempt.job
         if (attempt.fromCredit) creditCpus += job.taskResources.cpus
         attempt.machine.attempts.add(attempt)
@@ -54,7 +54,10 @@
         return attempt
     }
 
-    /** The attempt is on its machine no more: others may have its room, and its task is ready unless it is done. */
+    /**
+     * The attempt is no longer on its machine: frees its capacity and quota. Its task is pending again unless the task
+     * is done or has another attempt.
+     */
     fun release(attempt: Attempt) {
         val job = attempt.job
         if (attempt.running) job.tasks.runEnded()
@@ -65,7 +68,7 @@
         job.tasks.attemptReleased(attempt.index)
     }
 
-    /** The attempt runs nowhere and never will: nothing is known of it from now on. */
+    /** The attempt does not run anywhere and will not start later: stops tracking it. */
     fun resolve(attempt: Attempt) {
         if (attempt.resolved) return
         if (attempt.phase != Attempt.Phase.EXITED) release(attempt)
@@ -74,7 +77,7 @@
         if (!attempt.outcomeRecorded) releaseMarker(attempt)
     }
 
-    /** The attempt's outcome is durable, or needs no record: its worker may forget it. */
+    /** The attempt's outcome is durable or needs no record: the worker may forget the attempt. */
     fun outcomeRecorded(attempt: Attempt) {
         if (attempt.outcomeRecorded) return
         attempt.outcomeIsRecorded()
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -6,22 +6,24 @@
 import org.chalkhollow.model.TaskStatus
 
 /**
- * Decides what machines are to be commanded, by what [AttemptReconciler] knows of their attempts: starts are repeated
- * until they are seen, stops until they are obeyed. No attempt is started whose marker is not durable, and none is
- * forgotten that a late copy of its start could begin again. It keeps no state of its own. Called by [HeartbeatHandler]
- * and [WorkerCommandSender].
+ * Decides which commands machines get, by the state of their attempts in [AttemptReconciler]. Starts are repeated until
+ * the machine lists the attempt, stops until the attempt has exited. An attempt is started only if its marker is
+ * durable, and is not forgotten while a delayed copy of its start could start it again. Stateless. Called by
+ * [HeartbeatHandler] and [WorkerCommandSender].
  */
 class CommandPlanner(private val reconciler: AttemptReconciler) {
-    /** The commands in the response to [machine]'s heartbeat; no starts if the heartbeat is not its newest. */
+    /**
+     * Returns the commands for the response to [machine]'s heartbeat; without starts unless it is the newest heartbeat.
+     */
     fun commandsForResponse(machine: Machine, startsAllowed: Boolean): List<Command> {
         val commands = ArrayList<Command>()
-        for (attempt in ArrayList(machine.attempts)) { // a withdrawal removes its attempt
-            if (commands.size >= MAX_COMMANDS) break
+        for (attempt in ArrayList(machine.attempts)) { // copied, since firstStart may remove the attempt
+            if (commands.size >= MAX_COMMANDS_PER_RESPONSE) break
             commandFor(attempt, startsAllowed)?.let(commands::add)
         }
         for (task in machine.orphans) {
-            if (commands.size >= MAX_COMMANDS) break
-            commands.add(removal(task))
+            if (commands.size >= MAX_COMMANDS_PER_RESPONSE) break
+            commands.add(removeOrphan(task))
         }
         machine.orphans = emptyList()
         return commands
@@ -36,13 +38,13 @@
             Attempt.Phase.EXITED -> forget(attempt)
         }
 
-    /** Whether nobody waits for the attempt's outcome any more. */
-    private fun isUnwanted(attempt: Attempt): Boolean =
+    /** Whether the attempt's outcome is no longer needed: its job is cancelled or its task is done. */
+    private fun isNoLongerNeeded(attempt: Attempt): Boolean =
         attempt.job.cancelled || attempt.job.progress.isDone(attempt.index)
 
     private fun firstStart(attempt: Attempt, startsAllowed: Boolean): Command? {
         val machine = attempt.machine
-        if (isUnwanted(attempt) || machine.availability.draining || machine.availability.hasSpotNotice) {
+        if (isNoLongerNeeded(attempt) || machine.availability.draining || machine.availability.hasSpotNotice) {
             reconciler.withdraw(attempt)
             return null
         }
@@ -51,25 +53,22 @@
         return start(attempt)
     }
 
-    /**
-     * A direct start whose outcome is unknown is repeated by the responses to heartbeats; an earlier leader's is not
-     * ours.
-     */
+    /** Repeats this leader's direct start if its outcome is unknown; starts of earlier leaders are not repeated. */
     private fun repeatedStart(attempt: Attempt, startsAllowed: Boolean): Command? {
-        if (!startsAllowed || isUnwanted(attempt)) return null
+        if (!startsAllowed || isNoLongerNeeded(attempt)) return null
         return if (attempt.directStartUnresolved && !attempt.inherited) start(attempt) else null
     }
 
     private fun stopIfDue(attempt: Attempt): Command? =
         when {
-            isUnwanted(attempt) -> stop(attempt, 0.0)
+            isNoLongerNeeded(attempt) -> stop(attempt, 0.0)
             attempt.stopRequested -> stop(attempt)
             else -> null
         }
 
     fun start(attempt: Attempt) = Command.Start(attempt.job.spec.id, attempt.index, attempt.number)
 
-    /** Stops a task so that it saves its progress if it can; nobody has any use for that of a cancelled one. */
+    /** Stops a task with a grace period to save its progress; a cancelled task's progress is not needed. */
     fun stop(attempt: Attempt) =
         stop(attempt, if (attempt.job.cancelled) 0.0 else attempt.job.spec.saveS + SAVE_MARGIN_S)
 
@@ -77,10 +76,12 @@
         Command.Stop(attempt.job.spec.id, attempt.index, attempt.number, graceS)
 
     /**
-     * A worker that has forgotten an attempt begins it again when a copy of its start comes late, and what was stopped
-     * or cancelled would run unknown to us. So an attempt that this leader started directly is left to the next leader
-     * to forget, whose fencing token voids all copies, unless it was completed: then it ends as soon as it begins. An
-     * earlier version took the first answer for the last.
+     * Returns the command to forget an attempt, or null while the worker must remember it. A worker that has forgotten
+     * an attempt starts it again when a delayed copy of its start arrives, so a stopped or cancelled attempt would run
+     * without this leader's knowledge. Therefore an attempt that this leader started directly is left to the next
+     * leader to forget, whose fencing token invalidates all copies. A completed attempt of a job that is not cancelled
+     * can be forgotten at once, since it would end as soon as it started. An earlier version assumed that no copy
+     * arrives after the reply to the first.
      */
     private fun forget(attempt: Attempt): Command? {
         if (!attempt.outcomeRecorded || attempt.directStartUnresolved) return null
@@ -88,8 +89,8 @@
         return if (cannotRunAgain) Command.Forget(attempt.job.spec.id, attempt.index, attempt.number) else null
     }
 
-    /** Ends what no attempt of ours explains. */
-    private fun removal(task: TaskStatus): Command =
+    /** Stops or forgets a task that matches no known attempt. */
+    private fun removeOrphan(task: TaskStatus): Command =
         if (task.phase == TaskStatus.Phase.EXITED) {
             Command.Forget(task.jobId, task.index, task.attempt)
         } else {
@@ -97,10 +98,10 @@
         }
 
     private companion object {
-        /** More do not fit well into one response; the rest comes with the next. */
-        const val MAX_COMMANDS = 400
+        /** Limits the size of a response; the remaining commands are sent with the next one. */
+        const val MAX_COMMANDS_PER_RESPONSE = 400
 
-        /** Saving may take longer than its owner's estimate. */
+        /** Saving may take longer than the job's `saveS` estimate. */
         const val SAVE_MARGIN_S = 1.0
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchLog.kt
@@ -11,45 +11,45 @@
 import org.chalkhollow.settings.StateLimits
 
 /**
- * Owns the dispatch markers. A round's attempts are written down, as job, machine and index ranges in one value,
- * before any of them is started, so that a later leader knows what may run; a marker is removed once none of its
- * attempts needs it. Called for each placement round, while a new leader loads, and when an attempt needs its marker
- * no more.
+ * Owns the dispatch markers. Before any attempt of a placement round is started, the attempts are persisted in markers
+ * as job, machine and index ranges, so that a later leader knows what may run. A marker is removed once none of its
+ * attempts needs it. Called for each placement round, while a new leader loads, and when an attempt no longer needs its
+ * marker.
  */
 class DispatchLog(
     private val limits: StateLimits,
     private val reconciler: AttemptReconciler,
     private val fleet: Fleet,
 ) {
-    /** Keys of markers that no attempt needs any more. */
-    private val garbage = ArrayDeque<String>()
+    /** Keys of markers that no attempt needs. */
+    private val removableKeys = ArrayDeque<String>()
     private var fencingToken = 0L
-    private var round = 0L
+    private var markerCount = 0L
 
-    /** Most bytes of a marker: the state service's limit, or less when it has refused one. */
+    /** Size limit of a marker: the state service's limit, or less after it has rejected a marker. */
     private var maxMarkerBytes = limits.valueBytes
 
-    /** Attempt numbers under this fencing token are used up; the next token has new ones. */
-    val attemptNumbersExhausted: Boolean get() = round >= ROUNDS - 1
+    /** Whether all attempt numbers of this fencing token are used; the next token has new ones. */
+    val attemptNumbersExhausted: Boolean get() = markerCount >= MARKERS_PER_TOKEN - 1
 
     fun start(newFencingToken: Long) {
         fencingToken = newFencingToken
-        round = 0
+        markerCount = 0
         maxMarkerBytes = limits.valueBytes
-        garbage.clear()
+        removableKeys.clear()
     }
 
     /**
-     * Reserves what fits of [allocations] and gives the markers to write for it; null when nothing fits. What does not
-     * fit stays ready for the next round.
+     * Reserves the [allocations] that fit into [budget] and returns the write of their markers; null if none fits.
+     * Tasks that do not fit stay pending for the next round.
      */
-    fun prepareMarkerWrite(allocations: List<Allocation>, room: TransactionBudget): Write? {
-        val builder = DispatchMarkerBuilder(maxMarkerBytes, room.ops, room.bytes, ::nextMarker)
+    fun prepareMarkerWrite(allocations: List<Allocation>, budget: TransactionBudget): Write? {
+        val builder = DispatchMarkerBuilder(maxMarkerBytes, budget.ops, budget.bytes, ::nextMarker)
         val packed = builder.pack(allocations)
         if (packed.isEmpty()) return null
         val attempts = reserve(packed)
         return Write(packed.map { it.change() }, onRefused = {
-            if (packed.size == 1) lowerMarkerLimit() // else there were too many
+            if (packed.size == 1) lowerMarkerLimit() // with several markers, their number was too high
             reconciler.onMarkersRejected(attempts)
         }) {
             raiseMarkerLimit()
@@ -79,8 +79,11 @@
 
     private fun nextMarker(): DispatchMarker? {
         if (attemptNumbersExhausted) return null
-        round++
-        return DispatchMarker(DispatchMarkerRecord.key(fencingToken, round), fencingToken * ROUNDS + round)
+        markerCount++
+        return DispatchMarker(
+            DispatchMarkerRecord.key(fencingToken, markerCount),
+            fencingToken * MARKERS_PER_TOKEN + markerCount,
+        )
     }
 
     private fun lowerMarkerLimit() {
@@ -92,25 +95,25 @@
         maxMarkerBytes = minOf(limits.valueBytes, maxMarkerBytes + maxMarkerBytes / GROWTH_DIVISOR)
     }
 
-    /** One of [marker]'s attempts needs it no more. */
+    /** One of the attempts that [marker] lists no longer needs it. */
     fun onMarkerReleased(marker: DispatchMarker) {
-        if (marker.release()) garbage.add(marker.key)
+        if (marker.release()) removableKeys.add(marker.key)
     }
 
-    /** Removes one marker that no attempt needs any more. */
-    fun nextMarkerRemoval(room: TransactionBudget): Write? {
-        if (room.ops < 1) return null
-        val key = garbage.removeFirstOrNull() ?: return null
-        return Write(listOf(Change(key, null)), onRefused = { garbage.add(key) }) {}
+    /** Returns the write that removes one marker that no attempt needs, or null if there is none. */
+    fun nextMarkerRemoval(budget: TransactionBudget): Write? {
+        if (budget.ops < 1) return null
+        val key = removableKeys.removeFirstOrNull() ?: return null
+        return Write(listOf(Change(key, null)), onRefused = { removableKeys.add(key) }) {}
     }
 
     /**
-     * Takes in an earlier leader's marker: the outcome of its attempts is unknown until their machines tell, or are
-     * gone.
+     * Loads an earlier leader's marker. The outcome of its attempts is unknown until heartbeats of their machines show
+     * it, or the machines are gone.
      */
     fun load(stored: KeyValue, jobs: JobTable) {
         val marker = DispatchMarker(stored.key, DispatchMarkerRecord.number(stored))
-        marker.hold() // until the whole marker is read
+        marker.hold() // until all rows are read
         for (row in DispatchMarkerRecord.rows(stored)) {
             val job = jobs.findForMarker(row.jobId) ?: continue
             val machine = fleet.getOrAdd(row.machineName)
@@ -123,10 +126,13 @@
     }
 
     private companion object {
-        /** A fencing token has attempt numbers for so many rounds. */
-        const val ROUNDS = 1L shl 16
+        /** Number of markers, each with an attempt number of its own, under one fencing token. */
+        const val MARKERS_PER_TOKEN = 1L shl 16
 
-        /** After a refusal markers grow again by this part each time. */
+        /**
+         * After a rejection, each successful write raises the size limit by one part in this many, up to the full
+         * limit.
+         */
         const val GROWTH_DIVISOR = 16
         const val MIN_MARKER_BYTES = 512
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilder.kt
@@ -5,24 +5,24 @@
 import org.chalkhollow.model.Change
 
 /**
- * Packs one placement round's allocations into dispatch markers, in order, within the limits of a value and of the
- * transaction. What does not fit is left out and stays ready for the next round. A gang is in one marker whole or not
- * at all. Used by [DispatchLog] for one round and then dropped.
+ * Packs one placement round's allocations into dispatch markers, in order, within the size limits of a value and of the
+ * transaction. Allocations that do not fit are left out, and their tasks stay pending for the next round. All rows of a
+ * gang are in one marker, or none is. Used by [DispatchLog] for one round and then discarded.
  */
 internal class DispatchMarkerBuilder(
     private val maxMarkerBytes: Int,
     private val maxMarkers: Int,
     private val maxBytes: Int,
-    /** Makes the next marker, or gives null when this leader's attempt numbers are used up. */
+    /** Creates the next marker; returns null when this leader's attempt numbers are used up. */
     private val nextMarker: () -> DispatchMarker?,
 ) {
-    /** A marker with the allocations that it lists. */
+    /** A marker and the allocations that it lists. */
     class PackedMarker(val marker: DispatchMarker) {
         val allocations = ArrayList<Allocation>()
         private val rows = ArrayList<DispatchMarkerRecord.Row>()
 
-        /** What it takes as a stored value. */
-        var bytes = BASE_BYTES
+        /** Size as a stored value. */
+        var bytes = MARKER_OVERHEAD_BYTES
             private set
 
         fun add(allocation: Allocation, row: DispatchMarkerRecord.Row, rowBytes: Int) {
@@ -36,7 +36,7 @@
 
     private val packed = ArrayList<PackedMarker>()
 
-    /** The marker that takes further allocations; null where the next one starts a marker of its own. */
+    /** The marker that further allocations are added to; null if the next allocation starts a new marker. */
     private var current: PackedMarker? = null
     private var totalRowBytes = 0
 
@@ -62,27 +62,32 @@
         return bytes
     }
 
-    /** A gang whose rows do not all fit waits for a round of its own. */
+    /**
+     * Whether the rows of [gang] exceed a marker or half of the bytes left in the transaction. Such a gang is left for
+     * another round, without holding up the allocations after it.
+     */
     private fun isTooLargeGang(gang: OpenJob): Boolean = markerBytes(gang) > minOf(maxMarkerBytes, maxBytes / 2)
 
-    private fun markerBytes(gang: OpenJob): Int = gangBytes.getValue(gang) + BASE_BYTES
+    private fun markerBytes(gang: OpenJob): Int = gangBytes.getValue(gang) + MARKER_OVERHEAD_BYTES
 
-    /** Adds [allocation] or leaves it out; false when no later one fits either, or may be tried before it. */
+    /**
+     * Adds [allocation] or leaves it out. Returns false if no later one fits either, or may be added before this one.
+     */
     private fun add(allocation: Allocation): Boolean {
         val job = allocation.job
         if (job.gang && currentGang !== job && !beginGang(job)) return false
         val row = DispatchMarkerRecord.Row.of(allocation)
         val rowBytes = row.bytes
-        if (rowBytes + BASE_BYTES > maxMarkerBytes) return true
+        if (rowBytes + MARKER_OVERHEAD_BYTES > maxMarkerBytes) return true
         if (current.let { it != null && it.bytes + rowBytes > maxMarkerBytes }) current = null
-        if (totalRowBytes + rowBytes + BASE_BYTES > maxBytes) return false
+        if (totalRowBytes + rowBytes + MARKER_OVERHEAD_BYTES > maxBytes) return false
         val target = current ?: newMarker() ?: return false
         target.add(allocation, row, rowBytes)
         totalRowBytes += rowBytes
         return true
     }
 
-    /** A gang starts a marker of its own, so that it cannot be cut by a full one. */
+    /** Starts a new marker for [gang], so that its rows are not split over two. Returns false if they do not fit. */
     private fun beginGang(gang: OpenJob): Boolean {
         currentGang = gang
         current = null
@@ -99,7 +104,7 @@
     }
 
     private companion object {
-        /** What a marker takes beside its rows. */
-        const val BASE_BYTES = 160
+        /** Size of a marker without its rows. */
+        const val MARKER_OVERHEAD_BYTES = 160
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerRecord.kt
@@ -6,21 +6,21 @@
 import org.chalkhollow.wire.MalformedMessageException
 
 /**
- * The stored form of a dispatch marker: the number that its attempts have in common, and which tasks may have been
- * started where. Written by [DispatchMarkerBuilder] and read by [DispatchLog]. Markers of all versions must be
- * readable, so the form is fixed.
+ * The stored form of a dispatch marker: the attempt number that its attempts share, and which tasks may have been
+ * started on which machines. Written by [DispatchMarkerBuilder] and read by [DispatchLog]. Markers written by any
+ * version must be readable, so the format is fixed.
  */
 object DispatchMarkerRecord {
     const val PREFIX = "mark/"
     private const val NUMBER = "n"
     private const val ROWS = "a"
 
-    /** Keys of markers are listed in the order of their fencing tokens. */
+    /** Zero-padding lists the keys of markers in the order of their fencing tokens. */
     private const val FENCING_TOKEN_DIGITS = 12
 
     /** Tasks of one job on one machine, as [IndexRanges]. */
     class Row(val jobId: String, val machineName: String, val ranges: String) {
-        /** What the row takes in a stored value, never too low. */
+        /** Upper bound of the row's size in a stored value. */
         val bytes: Int get() = EncodedSize.of(encode()) + SEPARATOR_BYTES
 
         fun encode(): List<Any?> = listOf(jobId, machineName, ranges)
@@ -33,18 +33,18 @@
         }
     }
 
-    fun key(fencingToken: Long, round: Long): String =
-        PREFIX + fencingToken.toString().padStart(FENCING_TOKEN_DIGITS, '0') + "/" + round
+    fun key(fencingToken: Long, markerCount: Long): String =
+        PREFIX + fencingToken.toString().padStart(FENCING_TOKEN_DIGITS, '0') + "/" + markerCount
 
     fun encode(number: Long, rows: List<Row>): Map<String, Any?> =
         mapOf(NUMBER to number, ROWS to rows.map { it.encode() })
 
     fun number(stored: KeyValue): Long = fields(stored).long(NUMBER)
 
-    /** The rows of [stored] in their order, each read when it is asked for. */
+    /** The rows of [stored] in order, decoded lazily. */
     fun rows(stored: KeyValue): Sequence<Row> =
         fields(stored).list(ROWS).asSequence().map { item ->
-            val parts = item as? List<*> ?: throw MalformedMessageException("${stored.key} is not a dispatch marker")
+            val parts = item as? List<*> ?: throw MalformedMessageException("a row of ${stored.key} is not a list")
             Row(parts[0].toString(), parts[1].toString(), parts[2].toString())
         }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -12,9 +12,9 @@
 import org.chalkhollow.wire.WorkerCodec
 
 /**
- * Responds to workers' heartbeats. A response renews the lease of all that runs on a machine, so only an entitled
- * leader gives one; others redirect to the leader. It owns no state of the cluster. Called by the controller for each
- * heartbeat.
+ * Responds to workers' heartbeats. A response renews the lease of everything that runs on a machine, so only an
+ * entitled leader gives one; other controllers redirect the worker to the leader. Owns no state of the cluster. Called
+ * by the controller for each heartbeat.
  */
 class HeartbeatHandler(
     private val context: CoreContext,
@@ -25,9 +25,9 @@
     private val reconciler: AttemptReconciler,
     private val commandPlanner: CommandPlanner,
 ) {
-    private val redirects = settings.peers.map { Pack.encode(WorkerCodec.redirect(it.label)) }
+    private val redirectBodies = settings.peers.map { Pack.encode(WorkerCodec.redirect(it.label)) }
 
-    /** The encoded response without commands, which most are, and the fencing token that it names. */
+    /** The encoded response without commands, cached because most responses have none, and its fencing token. */
     private var emptyResponse = ByteArray(0)
     private var emptyResponseToken = -1L
 
@@ -51,7 +51,7 @@
         context.respond(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
     }
 
-    /** A heartbeat that was not read: it came while this controller did not lead. */
+    /** Redirects a heartbeat that was not parsed, because it arrived while this controller did not lead. */
     fun onUnparsedHeartbeat(call: Int) {
         leadership.heartbeatTraffic.received(context.steady)
         redirect(call)
@@ -68,6 +68,6 @@
     private fun redirect(call: Int) {
         val leader = leadership.reachableLeader()
         if (leader < 0) return context.respond(call, HttpStatus.UNAVAILABLE)
-        context.respond(call, HttpStatus.MISDIRECTED, redirects[leader])
+        context.respond(call, HttpStatus.MISDIRECTED, redirectBodies[leader])
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -17,44 +17,45 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns the commands that go straight to workers, beside the responses to their heartbeats: starts as soon as their
- * marker is durable, stops, and probes whether our messages reach a machine. One without a reply may be carried out as
- * long as our fencing token holds, so the outcome of its attempt stays unknown until the attempt is in a heartbeat, its
- * machine's epoch ends, or the fencing token is advanced. At most one call with commands is under way to a machine.
- * Called when starts are ready, placement preempts or a job is cancelled, and periodically while this controller leads.
+ * Owns the commands that are sent directly to workers, in addition to the responses to their heartbeats: starts as soon
+ * as their marker is durable, stops, and probes that show whether this leader's messages reach a machine. A command
+ * without a reply may be carried out as long as the worker knows no newer fencing token, so the outcome of its attempt
+ * stays unknown until a heartbeat lists the attempt, its machine's epoch ends, or the fencing token is advanced. At
+ * most one call with commands is in flight per machine. Called when starts are ready, when placement preempts, when a
+ * job is cancelled, and periodically while this controller leads.
  */
 class WorkerCommandSender(
     private val context: CoreContext,
     settings: PlatformSettings,
     private val leadership: Leadership,
-    private val log: StateWriter,
-    private val dispatch: DispatchLog,
+    private val stateWriter: StateWriter,
+    private val dispatchLog: DispatchLog,
     private val fleet: Fleet,
     private val reconciler: AttemptReconciler,
     private val commandPlanner: CommandPlanner,
 ) {
-    private val freshMs = (settings.heartbeatIntervalS * FRESH_HEARTBEATS * MS_PER_S).toLong()
-    private var fencingTokenAdvancedAt = context.steady
+    private val maxHeartbeatAgeMs = (settings.heartbeatIntervalS * MAX_HEARTBEAT_AGE_INTERVALS * MS_PER_S).toLong()
+    private var fencingTokenAdvancedAtMs = context.steady
 
-    /** Replies to what was sent in an earlier term mean nothing any more. */
+    /** Counts the starts and ends of leader terms; replies to calls of an earlier term are dropped. */
     private var term = 0
 
-    /** This controller begins to lead, or has stopped. */
+    /** This controller has become or ceased to be leader. */
     fun newTerm() {
         term++
     }
 
     /**
-     * Stops, and starts whose marker has just become durable, go straight to the worker; the response to its next
-     * heartbeat repeats them. A direct command costs many times a response, so short of processor time starts are left
-     * to those.
+     * Sends stops, and starts whose marker is durable, directly to the worker; the response to its next heartbeat
+     * repeats them. A direct command takes many times the processor time of a heartbeat response, so under overload
+     * starts are left to the responses.
      */
     fun send(machine: Machine) {
         if (!leadership.entitled() || !canSendTo(machine)) return
         val starts = if (context.overload.overloaded) emptyList() else machine.attempts.filter(::mayStart)
         val stops = machine.attempts.filter(::mayStop)
         if (starts.isEmpty() && stops.isEmpty()) return
-        for (attempt in stops) attempt.stopSentDirectly() // once; responses to heartbeats repeat it
+        for (attempt in stops) attempt.stopSentDirectly() // only once; responses to heartbeats repeat it
         for (attempt in starts) attempt.startSentDirectly()
         machine.commandInFlight = true
         machine.reachability.recordProbe(context.steady)
@@ -71,19 +72,19 @@
 
     private fun canSendTo(machine: Machine): Boolean {
         if (machine.commandInFlight || machine.address.isEmpty() || machine.lease.epoch == 0L) return false
-        return machine.reachability.reachable && context.steady - machine.lease.heartbeatAt <= freshMs
+        return machine.reachability.reachable && context.steady - machine.lease.heartbeatAt <= maxHeartbeatAgeMs
     }
 
     /**
-     * What is cancelled is stopped at once where few machines have it, else with the responses to their next
-     * heartbeats.
+     * Stops the attempts of a cancelled [job] directly on the first [MAX_CALLS] machines, and on the others with the
+     * responses to their next heartbeats.
      */
     fun stopAttempts(job: OpenJob) {
         val machines = fleet.machines.filter { machine -> machine.attempts.any { it.job === job && it.onMachine } }
         machines.take(MAX_CALLS).forEach(::send)
     }
 
-    /** Calls machines that our messages may not reach, without commands: a reply shows that they do. */
+    /** Calls machines that this leader's messages may not reach, without commands: a reply proves that they do. */
     fun probeUnconfirmedMachines() {
         var callsLeft = MAX_CALLS
         for (machine in fleet.machines) {
@@ -119,11 +120,11 @@
         if (reply is CommandReply.Executed) {
             onExecuted(machine, epoch, reply.heartbeat)
         } else {
-            onRefused(starts)
+            onNotExecuted(starts)
         }
     }
 
-    private fun onRefused(starts: List<Attempt>) {
+    private fun onNotExecuted(starts: List<Attempt>) {
         for (attempt in starts) {
             if (attempt.phase == Attempt.Phase.START_SENT && !attempt.resolved) attempt.startDropped()
         }
@@ -143,60 +144,67 @@
     }
 
     /**
-     * A direct start without a reply may be executed as long as our fencing token holds. When something waits for its
-     * outcome, the token is advanced by giving up the lead: no worker that has seen the new token obeys the old one.
+     * Steps down if attempt numbers are used up, or if the outcome of a direct start without a reply has to be
+     * resolved: the start may be executed as long as the worker knows no newer fencing token. Stepping down advances
+     * the token, and a worker that has seen the new token rejects commands with the old one.
      */
     fun advanceFencingTokenIfNeeded() {
-        if (dispatch.attemptNumbersExhausted) return leadership.stepDown(StepDownReason.Own.ATTEMPT_NUMBERS_EXHAUSTED)
-        val advancedLately = context.steady - fencingTokenAdvancedAt < MIN_ADVANCE_INTERVAL_MS
-        if (log.slow() || advancedLately) return quarantineStuck()
-        if (fleet.machines.none { waitsForNewToken(it) || keepsTooMany(it) }) return
-        fencingTokenAdvancedAt = context.steady
+        if (dispatchLog.attemptNumbersExhausted) {
+            return leadership.stepDown(StepDownReason.Own.ATTEMPT_NUMBERS_EXHAUSTED)
+        }
+        val advancedRecently = context.steady - fencingTokenAdvancedAtMs < MIN_ADVANCE_INTERVAL_MS
+        if (stateWriter.slow() || advancedRecently) return quarantineStuckMachines()
+        if (fleet.machines.none { needsNewToken(it) || hasTooManyFinished(it) }) return
+        fencingTokenAdvancedAtMs = context.steady
         leadership.stepDown(StepDownReason.Own.UNANSWERED_COMMANDS)
     }
 
-    private fun keepsTooMany(machine: Machine): Boolean =
-        machine.attempts.size > MAX_FINISHED && machine.attempts.count { it.finished } > MAX_FINISHED
+    private fun hasTooManyFinished(machine: Machine): Boolean =
+        machine.attempts.size > MAX_FINISHED_ATTEMPTS && machine.attempts.count { it.finished } > MAX_FINISHED_ATTEMPTS
 
-    private fun waitsForNewToken(machine: Machine): Boolean =
+    private fun needsNewToken(machine: Machine): Boolean =
         machine.state == Machine.State.UP &&
-            machine.attempts.any { outcomeUnknownForLong(it) && (mayYetRunCancelled(it) || it.finished) }
+            machine.attempts.any { isOutcomeOverdue(it) && (mayStillStartCancelled(it) || it.finished) }
 
-    private fun outcomeUnknownForLong(attempt: Attempt): Boolean =
+    private fun isOutcomeOverdue(attempt: Attempt): Boolean =
         attempt.directStartUnresolved && context.steady - attempt.progressAt > MAX_OUTCOME_UNKNOWN_MS
 
-    /** Whether [attempt] is cancelled, and its start without a reply may still be carried out. */
-    private fun mayYetRunCancelled(attempt: Attempt): Boolean =
+    /** Whether the job of [attempt] is cancelled, and a start that was sent may still be carried out. */
+    private fun mayStillStartCancelled(attempt: Attempt): Boolean =
         attempt.phase == Attempt.Phase.START_SENT && attempt.job.cancelled
 
     /**
-     * The fencing token cannot be advanced while nothing can be written, and giving up the lead then would cost every
-     * machine its lease; an earlier version did. Nor is it advanced again and again. A cancelled task's start that may
-     * still be carried out ends with the epoch of its machine alone, so that one is answered no more.
+     * Handles cancelled starts while the fencing token is not advanced: stepping down while writes are slow or fail
+     * would cost every machine its lease, as in an earlier version, and the token is advanced at most every
+     * [MIN_ADVANCE_INTERVAL_MS]. Only the end of the machine's epoch then rules out that the start is carried out, so
+     * the machine's heartbeats are not responded to until its lease expires.
      */
-    private fun quarantineStuck() {
+    private fun quarantineStuckMachines() {
         for (machine in fleet.machines) {
             if (machine.availability.quarantined || machine.state != Machine.State.UP) continue
-            if (machine.attempts.none { outcomeUnknownForLong(it) && mayYetRunCancelled(it) }) continue
-            context.info("${machine.name} is quarantined until its lease expires: it may yet start what was cancelled")
+            if (machine.attempts.none { isOutcomeOverdue(it) && mayStillStartCancelled(it) }) continue
+            context.info("${machine.name} is quarantined until its lease expires: it may still start a cancelled task")
             machine.availability.quarantine()
         }
     }
 
     private companion object {
-        /** The lead is not given up more often than this to advance the fencing token. */
+        /** Least time between two step-downs that advance the fencing token. */
         const val MIN_ADVANCE_INTERVAL_MS = 20_000L
 
-        /** A direct start without a reply is waited for so long. */
+        /** How long the outcome of a direct start may stay unknown before it has to be resolved. */
         const val MAX_OUTCOME_UNKNOWN_MS = 6000L
 
-        /** A machine that has missed so many heartbeats is not sent anything. */
-        const val FRESH_HEARTBEATS = 2
+        /** A machine whose last heartbeat is older than this many heartbeat intervals is not sent any commands. */
+        const val MAX_HEARTBEAT_AGE_INTERVALS = 2
 
-        /** More attempts that are over than this are not kept in a machine's heartbeats for want of a newer token. */
-        const val MAX_FINISHED = 200
+        /**
+         * With more finished attempts than this on one machine, the fencing token is advanced so that the worker can
+         * forget them and its heartbeats get shorter.
+         */
+        const val MAX_FINISHED_ATTEMPTS = 200
 
-        /** Each takes a connection; those that are left out are called the next time. */
+        /** Most direct calls at once, since each takes a connection. Probes beyond this wait for the next call. */
         const val MAX_CALLS = 20
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -10,50 +10,50 @@
 import java.util.BitSet
 
 /**
- * Writes completions of tasks: the end of a job at once, pages of its progress gathered for a while, since writes are
- * few. What a write holds is copied when it is made; tasks that complete later are in a later write. Emptied by the
- * [StateWriter].
+ * Writes completions of tasks. A job's completion is written at once; progress pages are batched for [PAGE_BATCH_MS],
+ * since the write rate is limited. A write holds a copy of the progress from when it was created; tasks
+ * that complete later go into a later write. Called by the [StateWriter].
  */
 class CompletionWriter(
     private val context: CoreContext,
     private val jobs: JobTable,
     private val events: JobEvents,
-    /** Called when tasks' completions are durable, so that workers may forget them. */
+    /** Called when completions of tasks are durable, so that workers may forget the attempts. */
     private val onCompletionsDurable: (OpenJob, BitSet) -> Unit,
 ) {
-    fun next(room: TransactionBudget): Write? {
-        if (room.ops < 1) return null
-        // Users wait for the end of a job; pages only spare a later leader some work, and can wait behind it.
-        var gathered: OpenJob? = null
+    fun next(budget: TransactionBudget): Write? {
+        if (budget.ops < 1) return null
+        // Users wait for the completion of a job; pages only save a later leader some work, so they come after it.
+        var batchedJob: OpenJob? = null
         for (job in jobs.open) {
             if (job.cancelling || !job.pages.mayWrite(context.steady)) continue
-            if (job.complete) return jobCompletion(job, room)
-            if (gathered == null && context.steady - job.pages.dirtySince >= GATHER_MS) gathered = job
+            if (job.complete) return jobCompletion(job, budget)
+            if (batchedJob == null && context.steady - job.pages.dirtySince >= PAGE_BATCH_MS) batchedJob = job
         }
-        return gathered?.let { nextPage(it, room) }
+        return batchedJob?.let { nextPage(it, budget) }
     }
 
-    private fun jobCompletion(job: OpenJob, room: TransactionBudget): Write? {
+    private fun jobCompletion(job: OpenJob, budget: TransactionBudget): Write? {
         val done = job.progress.snapshot()
         val change = Change(JobRecord.key(job.spec.id), JobRecord.encodeDone(job.spec))
-        val onRefused = { job.pages.completionRefused(retryAt = context.steady + REJECTED_RETRY_MS) }
+        val onRejected = { job.pages.completionRefused(retryAt = context.steady + REJECTED_RETRY_MS) }
         val write =
-            Write(listOf(change), onRefused) {
+            Write(listOf(change), onRejected) {
                 job.pages.completionWritten()
                 jobs.end(job, JobState.DONE)
                 onCompletionsDurable(job, done)
                 events.onJobDone(job)
             }
-        if (!write.fits(room)) return null
+        if (!write.fits(budget)) return null
         job.pages.completionSent()
         return write
     }
 
-    private fun nextPage(job: OpenJob, room: TransactionBudget): Write? {
+    private fun nextPage(job: OpenJob, budget: TransactionBudget): Write? {
         val page = job.pages.nextToWrite()
         if (page < 0) return null
         val write = pageWrite(job, page)
-        if (!write.fits(room)) return null
+        if (!write.fits(budget)) return null
         job.pages.pageSent(page, context.steady)
         return write
     }
@@ -63,8 +63,8 @@
         val done = job.progress.slice(firstTask, job.pages.firstTask(page + 1))
         val key = ProgressPageRecord.key(job.spec.id, firstTask)
         val change = Change(key, ProgressPageRecord(firstTask, done).encode())
-        val onRefused = { job.pages.pageRefused(page, retryAt = context.steady + REJECTED_RETRY_MS) }
-        return Write(listOf(change), onRefused) {
+        val onRejected = { job.pages.pageRefused(page, retryAt = context.steady + REJECTED_RETRY_MS) }
+        return Write(listOf(change), onRejected) {
             job.pages.pageWritten(page)
             if (job.entry.state != JobState.OPEN) jobs.garbage.collect(key)
             onCompletionsDurable(job, shifted(done, firstTask))
@@ -78,6 +78,6 @@
     }
 
     private companion object {
-        const val GATHER_MS = 1500L
+        const val PAGE_BATCH_MS = 1500L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobRecord.kt
@@ -7,23 +7,23 @@
 import org.chalkhollow.wire.UserCodec
 
 /**
- * What the state service stores of a job, under `job/` and its id. Both directions of the form stand here and nowhere
- * else: records of earlier versions have to be read, and later versions read ours.
+ * What the state service stores about a job, under `job/` and its id. The format is encoded and decoded only here: it
+ * must be able to read records of earlier versions, and later versions read the records that it writes.
  */
 internal sealed interface JobRecord {
-    /** A job that is accepted, and neither done nor cancelled. */
+    /** An accepted job that is neither done nor cancelled. */
     class Open(val spec: JobSpec, private val fields: Fields) : JobRecord {
-        /** When the job was accepted, by the time of day; fails when the record does not say. */
+        /** Wall-clock time at which the job was accepted; throws if the record does not contain it. */
         fun acceptedWallMs(): Long = fields.long(ACCEPTED_AT)
     }
 
     class Done(val tasks: Int) : JobRecord
 
-    /** A cancelled job. Where its tasks may run is known only if the record says what they are. */
+    /** A cancelled job. Its attempts that may still be on machines can be tracked only if the record [hasSpec]. */
     class Cancelled(val tasks: Int, private val storedSpec: Any?, private val key: String) : JobRecord {
         val hasSpec: Boolean get() = storedSpec != null
 
-        /** What the job was; fails when the record does not say, or says it in a way that cannot be read. */
+        /** The job's spec; throws if the record has none or one that cannot be decoded. */
         fun readSpec(): JobSpec = UserCodec.storedJob(Fields.of(storedSpec, key))
     }
 
@@ -38,8 +38,8 @@
         private const val CANCELLED = "cancelled"
         private const val MACHINE_TYPES = "flavours"
 
-        /** Fields of a job that matter only where its tasks are placed. */
-        private val PLACEMENT_ONLY = setOf("bundle", "pullGb", "site", "dueS")
+        /** Fields of a job that are needed only to place its tasks. */
+        private val PLACEMENT_ONLY_FIELDS = setOf("bundle", "pullGb", "site", "dueS")
 
         fun key(jobId: String): String = KEY_PREFIX + jobId
 
@@ -60,8 +60,9 @@
         fun encodeDone(spec: JobSpec): Map<String, Any?> = encodeEnd(DONE, spec)
 
         /**
-         * The forms of a cancelled job's record that fit into [maxBytes], the fullest first, or the smallest when none
-         * does. A cancelled job's tasks are only waited for, so where they may run can be left out.
+         * Returns the forms of a cancelled job's record that fit into [maxBytes], the most complete first, or only the
+         * smallest form if none fits. A cancelled job's tasks are no longer placed, so the fields for that can be left
+         * out.
          */
         fun encodeCancelled(spec: JobSpec, maxBytes: Int): List<Map<String, Any?>> {
             val smallest = encodeEnd(CANCELLED, spec)
@@ -71,7 +72,7 @@
                 listOf(
                     smallest + (SPEC to full),
                     smallest + (SPEC to withoutTypes),
-                    smallest + (SPEC to withoutTypes - PLACEMENT_ONLY),
+                    smallest + (SPEC to withoutTypes - PLACEMENT_ONLY_FIELDS),
                     smallest,
                 ).distinct()
             val first = forms.indexOfFirst { EncodedSize.of(it) <= maxBytes }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobTable.kt
@@ -15,16 +15,16 @@
 import org.chalkhollow.settings.StateLimits
 
 /**
- * Owns which jobs there are and the durable state of each: an entry for every job that was ever accepted, and an
- * [OpenJob] for those that are neither done nor cancelled. An entry changes its state only when the record that says so
- * is durable. Loaded by the controller when it becomes leader; jobs are accepted by `RequestHandler`, cancelled by
+ * Owns which jobs exist and the durable state of each: an entry for every job that was ever accepted, and an [OpenJob]
+ * for those that are neither done nor cancelled. An entry changes its state only when the record of the change is
+ * durable. Loaded by the controller when it becomes leader; jobs are accepted by `RequestHandler`, cancelled by
  * [JobCancellation] and completed by [CompletionWriter].
  */
 class JobTable(private val context: CoreContext, private val names: Interners, private val limits: StateLimits) {
     private val entries = ArrayList<JobEntry>()
     private val openJobs = LinkedHashSet<OpenJob>()
 
-    /** While loading: cancelled jobs whose tasks may still be on machines, built when a marker names them. */
+    /** While loading: cancelled jobs whose tasks may still be on machines, built when a dispatch marker names them. */
     private val cancelledJobs = HashMap<String, Lazy<OpenJob>>()
 
     val urgentWrites = UrgentWrites(context)
@@ -52,23 +52,23 @@
     fun recordFits(spec: JobSpec): Boolean = EncodedSize.of(JobRecord.encodeOpen(spec, 0)) <= limits.valueBytes
 
     /**
-     * Queues a new job for its durable record; [onAccepted] runs once it is accepted, [onRejected] when its record
-     * cannot be written.
+     * Queues the record of a new job. [onAccepted] runs when the record is durable, [onRejected] when the state service
+     * rejects it.
      */
     fun accept(spec: JobSpec, onRejected: () -> Unit, onAccepted: () -> Unit) {
         val entry = findOrAddEntry(spec.id, spec.tasks)
-        val wall = context.now.wall
-        val change = Change(JobRecord.key(spec.id), JobRecord.encodeOpen(spec, wall))
+        val wallMs = context.now.wall
+        val change = Change(JobRecord.key(spec.id), JobRecord.encodeOpen(spec, wallMs))
         urgentWrites.add(
             Write(listOf(change), onRejected) {
                 entry.accepted()
-                addOpenJob(entry, spec, wall)
+                addOpenJob(entry, spec, wallMs)
                 onAccepted()
             },
         )
     }
 
-    /** The record that [job] is done or cancelled is durable; the pages of its progress are needed no more. */
+    /** The record that [job] is done or cancelled is durable: ends the job and deletes its progress pages. */
     internal fun end(job: OpenJob, state: JobState) {
         job.entry.ended(state)
         openJobs.remove(job)
@@ -100,13 +100,13 @@
 
     // Loading
 
-    /** Takes in the record of a job that an earlier leader wrote. */
+    /** Loads the record of a job that an earlier leader wrote. */
     fun loadJob(row: KeyValue) {
         val id = JobRecord.jobId(row)
         when (val record = JobRecord.decode(row)) {
             is JobRecord.Open -> {
                 val entry = findOrAddEntry(id, record.spec.tasks)
-                // Before the moment is read: a job whose moment is unreadable must not be accepted a second time.
+                // Before the time of acceptance is read: a job whose time is unreadable must not be accepted again.
                 entry.accepted()
                 addOpenJob(entry, record.spec, record.acceptedWallMs())
             }
@@ -116,8 +116,8 @@
     }
 
     /**
-     * A cancelled job's tasks may still be on machines, and count against the team's limit until they are gone: an
-     * earlier version forgot them at a change of leader and let the team exceed its limit.
+     * A cancelled job's tasks may still be on machines, and count against the team's limit until they are confirmed
+     * absent. An earlier version dropped them at a change of leader and let the team exceed its limit.
      */
     private fun loadCancelled(id: String, record: JobRecord.Cancelled) {
         val entry = findOrAddEntry(id, record.tasks)
@@ -125,7 +125,7 @@
         if (record.hasSpec) cancelledJobs[id] = lazy { buildJob(entry, record.readSpec(), 0) }
     }
 
-    /** Takes in a page of done tasks; pages of jobs that are over are removed. */
+    /** Loads a page of done tasks; pages of jobs that are not open are deleted. */
     fun loadPage(row: KeyValue) {
         val job = find(ProgressPageRecord.jobId(row))?.open ?: return garbage.collect(row.key)
         val page = ProgressPageRecord.decode(row)
@@ -134,12 +134,16 @@
     }
 
     /**
-     * While loading: the job whose attempts a dispatch marker lists, or null when all of them are certainly over.
-     * Called by `DispatchLog`.
+     * While loading: returns the job with this id if attempts that a dispatch marker lists may still be on machines.
+     * Returns null for jobs that are done or unknown, and for cancelled jobs whose record has no spec. Called by
+     * `DispatchLog`.
      */
     fun findForMarker(id: String): OpenJob? = find(id)?.open ?: cancelledJobs[id]?.value
 
-    /** All records are loaded. A job whose last page was written but not its end: the end is written now. */
+    /**
+     * All records are loaded. Jobs whose tasks are all done, but whose own completion was not written, have it written
+     * now.
+     */
     fun finishLoading() {
         cancelledJobs.clear()
         for (job in openJobs) if (job.complete) job.pages.completionMissing()
--- a/src/main/kotlin/org/chalkhollow/core/jobs/KeyGarbageCollector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/KeyGarbageCollector.kt
@@ -6,24 +6,24 @@
 import org.chalkhollow.model.Change
 
 /**
- * Owns the removal of keys that nobody needs any more: progress pages of jobs that are over. Removals come after all
- * other writes; only what was refused is tried again among the [UrgentWrites]. Filled by [JobTable] and
- * [CompletionWriter], emptied by the [StateWriter].
+ * Owns the deletion of stored keys that are no longer needed: progress pages of jobs that are done or cancelled.
+ * Deletions come after all other writes; only those that the state service rejected are retried among the
+ * [UrgentWrites]. Filled by [JobTable] and [CompletionWriter], emptied by the [StateWriter].
  */
 class KeyGarbageCollector(private val urgentWrites: UrgentWrites) {
-    private val removals = ArrayDeque<Write>()
+    private val deletions = ArrayDeque<Write>()
 
-    fun clear() = removals.clear()
+    fun clear() = deletions.clear()
 
     fun collect(key: String) {
-        removals.add(removal(key))
+        deletions.add(deletion(key))
     }
 
-    fun next(room: TransactionBudget): Write? {
-        val write = removals.firstOrNull() ?: return null
-        return if (write.fits(room)) removals.removeFirst() else null
+    fun next(budget: TransactionBudget): Write? {
+        val write = deletions.firstOrNull() ?: return null
+        return if (write.fits(budget)) deletions.removeFirst() else null
     }
 
-    private fun removal(key: String): Write =
-        Write(listOf(Change(key, null)), onRefused = { urgentWrites.retryLater(removal(key)) }) {}
+    private fun deletion(key: String): Write =
+        Write(listOf(Change(key, null)), onRefused = { urgentWrites.retryLater(deletion(key)) }) {}
 }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ProgressPageRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ProgressPageRecord.kt
@@ -6,8 +6,8 @@
 import java.util.BitSet
 
 /**
- * What the state service stores of a job's progress, under `prog/`, the job's id and the page's first task: which tasks
- * are [done], counted from [firstTask]. Both directions of the form stand here and nowhere else.
+ * What the state service stores about a job's progress, under `prog/`, the job's id and the page's first task: which
+ * tasks are [done], counted from [firstTask]. The format is encoded and decoded only here.
  */
 internal class ProgressPageRecord(val firstTask: Int, val done: BitSet) {
     fun encode(): Map<String, Any?> = mapOf(DONE to Base64.getEncoder().encodeToString(done.toByteArray()))
@@ -17,7 +17,7 @@
         private const val DONE = "b"
         private const val SEPARATOR = '/'
 
-        /** One bit a task, so that a page's Base64 text takes a third of a value. */
+        /** With one bit per task, the Base64 text of a full page takes a third of the value limit. */
         private const val TASKS_PER_VALUE_BYTE = 2
 
         fun tasksPerPage(valueBytes: Int): Int = valueBytes * TASKS_PER_VALUE_BYTE
--- a/src/main/kotlin/org/chalkhollow/core/jobs/Quotas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/Quotas.kt
@@ -4,9 +4,10 @@
 import org.chalkhollow.model.Team
 
 /**
- * Owns what each team uses, counting every attempt that may be on a machine, against its guarantee and its limit. Teams
- * are indices into the settings' list; a job of a team that the settings no longer name has a negative one, and waits.
- * Written by `AttemptReconciler`, read by placement, requests and the status report.
+ * Owns how many resources each team uses, counting every attempt that may be on a machine, and compares this with the
+ * team's guarantee and limit. Teams are indices into the settings' list; a job whose team is no longer in the settings
+ * has a negative index and stays pending. Written by `AttemptReconciler`, read by placement, requests and the status
+ * report.
  */
 class Quotas(private val teams: List<Team>) {
     private val cpus = DoubleArray(teams.size)
@@ -25,7 +26,7 @@
 
     fun remove(team: Int, taskResources: Resources) = add(team, taskResources, -1)
 
-    /** How many more tasks of this size the team's limit allows, on top of [extra]. */
+    /** How many more tasks of this size the team's limit allows in addition to [extra]. */
     fun headroom(team: Int, taskResources: Resources, extra: Resources): Int {
         if (team < 0) return 0
         val cpusLeft = teams[team].cpusMax - cpus[team] - extra.cpus
@@ -33,7 +34,7 @@
         return countWithin(cpusLeft, gpusLeft, taskResources)
     }
 
-    /** Whether this much in all is within what the team is guaranteed. */
+    /** Whether [cpus] and [gpus] in total are within the team's guarantee. */
     fun withinGuarantee(team: Int, cpus: Double, gpus: Double): Boolean =
         team >= 0 && cpus <= teams[team].cpus + Resources.EPSILON && gpus <= teams[team].gpus + Resources.EPSILON
 
@@ -43,11 +44,11 @@
     fun exceedsGuarantee(team: Int): Boolean =
         cpus[team] > teams[team].cpus + Resources.EPSILON || gpus[team] > teams[team].gpus + Resources.EPSILON
 
-    /** Whether the team's limit would allow one task of this size if nothing else of the team's ran. */
+    /** Whether the team's limit allows one task of this size when the team uses nothing else. */
     fun couldEverFit(team: Int, taskResources: Resources): Boolean =
         countWithin(teams[team].cpusMax, teams[team].gpusMax, taskResources) > 0
 
-    /** Limits are on CPUs and GPUs alone, so memory does not count. */
+    /** Limits apply to CPUs and GPUs only, so memory does not count. */
     private fun countWithin(cpusLeft: Double, gpusLeft: Double, taskResources: Resources): Int {
         val task = Resources(taskResources.cpus, taskResources.gpus, 0.0)
         return task.countIn(Resources(maxOf(0.0, cpusLeft), maxOf(0.0, gpusLeft), 0.0))
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -5,19 +5,19 @@
 import org.chalkhollow.settings.Objective
 
 /**
- * What the settings say of how soon classes of jobs should start and finish. A class may have several objectives of a
- * kind, such as most starts within seconds and nearly all within a minute or two: when the first is missed the next
- * still counts. An earlier version kept one of each kind, and took a class that may wait for minutes for one whose
- * users wait for starts. It never changes; read by placement.
+ * The settings' objectives on how soon jobs of each class start and finish. A class may have several objectives of one
+ * kind, such as most starts within seconds and nearly all within a minute or two: when the first is missed, the next
+ * still counts. An earlier version kept one objective of each kind, and treated a class that may wait for minutes as
+ * one that needs prompt starts. Immutable; read by placement.
  */
-class ServiceLevelObjectives(objectives: List<Objective>, private val leastBootMs: () -> Long) {
-    /** Within how many milliseconds of acceptance tasks should start, ascending, by class. */
+class ServiceLevelObjectives(objectives: List<Objective>, private val minBootMs: () -> Long) {
+    /** By class: times after acceptance within which tasks should start, ascending. */
     private val startWithinMs = HashMap<String, LongArray>()
 
-    /** Within how many milliseconds of acceptance jobs should be over, ascending, by class. */
+    /** By class: times after acceptance within which jobs should finish, ascending. */
     private val finishWithinMs = HashMap<String, LongArray>()
 
-    /** Multiples of the owner's time within which jobs should be over, ascending, by class. */
+    /** By class: multiples of the job's own deadline within which jobs should finish, ascending. */
     private val deadlineFactors = HashMap<String, DoubleArray>()
     private var guaranteeWithinMs = 0L
 
@@ -44,75 +44,79 @@
     }
 
     /**
-     * Whether users of this class wait for its tasks to start, as they do for a service's replicas: sooner than a
-     * machine can be had for them, so that room has to be there already.
+     * Whether tasks of this class should start sooner than a new machine can boot, so that capacity for them has to be
+     * free already. True for all replicas of services.
      */
     fun awaitsPromptStart(job: OpenJob): Boolean {
         if (job.service) return true
         val limits = startWithinMs[job.spec.workload] ?: return false
-        return limits.isNotEmpty() && limits.first() < leastBootMs()
+        return limits.isNotEmpty() && limits.first() < minBootMs()
     }
 
     /**
-     * Whether tasks of such a class, or replicas of a service, that start now are still in time for its last objective
-     * on starting. Ending with the first of them put what had just come before what had waited for seconds, and half a
-     * flood of urgent work was late that need not be.
+     * Whether a replica of a service, or a task of a class that needs prompt starts, meets the last start objective
+     * of its class if it starts now. With the first objective instead, tasks that had just arrived went before those
+     * that had waited for seconds, and half of the tasks in a burst of urgent work started late without need.
      */
-    fun canStartInTime(job: OpenJob, wall: Long): Boolean {
+    fun canStartInTime(job: OpenJob, wallMs: Long): Boolean {
         if (job.service) return true
         if (!awaitsPromptStart(job)) return false
         val limits = startWithinMs[job.spec.workload] ?: return false
-        return wall < job.acceptedWall + limits.last()
+        return wallMs < job.acceptedWall + limits.last()
     }
 
-    /** Whether most of the time that the class's tasks may wait for their start is over, and not all of it. */
-    fun isStartDeadlineNear(job: OpenJob, wall: Long): Boolean {
+    /**
+     * Whether at least half of the time in a start objective of the class has passed, but not all of it. Counts only
+     * objectives that are not shorter than the shortest boot time of a machine.
+     */
+    fun isStartDeadlineNear(job: OpenJob, wallMs: Long): Boolean {
         val limits = startWithinMs[job.spec.workload] ?: return false
-        val waitedMs = wall - job.acceptedWall
-        return limits.any { it >= leastBootMs() && waitedMs < it && waitedMs * NEAR_OF >= it * NEAR }
+        val waitedMs = wallMs - job.acceptedWall
+        return limits.any { it >= minBootMs() && waitedMs < it && waitedMs * NEAR_DENOMINATOR >= it * NEAR_NUMERATOR }
     }
 
-    /** Whether tasks within a guarantee that start now are still in time. */
-    fun canMeetGuaranteeObjective(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithinMs
+    /** Whether a task within its team's guarantee meets the guarantee objective if it starts now. */
+    fun canMeetGuaranteeObjective(job: OpenJob, wallMs: Long): Boolean = wallMs < job.acceptedWall + guaranteeWithinMs
 
     /**
-     * When the job should be over, by its owner's deadline and its class's objectives: the first moment that can still
-     * be kept when it needs [leastMs] from [wall] on, the last one when none can; [Long.MAX_VALUE] if nobody says, and
-     * for a service, which is never over.
+     * The wall-clock time at which the job should be finished, by its own deadline and the objectives of its class.
+     * Of several times, returns the first that the job can still meet if it needs [minRemainingMs] from [wallMs] on, or
+     * the last if it can meet none. Returns [Long.MAX_VALUE] if there is no deadline or objective, and for services,
+     * which do not finish.
      */
-    fun dueWallMs(job: OpenJob, wall: Long, leastMs: Long): Long {
+    fun dueWallMs(job: OpenJob, wallMs: Long, minRemainingMs: Long): Long {
         if (job.service) return Long.MAX_VALUE
-        var firstKept = Long.MAX_VALUE
-        var last = Long.MIN_VALUE
+        var firstFeasibleMs = Long.MAX_VALUE
+        var lastMs = Long.MIN_VALUE
 
-        fun consider(due: Long) {
-            last = maxOf(last, due)
-            if (wall + leastMs <= due) firstKept = minOf(firstKept, due)
+        fun consider(dueMs: Long) {
+            lastMs = maxOf(lastMs, dueMs)
+            if (wallMs + minRemainingMs <= dueMs) firstFeasibleMs = minOf(firstFeasibleMs, dueMs)
         }
         job.spec.dueS?.let { dueS ->
             for (factor in deadlineFactorsOf(job)) consider(job.acceptedWall + millis(dueS * factor))
         }
-        finishWithinMs[job.spec.workload]?.let { for (within in it) consider(job.acceptedWall + within) }
-        return if (firstKept != Long.MAX_VALUE || last == Long.MIN_VALUE) firstKept else last
+        finishWithinMs[job.spec.workload]?.let { for (withinMs in it) consider(job.acceptedWall + withinMs) }
+        return if (firstFeasibleMs != Long.MAX_VALUE || lastMs == Long.MIN_VALUE) firstFeasibleMs else lastMs
     }
 
-    /** Without an objective of its class, an owner's deadline counts as it is. */
+    /** Without a deadline objective of its class, the job's own deadline counts unchanged. */
     private fun deadlineFactorsOf(job: OpenJob): DoubleArray {
         val factors = deadlineFactors[job.spec.workload]
-        return if (factors == null || factors.isEmpty()) ONCE else factors
+        return if (factors == null || factors.isEmpty()) UNCHANGED_DEADLINE else factors
     }
 
     private companion object {
-        /** The kinds of objectives as the settings name them. */
+        /** Kinds of objectives as named in the settings. */
         const val KIND_GUARANTEE = "guarantee"
         const val KIND_START = "wait"
         const val KIND_FINISH = "finished"
         const val KIND_DEADLINE = "deadline"
 
-        /** A start is near its deadline when this part of the wait is over: [NEAR] of [NEAR_OF]. */
-        const val NEAR = 1
-        const val NEAR_OF = 2
-        val ONCE = doubleArrayOf(1.0)
+        /** A start objective is near when this fraction of its time has passed. */
+        const val NEAR_NUMERATOR = 1
+        const val NEAR_DENOMINATOR = 2
+        val UNCHANGED_DEADLINE = doubleArrayOf(1.0)
 
         fun millis(seconds: Double): Long = (seconds * MS_PER_S).toLong()
     }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/UrgentWrites.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/UrgentWrites.kt
@@ -6,29 +6,29 @@
 import org.chalkhollow.core.storage.TransactionBudget
 import org.chalkhollow.core.storage.Write
 
-/** After how long a write is tried again that the state service refused. */
+/** Delay after which a write that the state service rejected is retried. */
 internal const val REJECTED_RETRY_MS = 3000L
 
-/** Whether the write fits into what is left of the transaction. */
-internal fun Write.fits(room: TransactionBudget): Boolean =
-    changes.size <= room.ops && changes.sumOf { EncodedSize.of(it) } <= room.bytes
+/** Whether the write fits into what is left of the transaction's budget. */
+internal fun Write.fits(budget: TransactionBudget): Boolean =
+    changes.size <= budget.ops && changes.sumOf { EncodedSize.of(it) } <= budget.bytes
 
 /**
- * Owns the writes about jobs that come before all others, in their order: users wait for acceptances and cancellations.
- * What the state service refused and must not be lost is queued again after [REJECTED_RETRY_MS]. Filled by [JobTable],
- * [JobCancellation] and [KeyGarbageCollector], emptied by the [StateWriter].
+ * Owns the writes about jobs that come before all others, in order, since users wait for acceptances and cancellations.
+ * Writes that the state service rejected and that must not be lost are queued again after [REJECTED_RETRY_MS]. Filled
+ * by [JobTable], [JobCancellation] and [KeyGarbageCollector], emptied by the [StateWriter].
  */
 class UrgentWrites(private val context: CoreContext) {
-    private class RefusedWrite(val retryAt: Long, val write: Write)
+    private class RejectedWrite(val retryAtMs: Long, val write: Write)
 
     private val queue = ArrayDeque<Write>()
 
-    /** In the order of [RefusedWrite.retryAt], since all wait equally long. */
-    private val refused = ArrayDeque<RefusedWrite>()
+    /** Ordered by [RejectedWrite.retryAtMs], since all wait equally long. */
+    private val rejected = ArrayDeque<RejectedWrite>()
 
     fun clear() {
         queue.clear()
-        refused.clear()
+        rejected.clear()
     }
 
     fun add(write: Write) {
@@ -36,13 +36,13 @@
     }
 
     fun retryLater(write: Write) {
-        refused.add(RefusedWrite(context.steady + REJECTED_RETRY_MS, write))
+        rejected.add(RejectedWrite(context.steady + REJECTED_RETRY_MS, write))
     }
 
-    /** The first write, unless it does not fit: then none, since the order is kept. */
-    fun next(room: TransactionBudget): Write? {
-        while (refused.isNotEmpty() && context.steady >= refused.first().retryAt) add(refused.removeFirst().write)
+    /** Returns the first write, or null if it does not fit: later writes must not overtake it. */
+    fun next(budget: TransactionBudget): Write? {
+        while (rejected.isNotEmpty() && context.steady >= rejected.first().retryAtMs) add(rejected.removeFirst().write)
         val write = queue.firstOrNull() ?: return null
-        return if (write.fits(room)) queue.removeFirst() else null
+        return if (write.fits(budget)) queue.removeFirst() else null
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
@@ -21,55 +21,55 @@
     private val reservations =
         AttemptReservations(context, Quotas(listOf(Team("t", 100.0, 100.0, 0.0, 0.0))), AttemptEvents.None)
     private val outcomes = AttemptOutcomes(context, reservations)
-    private var number = 100L
+    private var nextNumber = 100L
 
-    private fun running(job: OpenJob, machine: Machine, index: Int = 0): Attempt =
-        reservations.reserve(job, index, number++, machine, marker = null, fromCredit = false).also {
+    private fun runningAttempt(job: OpenJob, machine: Machine, index: Int = 0): Attempt =
+        reservations.reserve(job, index, nextNumber++, machine, marker = null, fromCredit = false).also {
             it.entered(Attempt.Phase.RUNNING, context.steady)
             job.tasks.runStarted()
         }
 
     private fun machine(id: Int) = Machine(id, "n-$id").also { it.markUp() }
 
-    private fun openedJob(shape: Shape = Shape.ARRAY) =
+    private fun acceptedJob(shape: Shape = Shape.ARRAY) =
         openJob("j-1", shape = shape, tasks = 2).also { it.entry.accepted() }
 
     @Test
-    fun `a completion is forgotten only once it is recorded`() {
-        val job = openedJob()
-        val attempt = running(job, machine(1))
+    fun `a completed attempt is finished only after its completion is recorded`() {
+        val job = acceptedJob()
+        val attempt = runningAttempt(job, machine(1))
         outcomes.onExit(attempt, ExitCause.DONE)
         assertTrue(attempt.completed)
         assertFalse(attempt.outcomeRecorded)
         assertEquals(listOf(0, 1), listOf(job.tasks.running, job.progress.doneCount))
         outcomes.onCompletionsRecorded(job, BitSet())
-        assertFalse(attempt.outcomeRecorded, "another task's completion was recorded")
+        assertFalse(attempt.outcomeRecorded, "its completion was not among the recorded ones")
         outcomes.onCompletionsRecorded(job, job.progress.snapshot())
         assertTrue(attempt.finished)
     }
 
     @Test
-    fun `a job waits longer and longer once its tasks fail on several machines`() {
-        val job = openedJob()
-        val waits =
+    fun `the backoff of a job grows once its tasks have failed on several machines`() {
+        val job = acceptedJob()
+        val backoffsMs =
             List(8) { failure ->
-                val attempt = running(job, machine(failure))
+                val attempt = runningAttempt(job, machine(failure))
                 outcomes.onExit(attempt, ExitCause.ERROR)
-                assertTrue(attempt.finished && job.tasks.nextReady(0) == 0, "the task is ready again")
+                assertTrue(attempt.finished && job.tasks.nextReady(0) == 0, "the task is pending again")
                 maxOf(0, job.backoff.notBefore - context.steady)
             }
-        assertEquals(listOf<Long>(0, 0, 2000, 2000, 2000, 4000, 4000, 4000), waits)
+        assertEquals(listOf<Long>(0, 0, 2000, 2000, 2000, 4000, 4000, 4000), backoffsMs)
     }
 
     @Test
-    fun `a replica that ends again and again soon after its start waits, one that lasted does not`() {
-        val job = openedJob(Shape.SERVICE)
-        repeat(3) { outcomes.onExit(running(job, machine(it)), ExitCause.DONE) }
+    fun `a service backs off when replicas keep ending soon after their start, but not after one that ran long`() {
+        val job = acceptedJob(Shape.SERVICE)
+        repeat(3) { outcomes.onExit(runningAttempt(job, machine(it)), ExitCause.DONE) }
         assertEquals(2000, job.backoff.notBefore - context.steady)
         assertEquals(0, job.progress.doneCount, "a replica is never done")
-        val lasting = running(job, machine(4))
+        val longRunning = runningAttempt(job, machine(4))
         context.now = Now(120_000, 120_000)
-        outcomes.onExit(lasting, ExitCause.DONE)
+        outcomes.onExit(longRunning, ExitCause.DONE)
         assertEquals(0, job.backoff.failures)
         assertTrue(job.backoff.notBefore < context.steady)
     }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptReconcilerTest.kt
@@ -27,12 +27,13 @@
 
     private fun job(id: String, shape: Shape = Shape.ARRAY): OpenJob = jobs.acceptDurably(jobSpec(id, shape))
 
-    // Job, index and number were once mixed into one number: index 0 with number n + 31 and index 1 with number n came
-    // out the same, so the completion of the one was taken for the other's, and a job was said to be done that was not.
+    // An earlier version combined job, index and number into one number. Index 0 with number n + 31 and index 1 with
+    // number n gave the same result, so the completion of one attempt counted for the other, and a job was reported as
+    // done that was not.
     @Test
-    fun `a completion counts for the attempt that it names and no other`() {
+    fun `a completion counts only for the attempt with the same job, index and number`() {
         val job = job("j-1")
-        val m =
+        val machine =
             Machine(0, "n-1").also {
                 it.markUp()
                 it.lease.beginEpoch(1)
@@ -41,9 +42,9 @@
         val numbers = listOf(131L, 100L, 69L)
         numbers.forEachIndexed {
             index,
-            n,
+            number,
             ->
-            reconciler.reserve(job, index, n, m, null).startSent()
+            reconciler.reserve(job, index, number, machine, null).startSent()
         }
 
         fun task(index: Int, phase: TaskStatus.Phase, cause: ExitCause?) =
@@ -55,24 +56,25 @@
                 task(2, TaskStatus.Phase.RUNNING, null),
             )
         reconciler.reconcile(
-            m,
+            machine,
             WorkerHeartbeat("n-1", "n-1", "x", "z", false, 1, 2, 1, null, tasks),
             fromHeartbeat = true,
         )
         assertEquals("{1}", job.progress.snapshot().toString())
         assertEquals(2, job.tasks.running)
-        assertEquals(listOf(0, 2), m.attempts.filter { it.phase == Attempt.Phase.RUNNING }.map { it.index })
+        assertEquals(listOf(0, 2), machine.attempts.filter { it.phase == Attempt.Phase.RUNNING }.map { it.index })
     }
 
-    // A service that had been passed over kept what it was given from all others that were, for as long as it ran.
+    // Replicas of a starved service that were placed on its credit used up the credit of all other starved jobs for as
+    // long as they ran.
     @Test
-    fun `a replica does not count against the share of work that was passed over`() {
-        val m = Machine(0, "n-1").also { it.markUp() }
-        val batch = reconciler.reserve(job("j-1"), 0, 100, m, null, fromCredit = true)
-        val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, m, null, fromCredit = true)
+    fun `a replica that is placed on credit does not use up the credit of other jobs`() {
+        val machine = Machine(0, "n-1").also { it.markUp() }
+        val batch = reconciler.reserve(job("j-1"), 0, 100, machine, null, fromCredit = true)
+        val replica = reconciler.reserve(job("j-2", Shape.SERVICE), 0, 101, machine, null, fromCredit = true)
         for (attempt in listOf(batch, replica)) attempt.entered(Attempt.Phase.RUNNING, context.steady)
         assertEquals(1.0, reconciler.creditCpus)
-        reconciler.onMachineGone(m)
+        reconciler.onMachineGone(machine)
         assertEquals(0.0, reconciler.creditCpus)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
@@ -16,13 +16,13 @@
         Attempt(job, 0, 100, machine, marker = null, fromCredit = false, inherited, placedAt = 1000)
 
     @Test
-    fun `an attempt begins with its marker pending, an inherited one as if its start had been sent`() {
+    fun `a new attempt has its marker pending, an inherited one counts as started`() {
         assertEquals(Attempt.Phase.MARKER_PENDING, attempt().phase)
         assertEquals(Attempt.Phase.START_SENT, attempt(inherited = true).phase)
     }
 
     @Test
-    fun `the outcome of a direct start is unknown until it is concluded, and stays on record`() {
+    fun `the outcome of a direct start is unknown until concluded, and startedDirectly stays set`() {
         val attempt = attempt().also { it.markerPersisted() }
         attempt.directStartConcluded()
         assertFalse(attempt.startedDirectly, "nothing was sent directly")
@@ -31,12 +31,12 @@
         attempt.directStartConcluded()
         attempt.startDropped()
         assertFalse(attempt.directStartUnresolved)
-        assertTrue(attempt.startedDirectly, "a copy of it may still come")
+        assertTrue(attempt.startedDirectly, "a delayed copy of the start may still arrive")
         assertEquals(Attempt.Phase.MARKER_PERSISTED, attempt.phase)
     }
 
     @Test
-    fun `only time in the running phase counts against the time that remains`() {
+    fun `only time in the running phase reduces the minimum remaining time`() {
         val attempt = attempt()
         assertEquals(4.0, attempt.minRemainingS(3000))
         attempt.entered(Attempt.Phase.FETCHING, 4000)
@@ -44,6 +44,6 @@
         attempt.entered(Attempt.Phase.RUNNING, 6000)
         assertEquals(1.0, attempt.minRemainingS(9000))
         job.runTimes.add(20.0)
-        assertEquals(13.0, attempt.minRemainingS(9000), "what others took counts more than the estimate")
+        assertEquals(13.0, attempt.minRemainingS(9000), "observed run times of other tasks override the estimate")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/IndexRangesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/IndexRangesTest.kt
@@ -3,10 +3,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** The form in which dispatch markers store task indices. */
+/** Tests the format in which dispatch markers store task indices. */
 class IndexRangesTest {
     @Test
-    fun `index ranges are written and read back`() {
+    fun `index ranges are decoded as they were encoded`() {
         for (set in listOf(
             intArrayOf(0),
             intArrayOf(0, 1, 2, 7),
--- a/src/test/kotlin/org/chalkhollow/core/jobs/JobCancellationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/JobCancellationTest.kt
@@ -11,8 +11,8 @@
 class JobCancellationTest {
     private val stored = StoredJobs()
 
-    /** What is stored of [job] once it is cancelled under values of [valueBytes]. */
-    private fun cancelled(job: JobSpec, valueBytes: Int): Fields {
+    /** Cancels [job] under a value limit of [valueBytes] and returns the spec in its stored record. */
+    private fun storedSpecAfterCancel(job: JobSpec, valueBytes: Int): Fields {
         stored.Leader(8192).accept(job)
         val leader = stored.Leader(valueBytes)
         leader.cancellation.cancel(leader.job) {}
@@ -29,14 +29,14 @@
     }
 
     @Test
-    fun `a cancelled job's record leaves out the machine types when it does not fit`() {
+    fun `a cancelled job's record omits the machine types when it does not fit into a value`() {
         val job = storedJob(5).copy(types = List(40) { "type-number-$it-" + "x".repeat(20) })
-        assertTrue(cancelled(job, 8192).has("flavours"))
+        assertTrue(storedSpecAfterCancel(job, 8192).has("flavours"))
         stored.clear()
-        val small = cancelled(job, 1024)
-        assertEquals("red", small.text("owner"))
-        assertTrue(!small.has("flavours") && small.has("bundle"))
-        val leader = stored.Leader(1024, loaded = false)
+        val reducedSpec = storedSpecAfterCancel(job, 1024)
+        assertEquals("red", reducedSpec.text("owner"))
+        assertTrue(!reducedSpec.has("flavours") && reducedSpec.has("bundle"))
+        val leader = stored.Leader(1024, finishLoading = false)
         assertEquals(
             "red",
             leader.jobs
@@ -47,12 +47,12 @@
     }
 
     @Test
-    fun `a cancellation that is refused is tried smaller, then again and again`() {
+    fun `a rejected cancellation is retried with smaller records, then with the smallest until accepted`() {
         val leader = stored.Leader(8192).accept(storedJob(5))
         leader.cancellation.cancel(leader.job) {}
         val sizes = ArrayList<Int>()
         repeat(8) {
-            val write = leader.next() ?: return@repeat
+            val write = leader.nextWrite() ?: return@repeat
             sizes.add(write.changes.sumOf { EncodedSize.of(it) })
             write.onRefused()
         }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/QuotasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/QuotasTest.kt
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The limits and guarantees of teams. */
+/** Tests the limits and guarantees of teams. */
 class QuotasTest {
     @Test
-    fun `a team's limit counts every attempt that may run, and what the round has placed`() {
+    fun `a team's limit counts every attempt that may run and the tasks placed in the current round`() {
         val taskResources = Resources(4.0, 0.0, 1.0)
         val nothing = Resources(0.0, 0.0, 0.0)
         val quotas = Quotas(listOf(Team("t", 8.0, 16.0, 0.0, 0.0)))
@@ -23,6 +23,6 @@
         )
         assertTrue(quotas.withinGuarantee(0, 8.0, 0.0))
         assertFalse(quotas.withinGuarantee(0, 8.1, 0.0))
-        assertEquals(0, quotas.headroom(-1, taskResources, nothing), "headroom of a team that the settings do not know")
+        assertEquals(0, quotas.headroom(-1, taskResources, nothing), "headroom of a team that is not in the settings")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectivesTest.kt
@@ -28,9 +28,10 @@
     private fun job(workload: String, dueS: Double?, shape: Shape = Shape.ARRAY): OpenJob =
         openJob(jobSpec("j-1", shape).copy(workload = workload, priority = Priority.HIGH, dueS = dueS))
 
-    // One objective of each kind was kept once, the last: then every class with a limit of minutes passed for urgent.
+    // An earlier version kept only the last objective of each kind, and treated every class with a limit of minutes as
+    // one that needs prompt starts.
     @Test
-    fun `only a class whose users wait for starts is one, whatever else is said of it`() {
+    fun `only a class with a start objective shorter than the boot time awaits prompt starts`() {
         assertTrue(objectives.awaitsPromptStart(job("urgent", null)))
         assertFalse(objectives.awaitsPromptStart(job("batch", null)))
         assertTrue(objectives.canStartInTime(job("urgent", null), 69_000))
@@ -42,7 +43,7 @@
     }
 
     @Test
-    fun `when one objective is missed the next one counts`() {
+    fun `when one objective is missed, the next one counts`() {
         val batch = job("batch", null)
         assertEquals(
             listOf(200_000L, 300_000L, 300_000L),
@@ -61,7 +62,7 @@
     }
 
     @Test
-    fun `a service is never due, whatever its owner or the objectives of its class say`() {
+    fun `a service is never due, even with a deadline or objectives of its class`() {
         val service = job("batch", 20.0, Shape.SERVICE)
         assertEquals(Long.MAX_VALUE, objectives.dueWallMs(service, 0, 0))
         assertEquals(Long.MAX_VALUE, objectives.dueWallMs(service, 400_000, 0))
--- a/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/StoredJobs.kt
@@ -18,11 +18,11 @@
 import java.util.BitSet
 import java.util.TreeMap
 
-/** The job whose records [StoredJobs] holds. */
+/** A spec for the job whose records [StoredJobs] holds. */
 internal fun storedJob(tasks: Int): JobSpec =
     jobSpec(StoredJobs.JOB_ID, tasks = tasks).copy(team = "red", priority = Priority.HIGH, image = "img")
 
-/** Records of one job, written by one leader after the other, each under limits of its own. */
+/** Stored records of one job, written by successive leaders, each with its own value limit. */
 internal class StoredJobs {
     private val records = TreeMap<String, Any?>()
 
@@ -32,7 +32,7 @@
 
     fun record(key: String): Fields = Fields.of(records.getValue(key), "record")
 
-    /** What any version reads of the job's progress: the union of all pages, whatever their keys. */
+    /** The job's progress as any version reads it: the union of all pages, whatever their keys. */
     fun progress(): BitSet {
         val all = BitSet()
         for (page in rows(ProgressPageRecord.KEY_PREFIX)) {
@@ -46,8 +46,8 @@
     private fun rows(prefix: String): List<KeyValue> =
         records.filterKeys { it.startsWith(prefix) }.map { (key, value) -> KeyValue(key, value, 1) }
 
-    /** A leader's jobs, loaded from these records and written into them. */
-    inner class Leader(private val valueBytes: Int, loaded: Boolean = true) {
+    /** A leader's job table, which is loaded from these records and written to them. */
+    inner class Leader(private val valueBytes: Int, finishLoading: Boolean = true) {
         private val limits = StateLimits(80.0, 20.0, valueBytes, 12)
         private val context = CoreContext(1).apply { now = Now(0, 0) }
         val jobs = JobTable(context, Interners(), limits)
@@ -57,7 +57,7 @@
         init {
             rows(JobRecord.KEY_PREFIX).forEach(jobs::loadJob)
             rows(ProgressPageRecord.KEY_PREFIX).forEach(jobs::loadPage)
-            if (loaded) jobs.finishLoading()
+            if (finishLoading) jobs.finishLoading()
         }
 
         val job: OpenJob get() = checkNotNull(jobs.find(JOB_ID)?.open)
@@ -68,21 +68,21 @@
             return this
         }
 
-        fun done(tasks: Iterable<Int>) = tasks.forEach { job.completeTask(it, context.steady) }
+        fun completeTasks(tasks: Iterable<Int>) = tasks.forEach { job.completeTask(it, context.steady) }
 
-        /** The next write, two seconds later. */
-        fun next(): Write? {
-            val moment = context.steady + 2000
-            context.now = Now(moment, moment)
-            val room = TransactionBudget(11, 40 * 1024)
-            return jobs.urgentWrites.next(room) ?: completions.next(room) ?: jobs.garbage.next(room)
+        /** Advances the time by two seconds and returns the next write. */
+        fun nextWrite(): Write? {
+            val nowMs = context.steady + 2000
+            context.now = Now(nowMs, nowMs)
+            val budget = TransactionBudget(11, 40 * 1024)
+            return jobs.urgentWrites.next(budget) ?: completions.next(budget) ?: jobs.garbage.next(budget)
         }
 
         fun writeAll(afterEach: () -> Unit = {}) {
-            var idle = 0
-            while (idle < 3) { // what was refused waits for a while
-                val write = next()
-                idle = if (write == null) idle + 1 else 0
+            var emptyPolls = 0
+            while (emptyPolls < 3) { // rejected writes are retried after a delay
+                val write = nextWrite()
+                emptyPolls = if (write == null) emptyPolls + 1 else 0
                 write?.let(::commit)
                 afterEach()
             }
--- a/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/jobs/UrgentWritesTest.kt
@@ -14,42 +14,42 @@
     private val context = CoreContext(1).apply { now = Now(0, 0) }
     private val writes = UrgentWrites(context)
     private val garbage = KeyGarbageCollector(writes)
-    private val ample = TransactionBudget(10, 10_000)
+    private val ampleBudget = TransactionBudget(10, 10_000)
 
     private fun write(vararg keys: String) = Write(keys.map { Change(it, null) }, onRefused = {}) {}
 
     @Test
-    fun `a write that does not fit holds up those behind it`() {
+    fun `a write that does not fit blocks the writes behind it`() {
         val large = write("a", "b")
         writes.add(large)
         writes.add(write("c"))
         assertNull(writes.next(TransactionBudget(1, 10_000)))
-        assertSame(large, writes.next(ample))
+        assertSame(large, writes.next(ampleBudget))
     }
 
     @Test
-    fun `a refused write comes again after a while, behind what is queued by then`() {
-        val refused = write("a")
+    fun `a rejected write is queued again after a delay, behind the writes queued by then`() {
+        val rejected = write("a")
         val other = write("b")
-        writes.retryLater(refused)
+        writes.retryLater(rejected)
         writes.add(other)
         context.now = Now(REJECTED_RETRY_MS - 1, 0)
-        assertSame(other, writes.next(ample))
-        assertNull(writes.next(ample))
+        assertSame(other, writes.next(ampleBudget))
+        assertNull(writes.next(ampleBudget))
         context.now = Now(REJECTED_RETRY_MS, 0)
-        assertSame(refused, writes.next(ample))
+        assertSame(rejected, writes.next(ampleBudget))
     }
 
     @Test
-    fun `a refused removal of a key is tried until it is taken`() {
+    fun `a rejected deletion of a key is retried until it is accepted`() {
         garbage.collect("prog/j-1/0")
-        var removal = garbage.next(ample)
+        var deletion = garbage.next(ampleBudget)
         for (attempt in 1L..3L) {
-            checkNotNull(removal).onRefused()
+            checkNotNull(deletion).onRefused()
             context.now = Now(REJECTED_RETRY_MS * attempt, 0)
-            removal = writes.next(ample)
+            deletion = writes.next(ampleBudget)
         }
-        assertEquals(listOf(Change("prog/j-1/0", null)), removal?.changes)
-        assertNull(garbage.next(ample))
+        assertEquals(listOf(Change("prog/j-1/0", null)), deletion?.changes)
+        assertNull(garbage.next(ampleBudget))
     }
 }
