--- a/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
@@ -12,7 +12,7 @@
      * [Long.MAX_VALUE] without a deadline.
      */
     fun dueWallMs(job: OpenJob): Long =
-        objectives.dueWall(job, context.now.wall, optimisticMs(job.spec.expectedS).toLong())
+        objectives.dueWallMs(job, context.now.wall, optimisticMs(job.spec.expectedS).toLong())
 
     fun hasDeadline(job: OpenJob): Boolean = dueWallMs(job) != Long.MAX_VALUE
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -76,7 +76,7 @@
 
     /** Whether the job is within its team's guarantee and a start now meets the guarantee's objective. */
     fun canMeetGuarantee(job: OpenJob): Boolean =
-        isWithinGuarantee(job) && objectives.guaranteeStartsInTime(job, context.now.wall)
+        isWithinGuarantee(job) && objectives.canMeetGuaranteeObjective(job, context.now.wall)
 
     /** Whether the job may not use the headroom for urgent jobs, see [UrgentHeadroom]. */
     fun mustLeaveUrgentHeadroom(job: OpenJob): Boolean {
@@ -101,7 +101,7 @@
         when {
             objectives.canStartInTime(job, context.now.wall) -> Urgency.CAN_START_IN_TIME
             canMeetGuarantee(job) -> Urgency.CAN_START_IN_TIME
-            objectives.startDeadlineNear(job, context.now.wall) -> Urgency.CAN_START_IN_TIME
+            objectives.isStartDeadlineNear(job, context.now.wall) -> Urgency.CAN_START_IN_TIME
             deadlines.isRunningLate(job) || job in deferred -> Urgency.LATE_OR_DEFERRED
             isWithinGuarantee(job) -> Urgency.WITHIN_GUARANTEE
             else -> Urgency.NORMAL
