--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -68,7 +68,7 @@
         WorkerCommandSender(context, settings, leadership, writer, dispatch, fleet, reconciler, planner)
     val heartbeats = HeartbeatHandler(context, settings, leadership, fleet, images, reconciler, planner)
 
-    private val objectives = ServiceLevelObjectives(settings.objectives, fleet::leastBootMs)
+    private val objectives = ServiceLevelObjectives(settings.objectives, fleet::minBootMs)
     private val placement = Placement(context, jobs, quotas, reconciler, fleet, options, objectives)
     val requests = RequestHandler(context, leadership, writer, jobs, cancellation, quotas, fleet, names)
 
--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -44,9 +44,9 @@
      * what is missing is requested at once.
      */
     private fun mayScaleOut(): Boolean {
-        if (!staticMachines.known) return false
+        if (!staticMachines.isKnown) return false
         val listenedLongEnough = context.steady - term.startedAt > listenMs
-        return listenedLongEnough || staticMachines.isFirstLeader && fleet.heardFromAllListed()
+        return listenedLongEnough || staticMachines.isFirstLeader && fleet.hasHeartbeatFromAllListed()
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -39,7 +39,7 @@
         machine.lease.renew(heartbeat.seq, context.steady)
         val isNewest = machine.lease.advanceStatus(heartbeat.seq)
         if (isNewest) {
-            images.recall(machine)
+            images.restoreCachedImages(machine)
             reconciler.reconcile(machine, heartbeat, fromHeartbeat = true)
         }
         respond(call, machine, startsAllowed = isNewest)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -88,7 +88,7 @@
         var callsLeft = MAX_CALLS
         for (machine in fleet.machines) {
             if (callsLeft == 0) return
-            if (machine.address.isEmpty() || !fleet.shouldProbe(machine)) continue
+            if (machine.address.isEmpty() || !fleet.beginProbeIfDue(machine)) continue
             callsLeft--
             probe(machine)
         }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -28,11 +28,11 @@
     private var listBusy = false
     private val missingMs = (listLagS * 2 * MS_PER_S).toLong() + LIST_MS * 2
 
-    var catalogKnown = false
+    var isCatalogKnown = false
         private set
 
     /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
-    var leastBootMs = UNKNOWN_BOOT_MS
+    var minBootMs = UNKNOWN_BOOT_MS
         private set
 
     fun start() {
@@ -54,14 +54,14 @@
 
     private fun onCatalog(types: List<MachineType>) {
         catalogAt = context.steady
-        catalogKnown = true
+        isCatalogKnown = true
         for (type in types) {
             val index = names.types.intern(type.name)
             while (table.types.size <= index) table.types.add(null)
             table.types[index] = type
         }
         val leastBootS = types.minOfOrNull { it.bootS } ?: return
-        leastBootMs = (leastBootS * MS_PER_S).toLong()
+        minBootMs = (leastBootS * MS_PER_S).toLong()
     }
 
     /** Reads the list of machines when it is due. */
@@ -123,7 +123,7 @@
     }
 
     /** Whether every machine that the cloud lists as up has sent a heartbeat; never before a list was read. */
-    fun heardFromAllListed(): Boolean =
+    fun hasHeartbeatFromAllListed(): Boolean =
         listAt != Machine.NEVER && table.all.none { it.cloud.isListedUp && it.state == Machine.State.BOOTING }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -39,7 +39,7 @@
     /** Machine types by index; a type that the catalog does not list is null. */
     val types: List<MachineType?> get() = table.types
     val machines: Collection<Machine> get() = table.all
-    val catalogKnown: Boolean get() = inventory.catalogKnown
+    val isCatalogKnown: Boolean get() = inventory.isCatalogKnown
 
     /** Whether the fleet may have to be scaled out further at once. */
     val mayScaleOutMore: Boolean get() = scaleOut.mayScaleOutMore
@@ -62,10 +62,10 @@
     fun cpusOf(machine: Machine): Double = table.cpusOf(machine)
 
     /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
-    fun leastBootMs(): Long = inventory.leastBootMs
+    fun minBootMs(): Long = inventory.minBootMs
 
     /** Whether every machine that the cloud lists as up has sent a heartbeat; never before a list was read. */
-    fun heardFromAllListed(): Boolean = inventory.heardFromAllListed()
+    fun hasHeartbeatFromAllListed(): Boolean = inventory.hasHeartbeatFromAllListed()
 
     /** Machines that take new tasks, see [MachineTable.placeable]. */
     fun placeable(): List<Machine> = table.placeable()
@@ -128,9 +128,9 @@
     fun confirmReachable(machine: Machine) = reachability.onProof(machine)
 
     /** Whether it is uncertain that our messages reach [machine], so that it is to be probed; true once in a while. */
-    fun shouldProbe(machine: Machine): Boolean {
+    fun beginProbeIfDue(machine: Machine): Boolean {
         if (machine.state != Machine.State.UP || !hasShownOurFencingToken(machine)) return false
-        return context.steady - machine.lease.heartbeatAt < leaseMs && reachability.startProbe(machine)
+        return context.steady - machine.lease.heartbeatAt < leaseMs && reachability.beginProbeIfDue(machine)
     }
 
     /** Expires the leases that have certainly run out. */
@@ -145,7 +145,7 @@
         cloud.refill()
         scaleOut.beginTick()
         inventory.readCatalogIfDue(leading)
-        if (!leading || !catalogKnown) return
+        if (!leading || !isCatalogKnown) return
         inventory.readListIfDue()
         scaleIn.cordonOverpriced(tasksWait = unplaced.isNotEmpty(), headroomCpus)
         if (cloud.isScaling) return
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
@@ -52,11 +52,11 @@
             // The first is the epoch that this was noted in. Earlier versions took a new one for an empty cache.
             remembered[machine] = indices.drop(1).mapNotNull(images::getOrNull)
         }
-        for (machine in fleet.machines) recall(machine)
+        for (machine in fleet.machines) restoreCachedImages(machine)
     }
 
     /** Gives [machine] back what it held, also when its lease has expired since. */
-    fun recall(machine: Machine) {
+    fun restoreCachedImages(machine: Machine) {
         if (machine.lease.epoch == 0L) return
         for (image in remembered.remove(machine.name) ?: return) {
             val index = names.images.intern(image)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
@@ -7,13 +7,16 @@
     /** Everything on [machine] is certainly gone: it was deleted, or its lease has expired. */
     fun onMachineGone(machine: Machine)
 
-    /** [machine] began a new epoch; [knewOurFencingToken] tells whether it had shown our token in the one before. */
-    fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean)
+    /**
+     * [machine] began a new epoch. [hadShownCurrentFencingToken]: whether it sent this leader's fencing token in the
+     * previous epoch.
+     */
+    fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean)
 
     /** Ignores all events. */
     object None : MachineEvents {
         override fun onMachineGone(machine: Machine) = Unit
 
-        override fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) = Unit
+        override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) = Unit
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -48,7 +48,7 @@
     }
 
     /** Whether to probe [machine] now with a direct command; if so, the probe is taken as sent. */
-    fun startProbe(machine: Machine): Boolean {
+    fun beginProbeIfDue(machine: Machine): Boolean {
         if (machine.commandInFlight || !isDoubtful(machine)) return false
         val now = context.steady
         if (now - machine.reachability.probedAt < PROBE_EVERY_MS) return false
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
@@ -154,7 +154,7 @@
         if (backoff.isRefused(offer, context.steady)) return false
         // What spot machines may run can wait for them, unless it would be late.
         val spotIsCheaper = tasks.job.spec.spotAllowed && type.spotPrice < type.price
-        return offer.spot || tasks.pressing || !spotIsCheaper
+        return offer.spot || tasks.mayRentOnDemand || !spotIsCheaper
     }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -80,7 +80,7 @@
     }
 
     /** Whether the machines are known, so that renting may begin: what is listed later might be rented. */
-    val known: Boolean get() = recorded || !isFirstLeader
+    val isKnown: Boolean get() = recorded || !isFirstLeader
 
     /** The write that is due, if [room] has a place for it. */
     fun next(room: TransactionBudget): Write? {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
@@ -42,7 +42,7 @@
     fun admits(zone: Int): Boolean = (chosenZone == NO_ZONE || zone == chosenZone) && spreadRoom(zone) > 0
 
     /** A task may be in a zone that is not known: `together` has to wait. */
-    val blocked: Boolean get() = job.spec.together && (tasksInUnknownZones > 0 || tasksByZone.size > 1)
+    val isBlocked: Boolean get() = job.spec.together && (tasksInUnknownZones > 0 || tasksByZone.size > 1)
 
     /** Binds a job that has no zone yet to the one whose [machines] have most room for it. */
     fun chooseZone(machines: List<Machine>) {
@@ -55,7 +55,7 @@
     }
 
     /** How many more tasks may go to [zone]. */
-    fun roomIn(zone: Int): Int = if (job.spec.together && zone != chosenZone) 0 else spreadRoom(zone)
+    fun maxNewTasksIn(zone: Int): Int = if (job.spec.together && zone != chosenZone) 0 else spreadRoom(zone)
 
     private fun spreadRoom(zone: Int): Int {
         if (!job.spec.spread) return Int.MAX_VALUE
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -59,7 +59,7 @@
         heldOnly: Boolean,
     ): Int {
         val zones = ZoneConstraint(job, fleet)
-        if (zones.blocked) return 0
+        if (zones.isBlocked) return 0
         val fitting = fitting(job, machines, heldOnly)
         if (fitting.isEmpty()) return 0
         val candidates = sample(fitting, wanted, job)
@@ -91,7 +91,7 @@
             var left = count
             for (machine in machines) {
                 if (left == 0) break
-                var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.roomIn(machine.zone))
+                var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.maxNewTasksIn(machine.zone))
                 if (spread) tasks = minOf(tasks, replicas.maxPerMachine(job) - replicas.countOn(machine, job))
                 if (tasks <= 0) continue
                 assignTo(machine, tasks)
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -88,7 +88,7 @@
             val zones = zonesWithout(attempt)
             val target = target(attempt, zones, placeable)
             if (target == null && !outOfTime(attempt)) {
-                unplaced.add(UnplacedTasks(attempt.job, 1, pressing = true, zones))
+                unplaced.add(UnplacedTasks(attempt.job, 1, mayRentOnDemand = true, zones))
                 return
             }
             if (target != null) begin(Migration(attempt, target))
@@ -123,7 +123,7 @@
         if (!job.placeable || job.backoff.notBefore > context.steady || target !in placeable) return false
         if (!job.taskResources.fitsIn(target.roundRoom) || !mayUse(job, target)) return false
         val zones = ZoneConstraint(job, fleet)
-        if (zones.blocked || !zones.admits(target.zone)) return false
+        if (zones.isBlocked || !zones.admits(target.zone)) return false
         return withinQuota(job, given)
     }
 
@@ -184,7 +184,7 @@
     /** One that holds the image if there is any, then one that has few replicas of the service, then the fullest. */
     private fun target(attempt: Attempt, zones: ZoneConstraint, placeable: List<Machine>): Machine? {
         val job = attempt.job
-        if (zones.blocked) return null
+        if (zones.isBlocked) return null
         return placeable
             .filter { job.taskResources.fitsIn(it.roundRoom) && mayUse(job, it) && zones.admits(it.zone) }
             .minWithOrNull(
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -52,7 +52,7 @@
         when {
             known?.state != null -> respondStatus(call, spec.id, status(known))
             spec.id in accepting -> accepting.add(spec.id, call)
-            !fleet.catalogKnown -> responder.respondUnavailable(call)
+            !fleet.isCatalogKnown -> responder.respondUnavailable(call)
             !canEverRun(spec) -> responder.respond(call, HttpStatus.UNPROCESSABLE)
             !jobs.recordFits(spec) -> responder.respond(call, HttpStatus.BAD_REQUEST)
             writer.stalled() || accepting.size >= MAX_ACCEPTING -> responder.respondUnavailable(call)
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -178,7 +178,7 @@
         for (line in version.records(StaticMachines.KEY)) {
             val staticMachines = StaticMachines(CoreContext(1), limits).also { it.load(row(line)) }
             assertEquals(fields(line).texts("names").toSet(), staticMachines.names)
-            assertTrue(staticMachines.known)
+            assertTrue(staticMachines.isKnown)
         }
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -202,7 +202,7 @@
         val list = context.drain().filterIsInstance<Effect.Cloud>().single { it.op is CloudOp.Machines }
         fleet.start(2)
         context.reply(Input.Cloud(list.ticket, CloudReply.Machines(ListedPage(emptyList(), false))))
-        assertEquals(false, fleet.heardFromAllListed())
+        assertEquals(false, fleet.hasHeartbeatFromAllListed())
         assertDropped(mapOf(DroppedInput.REPLY_LATE to 1L))
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
@@ -56,7 +56,7 @@
             )
         memory.load(KeyValue(ImageLocations.KEY + "/0", value, 1))
         val m = heartbeat(epoch = 4)
-        memory.recall(m)
+        memory.restoreCachedImages(m)
         assertTrue(names.images.intern("k") in m.images)
         assertTrue(names.images.intern("k") in m.cachedImages)
         assertFalse(names.images.intern("i") in m.images)
--- a/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
@@ -16,7 +16,7 @@
                 gone.add(machine.name)
             }
 
-            override fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) = Unit
+            override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) = Unit
         }
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val table = MachineTable(context, Interners(), LEASE_MS, events).also { it.start(1) }
