--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -11,8 +11,8 @@
 import org.chalkhollow.model.MachineType
 
 /**
- * Owns what the cloud says there is: the catalog of machine types, and the list of machines. The list lags behind, so a
- * machine counts as gone only when it was missing for longer than that and sends no heartbeats. Called by [Fleet].
+ * Owns what the cloud reports: the catalog of machine types and the list of machines. The list lags behind, so a
+ * machine is removed only after it was missing for longer than the lag and sends no heartbeats. Called by [Fleet].
  */
 class CloudInventory(
     private val context: CoreContext,
@@ -22,81 +22,80 @@
     private val staticMachines: StaticMachines,
     listLagS: Double,
 ) {
-    private var catalogAt = Machine.NEVER
-    private var catalogBusy = false
-    private var listAt = Machine.NEVER
-    private var listBusy = false
-    private val missingMs = (listLagS * 2 * MS_PER_S).toLong() + LIST_MS * 2
+    private var catalogReadAtMs = Machine.NEVER
+    private var isReadingCatalog = false
+    private var listReadAtMs = Machine.NEVER
+    private var isReadingList = false
+    private val missingAfterMs = (listLagS * 2 * MS_PER_S).toLong() + LIST_INTERVAL_MS * 2
 
     var isCatalogKnown = false
         private set
 
-    /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
-    var minBootMs = UNKNOWN_BOOT_MS
+    /** The shortest boot time of all types; half a minute while the catalog is not known. */
+    var minBootMs = DEFAULT_MIN_BOOT_MS
         private set
 
     fun start() {
-        listBusy = false
-        listAt = Machine.NEVER
+        isReadingList = false
+        listReadAtMs = Machine.NEVER
     }
 
-    /** Reads the catalog when it is due; a follower reads it once, so that it can place at once when it leads. */
+    /** Reads the catalog when it is due. A follower reads it once, so that it can place tasks as soon as it leads. */
     fun readCatalogIfDue(leading: Boolean) {
-        if (catalogBusy) return
-        val due = catalogAt == Machine.NEVER || leading && context.steady - catalogAt > CATALOG_MS
+        if (isReadingCatalog) return
+        val due = catalogReadAtMs == Machine.NEVER || leading && context.steady - catalogReadAtMs > CATALOG_INTERVAL_MS
         if (!due || !cloud.trySpend()) return
-        catalogBusy = true
+        isReadingCatalog = true
         cloud.send(CloudOp.Catalog) { reply ->
-            catalogBusy = false
+            isReadingCatalog = false
             if (reply is CloudReply.Catalog) onCatalog(reply.types)
         }
     }
 
     private fun onCatalog(types: List<MachineType>) {
-        catalogAt = context.steady
+        catalogReadAtMs = context.steady
         isCatalogKnown = true
         for (type in types) {
             val index = names.types.intern(type.name)
             while (table.types.size <= index) table.types.add(null)
             table.types[index] = type
         }
-        val leastBootS = types.minOfOrNull { it.bootS } ?: return
-        minBootMs = (leastBootS * MS_PER_S).toLong()
+        val minBootS = types.minOfOrNull { it.bootS } ?: return
+        minBootMs = (minBootS * MS_PER_S).toLong()
     }
 
-    /** Reads the list of machines when it is due. */
     fun readListIfDue() {
-        if (listBusy || context.steady - listAt <= LIST_MS) return
-        if (cloud.trySpend()) readList(after = null, found = HashSet())
+        if (isReadingList || context.steady - listReadAtMs <= LIST_INTERVAL_MS) return
+        if (cloud.trySpend()) readList(after = null, foundNames = HashSet())
     }
 
-    /** Reads the pages of the list from the one that follows [after]; [found] has the names on those before. */
-    private fun readList(after: String?, found: HashSet<String>) {
-        listBusy = true
+    /** Reads the pages of the list that follow the name [after]; [foundNames] has the names on the pages before. */
+    private fun readList(after: String?, foundNames: HashSet<String>) {
+        isReadingList = true
         cloud.sendInTerm(CloudOp.Machines(after)) { reply ->
-            listBusy = false
+            isReadingList = false
             if (reply is CloudReply.Machines) {
-                onPage(reply.page, found)
+                onPage(reply.page, foundNames)
             } else {
-                listAt = context.steady - LIST_MS / 2
+                listReadAtMs = context.steady - LIST_INTERVAL_MS / 2
             }
         }
     }
 
-    private fun onPage(page: ListedPage, found: HashSet<String>) {
+    private fun onPage(page: ListedPage, foundNames: HashSet<String>) {
         for (listed in page.machines) {
-            found.add(listed.name)
-            onListed(listed)
+            foundNames.add(listed.name)
+            updateListed(listed)
         }
-        val last = page.machines.lastOrNull()?.name
-        if (page.more && last != null) return readList(last, found)
-        listAt = context.steady
-        staticMachines.onList(found)
-        dropUnlisted(found)
+        val lastName = page.machines.lastOrNull()?.name
+        if (page.more && lastName != null) return readList(lastName, foundNames)
+        listReadAtMs = context.steady
+        staticMachines.onMachinesListed(foundNames)
+        removeMissing(foundNames)
     }
 
-    private fun onListed(listed: ListedMachine) {
-        if (table.isGone(listed.name)) return
+    private fun updateListed(listed: ListedMachine) {
+        if (table.isRemoved(listed.name)) return
         val machine = table.getOrAdd(listed.name)
         if (machine.state == Machine.State.DELETING) return
         machine.cloud.recordListed(listed.status, context.steady)
@@ -107,28 +106,28 @@
         if (listed.address.isNotEmpty()) machine.address = listed.address
     }
 
-    /** A machine that was listed and no longer is, and sends no heartbeats, is gone. */
-    private fun dropUnlisted(found: Set<String>) {
+    /** Removes machines that are missing from the list and send no heartbeats. */
+    private fun removeMissing(foundNames: Set<String>) {
         for (machine in ArrayList(table.all)) {
-            if (machine.name !in found && isMissing(machine)) table.remove(machine)
+            if (machine.name !in foundNames && isMissing(machine)) table.remove(machine)
         }
     }
 
     private fun isMissing(machine: Machine): Boolean {
         if (machine.state == Machine.State.UP || machine.state == Machine.State.DELETING) return false
-        // Its lease has to expire first.
+        // Its attempts may run until its lease expires.
         if (machine.state == Machine.State.BOOTING && machine.attempts.isNotEmpty()) return false
-        val lastKnownAt = if (machine.cloud.isListed) machine.cloud.listedAt else machine.cloud.createdAt
-        return context.steady - lastKnownAt > missingMs
+        val lastKnownAtMs = if (machine.cloud.isListed) machine.cloud.listedAt else machine.cloud.createdAt
+        return context.steady - lastKnownAtMs > missingAfterMs
     }
 
-    /** Whether every machine that the cloud lists as up has sent a heartbeat; never before a list was read. */
+    /** Whether every machine that the cloud lists as up has sent a heartbeat; false until the first list is read. */
     fun hasHeartbeatFromAllListed(): Boolean =
-        listAt != Machine.NEVER && table.all.none { it.cloud.isListedUp && it.state == Machine.State.BOOTING }
+        listReadAtMs != Machine.NEVER && table.all.none { it.cloud.isListedUp && it.state == Machine.State.BOOTING }
 
     private companion object {
-        const val CATALOG_MS = 60_000L
-        const val LIST_MS = 4000L
-        const val UNKNOWN_BOOT_MS = 30_000L
+        const val CATALOG_INTERVAL_MS = 60_000L
+        const val LIST_INTERVAL_MS = 4000L
+        const val DEFAULT_MIN_BOOT_MS = 30_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -12,10 +12,10 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns what is known of each machine from its heartbeats: its state, its worker's epoch and lease. Nothing on a machine
- * counts as gone before its lease has certainly expired, its epoch has ended, or its deletion is confirmed. What the
- * cloud lists and how the fleet is scaled belongs to its parts: [CloudInventory], [ScaleOut] and [ScaleIn]. Called by
- * the controller; the others read the machines here.
+ * Owns what heartbeats tell about each machine: its state, and its worker's epoch and lease. The attempts on a machine
+ * are all confirmed absent at once when its lease has certainly expired, its epoch has ended, or its deletion is
+ * confirmed, never earlier. [CloudInventory] reads the cloud's lists, [ScaleOut] and [ScaleIn] scale the fleet. Called
+ * by the controller; other modules read the machines here.
  */
 class Fleet(
     private val context: CoreContext,
@@ -31,7 +31,7 @@
     private val cloud = CloudRequests(context, settings.cloudRps)
     private val reachability = MachineReachability(context, settings.heartbeatIntervalS, settings.leaseS)
     private val leaseExpiry = LeaseExpiry(context, table, events, leaseMs)
-    private val spotNotices = SpotNotices(context)
+    private val terminationNotices = SpotTerminationNotices(context)
     private val inventory = CloudInventory(context, names, table, cloud, staticMachines, settings.listLagS)
     private val scaleOut = ScaleOut(context, names, table, cloud, reachability, settings, options, label)
     private val scaleIn = ScaleIn(context, table, cloud, reachability, staticMachines, options, leaseMs)
@@ -41,7 +41,7 @@
     val machines: Collection<Machine> get() = table.all
     val isCatalogKnown: Boolean get() = inventory.isCatalogKnown
 
-    /** Whether the fleet may have to be scaled out further at once. */
+    /** Whether more machines may have to be rented at once, without waiting for the next interval. */
     val mayScaleOutMore: Boolean get() = scaleOut.mayScaleOutMore
 
     fun start(newFencingToken: Long) {
@@ -56,90 +56,89 @@
 
     fun find(name: String): Machine? = table.find(name)
 
-    /** CPUs of the machines of one type that are up or on their way; of all if [type] is negative. */
+    /** CPUs of the machines of one type that are up or booting; of all types if [type] is negative. */
     fun cpus(type: Int): Double = table.cpus(type)
 
     fun cpusOf(machine: Machine): Double = table.cpusOf(machine)
 
-    /** How soon a machine can be there at the best; half a minute while the catalog is not known. */
+    /** The shortest boot time of all types; half a minute while the catalog is not known. */
     fun minBootMs(): Long = inventory.minBootMs
 
-    /** Whether every machine that the cloud lists as up has sent a heartbeat; never before a list was read. */
+    /** Whether every machine that the cloud lists as up has sent a heartbeat; false until the first list is read. */
     fun hasHeartbeatFromAllListed(): Boolean = inventory.hasHeartbeatFromAllListed()
 
-    /** Machines that take new tasks, see [MachineTable.placeable]. */
+    /** Machines that accept new tasks, see [MachineTable.placeable]. */
     fun placeable(): List<Machine> = table.placeable()
 
-    /** Whether tasks of [job] may run on machines of this kind; room and type aside. */
+    /** Whether the type, zone and spot constraints of [job] allow machines of this kind; capacity is not checked. */
     fun allows(job: OpenJob, type: Int, zone: Int, spot: Boolean): Boolean = table.allows(job, type, zone, spot)
 
     /**
-     * Takes in the sender of a heartbeat; null for a machine that is gone or an epoch that has ended. A heartbeat that
-     * is not newer than what is known, such as a copy that was held up on its way, changes nothing.
+     * Records a heartbeat and returns its machine; null if the machine was removed or the epoch has ended. A heartbeat
+     * that is no newer than the last one answered, such as a delayed copy, changes nothing.
      */
     fun observe(heartbeat: WorkerHeartbeat): Machine? {
-        if (table.isGone(heartbeat.machine)) return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
+        if (table.isRemoved(heartbeat.machine)) return drop(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         val machine = table.getOrAdd(heartbeat.machine)
         val lease = machine.lease
         if (lease.hasEnded(heartbeat.epoch) || machine.state == Machine.State.DELETING) {
-            return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
+            return drop(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         }
         if (heartbeat.epoch == lease.epoch && heartbeat.seq <= lease.answeredSeq) {
-            val repeated = heartbeat.seq == lease.answeredSeq
-            context.dropped.count(if (repeated) DroppedInput.HEARTBEAT_REPEATED else DroppedInput.HEARTBEAT_LATE)
+            val isRepeated = heartbeat.seq == lease.answeredSeq
+            context.dropped.count(if (isRepeated) DroppedInput.HEARTBEAT_REPEATED else DroppedInput.HEARTBEAT_LATE)
             return machine
         }
         update(machine, heartbeat)
         return machine
     }
 
-    private fun dropped(input: DroppedInput): Machine? {
+    private fun drop(input: DroppedInput): Machine? {
         context.dropped.count(input)
         return null
     }
 
-    /** Takes in a heartbeat that is newer than all that were answered. */
+    /** Records a heartbeat that is newer than all that were answered. */
     private fun update(machine: Machine, heartbeat: WorkerHeartbeat) {
         machine.describe(names.types.intern(heartbeat.type), names.zones.intern(heartbeat.zone), heartbeat.spot)
         machine.address = heartbeat.address
-        val newEpoch = heartbeat.epoch > machine.lease.epoch
-        if (newEpoch) beginEpoch(machine, heartbeat.epoch)
-        val atOurFencingToken = heartbeat.fencingToken >= table.fencingToken
-        val showsOurFencingToken = !hasShownOurFencingToken(machine) && atOurFencingToken
-        reachability.onHeartbeat(machine, newEpoch, showsOurFencingToken, atOurFencingToken)
-        if (machine.state != Machine.State.UP || showsOurFencingToken) context.changed()
+        val isNewEpoch = heartbeat.epoch > machine.lease.epoch
+        if (isNewEpoch) beginEpoch(machine, heartbeat.epoch)
+        val hasCurrentToken = heartbeat.fencingToken >= table.fencingToken
+        val isFirstWithToken = !hasShownCurrentToken(machine) && hasCurrentToken
+        reachability.onHeartbeat(machine, isNewEpoch, isFirstWithToken, hasCurrentToken)
+        if (machine.state != Machine.State.UP || isFirstWithToken) context.changed()
         machine.markUp()
         machine.lease.recordHeartbeat(heartbeat.fencingToken, context.steady)
-        spotNotices.onHeartbeat(machine, heartbeat.noticeS)
+        terminationNotices.onHeartbeat(machine, heartbeat.noticeS)
     }
 
-    private fun hasShownOurFencingToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
+    private fun hasShownCurrentToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
 
     private fun beginEpoch(machine: Machine, epoch: Long) {
-        if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasShownOurFencingToken(machine))
+        if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasShownCurrentToken(machine))
         machine.lease.beginEpoch(epoch)
         machine.availability.endQuarantine()
         machine.reconciled = null
         machine.images.clear()
-        machine.images.addAll(machine.cachedImages) // its cache outlives the epoch; what it was fetching does not
+        machine.images.addAll(machine.cachedImages) // the cache outlives the epoch, fetches in progress do not
     }
 
-    /** The machine carried out a direct command: our messages reach it. */
+    /** [machine] executed a command of this controller, so this controller's messages reach it. */
     fun confirmReachable(machine: Machine) = reachability.onProof(machine)
 
-    /** Whether it is uncertain that our messages reach [machine], so that it is to be probed; true once in a while. */
+    /** Whether [machine] is to be probed with a direct command now; if so, the probe is recorded as sent. */
     fun beginProbeIfDue(machine: Machine): Boolean {
-        if (machine.state != Machine.State.UP || !hasShownOurFencingToken(machine)) return false
+        if (machine.state != Machine.State.UP || !hasShownCurrentToken(machine)) return false
         return context.steady - machine.lease.heartbeatAt < leaseMs && reachability.beginProbeIfDue(machine)
     }
 
-    /** Expires the leases that have certainly run out. */
-    fun expireLeases() = leaseExpiry.run()
+    /** Expires the leases that have certainly ended. */
+    fun expireLeases() = leaseExpiry.expireDue()
 
     /**
-     * Reads from the cloud what is due, and scales the fleet by at most one request. Only a leader scales, and a
-     * request without a reply is repeated before anything else is scaled. [headroomCpus] are to stay free for
-     * urgent work.
+     * Reads from the cloud what is due, and scales the fleet by at most one request. Only a leader scales. A rental of
+     * unknown outcome is repeated before anything else is scaled. [headroomCpus] stay free for urgent work.
      */
     fun tick(leading: Boolean, unplaced: List<UnplacedTasks>, mayScaleOut: Boolean, headroomCpus: Double = 0.0) {
         cloud.refill()
@@ -147,7 +146,7 @@
         inventory.readCatalogIfDue(leading)
         if (!leading || !isCatalogKnown) return
         inventory.readListIfDue()
-        scaleIn.cordonOverpriced(tasksWait = unplaced.isNotEmpty(), headroomCpus)
+        scaleIn.cordonOverpriced(hasUnplacedTasks = unplaced.isNotEmpty(), headroomCpus)
         if (cloud.isScaling) return
         if (scaleOut.isPending) return scaleOut.retry()
         if (scaleIn.deleteUnneeded(unplaced)) return
--- a/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
@@ -6,8 +6,9 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns which machines have idled for too long. The operator's own machines stay, and rented ones may idle beside them
- * while they cost less than [OperatorSettings.standbyShare] of what those do. Called by [ScaleIn].
+ * Owns which machines have been idle for too long. The operator's own machines stay. Rented machines may stay idle as a
+ * standby while together they cost less than [OperatorSettings.standbyShare] of what the operator's own machines cost.
+ * Called by [ScaleIn].
  */
 class IdleMachines(
     private val context: CoreContext,
@@ -20,38 +21,38 @@
         machine.availability.recordIdle(idle, context.steady)
     }
 
-    /** The machines that need not be kept; with [withoutStandby] none is kept as a standby. */
-    fun expendable(withoutStandby: Boolean): List<Machine> {
+    /** The idle machines that can be deleted; with [withoutStandby] none is kept as a standby. */
+    fun deletable(withoutStandby: Boolean): List<Machine> {
         val idle = table.all.filter { isIdle(it) && it.name !in staticMachines.names }
-        val idleTooLong = idle.filter { context.steady - it.availability.idleSince > idleAllowedMs(it) }
+        val idleTooLong = idle.filter { context.steady - it.availability.idleSince > maxIdleMs(it) }
         if (idleTooLong.isEmpty()) return emptyList()
-        val expendable = beyondStandby(idleTooLong, withoutStandby)
-        return expendable.take(maxOf(0, idle.size - options.spareMachines))
+        val deletable = exceedingStandby(idleTooLong, withoutStandby)
+        return deletable.take(maxOf(0, idle.size - options.spareMachines))
     }
 
-    /** The cheapest are kept on standby as long as the share of the price allows; the others go. */
-    private fun beyondStandby(machines: List<Machine>, withoutStandby: Boolean): List<Machine> {
-        var standbyPrice = if (withoutStandby) 0.0 else options.standbyShare * staticMachinesPrice()
-        val beyond = ArrayList<Machine>()
+    /** Keeps the cheapest machines as a standby, up to the price that is allowed for it; returns the others. */
+    private fun exceedingStandby(machines: List<Machine>, withoutStandby: Boolean): List<Machine> {
+        var remainingStandbyPrice = if (withoutStandby) 0.0 else options.standbyShare * staticMachinesPrice()
+        val exceeding = ArrayList<Machine>()
         for (machine in machines.sortedByDescending(::priceOf).reversed()) {
-            standbyPrice -= priceOf(machine)
-            if (standbyPrice < 0) beyond.add(machine)
+            remainingStandbyPrice -= priceOf(machine)
+            if (remainingStandbyPrice < 0) exceeding.add(machine)
         }
-        return beyond
+        return exceeding
     }
 
     private fun isIdle(machine: Machine): Boolean =
         machine.state == Machine.State.UP && machine.availability.idleSince != Machine.NEVER &&
             !machine.availability.draining
 
-    /** The dearer a machine is, compared with the cheapest way to have its like, the sooner it goes. */
-    private fun idleAllowedMs(machine: Machine): Double {
-        val allowedMs = options.idleReturnS * MS_PER_S
-        val type = table.types.getOrNull(machine.type) ?: return allowedMs
+    /** How long a machine may idle: the more it costs compared with the cheapest offer of its type, the shorter. */
+    private fun maxIdleMs(machine: Machine): Double {
+        val baseMaxIdleMs = options.idleReturnS * MS_PER_S
+        val type = table.types.getOrNull(machine.type) ?: return baseMaxIdleMs
         val price = priceOf(machine)
-        if (price <= 0) return allowedMs
-        val cheapest = minOf(type.price, type.spotPrice)
-        return allowedMs * minOf(1.0, cheapest / price)
+        if (price <= 0) return baseMaxIdleMs
+        val cheapestPrice = minOf(type.price, type.spotPrice)
+        return baseMaxIdleMs * minOf(1.0, cheapestPrice / price)
     }
 
     private fun staticMachinesPrice(): Double = table.all.filter { it.name in staticMachines.names }.sumOf(::priceOf)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ImageLocations.kt
@@ -13,9 +13,10 @@
 import java.util.TreeSet
 
 /**
- * Owns what is stored of which machine holds which images. Heartbeats do not tell, and a new leader that did not know
- * would send tasks to fetch again what lies ready elsewhere. It is a hint: losing it costs time, never correctness. The
- * controller loads and stores it, and `HeartbeatHandler` recalls it for each machine that is heard of.
+ * Owns the stored record of which machines have cached which images. Heartbeats do not contain it, and without it a new
+ * leader would start tasks on machines that have to fetch an image again that others have cached. It is a hint: losing
+ * it costs time, never correctness. The controller loads and stores it, and `HeartbeatHandler` restores it for each
+ * machine that sends heartbeats.
  */
 class ImageLocations(
     private val context: CoreContext,
@@ -23,23 +24,23 @@
     private val limits: StateLimits,
     private val fleet: Fleet,
 ) {
-    /** The images of machines that have not been heard of yet, by their names. */
-    private val remembered = HashMap<String, List<String>>()
-    private var writtenAt = 0L
+    /** Stored images of machines that have not sent a heartbeat yet, by machine name. */
+    private val imagesByUnseenMachine = HashMap<String, List<String>>()
+    private var lastWriteAtMs = 0L
     private var nextPage = 0
 
-    /** Machines of one page, which is one value; each takes about [MACHINE_BYTES]. */
-    private val pageSize = maxOf(1, limits.valueBytes / MACHINE_BYTES)
+    /** A page is one value; each machine takes about [TYPICAL_MACHINE_BYTES] of it. */
+    private val machinesPerPage = maxOf(1, limits.valueBytes / TYPICAL_MACHINE_BYTES)
     private val writtenPages = HashMap<Int, Map<String, Any?>>()
 
-    /** Pages that an earlier leader left, perhaps of another size: they are written anew, or removed. */
+    /** Pages that an earlier leader wrote, perhaps with another page size; they are rewritten or removed. */
     private val inheritedPages = TreeSet<Int>()
 
     fun start() {
-        remembered.clear()
+        imagesByUnseenMachine.clear()
         writtenPages.clear()
         inheritedPages.clear()
-        writtenAt = context.steady
+        lastWriteAtMs = context.steady
     }
 
     fun load(row: KeyValue) {
@@ -49,47 +50,51 @@
         val images = fields.texts(IMAGES)
         for ((machine, value) in Fields.of(fields.map[HELD], row.key).map) {
             val indices = (value as? List<*>)?.mapNotNull { (it as? Long)?.toInt() } ?: continue
-            // The first is the epoch that this was noted in. Earlier versions took a new one for an empty cache.
-            remembered[machine] = indices.drop(1).mapNotNull(images::getOrNull)
+            // The first number is the epoch at the time of the write; it is ignored. Earlier versions took a new epoch
+            // for an empty cache.
+            imagesByUnseenMachine[machine] = indices.drop(1).mapNotNull(images::getOrNull)
         }
         for (machine in fleet.machines) restoreCachedImages(machine)
     }
 
-    /** Gives [machine] back what it held, also when its lease has expired since. */
+    /** Restores the stored images of [machine], even if its lease has expired since they were stored. */
     fun restoreCachedImages(machine: Machine) {
         if (machine.lease.epoch == 0L) return
-        for (image in remembered.remove(machine.name) ?: return) {
+        for (image in imagesByUnseenMachine.remove(machine.name) ?: return) {
             val index = names.images.intern(image)
             machine.images.add(index)
             machine.cachedImages.add(index)
         }
     }
 
-    /** One page at a time, in turn, when it has changed: this must not take the place of what users wait for. */
-    fun next(room: TransactionBudget): Write? {
-        if (room.ops < 1 || room.bytes < limits.valueBytes) return null
-        val pages = (names.machines.size + pageSize - 1) / pageSize
-        if (pages == 0 || context.steady - writtenAt < maxOf(PAGE_MS, ALL_PAGES_MS / pages)) return null
-        writtenAt = context.steady
+    /**
+     * Returns the write of one page, in turn, if it is due and the page has changed; else null. Only one page is
+     * written at a time, since these writes must not displace those that users wait for.
+     */
+    fun next(budget: TransactionBudget): Write? {
+        if (budget.ops < 1 || budget.bytes < limits.valueBytes) return null
+        val pages = (names.machines.size + machinesPerPage - 1) / machinesPerPage
+        if (pages == 0 || context.steady - lastWriteAtMs < maxOf(MIN_INTERVAL_MS, ALL_PAGES_MS / pages)) return null
+        lastWriteAtMs = context.steady
         val page = nextPage % pages
         nextPage = page + 1
-        val value = value(page)
+        val value = pageValue(page)
         val wasInherited = inheritedPages.remove(page)
-        if (!wasInherited && value == (writtenPages[page] ?: EMPTY)) return removalBeyond(pages)
+        if (!wasInherited && value == (writtenPages[page] ?: EMPTY_PAGE)) return removeInheritedBeyond(pages)
         writtenPages[page] = value
         return Write(listOf(Change("$KEY/$page", value)), onRefused = { writtenPages.remove(page) }) {}
     }
 
-    /** Removes one of the inherited pages after the last of ours. */
-    private fun removalBeyond(pages: Int): Write? {
+    /** Removes one inherited page beyond the [pages] in use; null if there is none. */
+    private fun removeInheritedBeyond(pages: Int): Write? {
         val page = inheritedPages.ceiling(pages) ?: return null
         inheritedPages.remove(page)
         return Write(listOf(Change("$KEY/$page", null)), onRefused = {}) {}
     }
 
-    private fun value(page: Int): Map<String, Any?> {
+    private fun pageValue(page: Int): Map<String, Any?> {
         val builder = PageBuilder()
-        for (id in page * pageSize until minOf((page + 1) * pageSize, names.machines.size)) {
+        for (id in page * machinesPerPage until minOf((page + 1) * machinesPerPage, names.machines.size)) {
             val machine = fleet.find(names.machines.name(id)) ?: continue
             if (machine.cachedImages.isEmpty() || machine.state != Machine.State.UP) continue
             if (!builder.add(machine)) break
@@ -97,38 +102,39 @@
         return builder.value()
     }
 
-    /** Collects machines while a value can hold them; images are named once and referred to by their index. */
+    /** Collects machines up to the size of a value. Each image is named once and referred to by its index. */
     private inner class PageBuilder {
         private val images = LinkedHashMap<Int, Int>()
-        private val held = LinkedHashMap<String, List<Long>>()
-        private var size = VALUE_BYTES
+        private val indicesByMachine = LinkedHashMap<String, List<Long>>()
+        private var bytes = VALUE_OVERHEAD_BYTES
 
-        /** False if there is no room for [machine]. */
+        /** Returns false if [machine] does not fit into the value. */
         fun add(machine: Machine): Boolean {
             val newImages = machine.cachedImages.filter { it !in images }
             val newBytes = newImages.sumOf { EncodedSize.of(names.images.name(it)) + 1 }
-            size += EncodedSize.of(machine.name) + ROW_BYTES + machine.cachedImages.size * INDEX_BYTES + newBytes
-            if (size > limits.valueBytes) return false
+            bytes += EncodedSize.of(machine.name) + MACHINE_BYTES + machine.cachedImages.size * INDEX_BYTES + newBytes
+            if (bytes > limits.valueBytes) return false
             val indices = machine.cachedImages.map { image -> images.getOrPut(image) { images.size }.toLong() }
-            held[machine.name] = listOf(machine.lease.epoch) + indices
+            indicesByMachine[machine.name] = listOf(machine.lease.epoch) + indices
             return true
         }
 
-        fun value(): Map<String, Any?> = mapOf(IMAGES to images.keys.map(names.images::name), HELD to held)
+        fun value(): Map<String, Any?> = mapOf(IMAGES to images.keys.map(names.images::name), HELD to indicesByMachine)
     }
 
     companion object {
         const val KEY = "fleet/images"
         private const val ALL_PAGES_MS = 3000L
-        private const val PAGE_MS = 500L
-        private const val MACHINE_BYTES = 128
+        private const val MIN_INTERVAL_MS = 500L
+        private const val TYPICAL_MACHINE_BYTES = 128
 
-        // What a value, the row of a machine beside its name, and an image's index in it take at the most.
-        private const val VALUE_BYTES = 64
-        private const val ROW_BYTES = 12
+        // Upper bounds for an empty value, for a machine's entry without its name, and for an image's index in the
+        // entry.
+        private const val VALUE_OVERHEAD_BYTES = 64
+        private const val MACHINE_BYTES = 12
         private const val INDEX_BYTES = 6
         private const val IMAGES = "images"
         private const val HELD = "held"
-        private val EMPTY = mapOf<String, Any?>(IMAGES to emptyList<String>(), HELD to emptyMap<String, Any?>())
+        private val EMPTY_PAGE = mapOf<String, Any?>(IMAGES to emptyList<String>(), HELD to emptyMap<String, Any?>())
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
@@ -4,8 +4,8 @@
 import org.chalkhollow.core.common.CoreContext
 
 /**
- * Owns when workers' leases have certainly expired. Only then does what was on a machine that has fallen silent count
- * as gone, so the moment has to be late by any drift of clocks, never early. Called by [Fleet].
+ * Owns when workers' leases have certainly expired. Only then are the attempts on a machine that sends no heartbeats
+ * confirmed absent. Clocks drift, so expiry may be detected late but never early. Called by [Fleet].
  */
 class LeaseExpiry(
     private val context: CoreContext,
@@ -13,26 +13,29 @@
     private val events: MachineEvents,
     leaseMs: Long,
 ) {
-    /** After this long without an answered heartbeat a lease has certainly expired. */
-    private val expiresAfterMs = leaseMs + leaseMs / DRIFT_OF + MARGIN_MS
+    /** A lease has certainly expired this long after the last heartbeat that was answered. */
+    private val expiresAfterMs = leaseMs + leaseMs / CLOCK_DRIFT_DIVISOR + MARGIN_MS
 
-    /** No lease expires before then: each answer puts its machine's expiry off, and one that comes later is longer. */
-    private var nextExpiryAt = 0L
+    /**
+     * No lease expires before this. Each answered heartbeat postpones its machine's expiry, and a lease that begins
+     * later also expires later.
+     */
+    private var nextExpiryAtMs = 0L
 
     fun start() {
-        nextExpiryAt = 0L
+        nextExpiryAtMs = 0L
     }
 
-    /** Expires the leases that have certainly run out. */
-    fun run() {
+    /** Expires the leases that have certainly ended. */
+    fun expireDue() {
         val now = context.steady
-        if (now < nextExpiryAt) return
-        nextExpiryAt = now + expiresAfterMs
+        if (now < nextExpiryAtMs) return
+        nextExpiryAtMs = now + expiresAfterMs
         for (machine in table.all) {
             if (machine.state != Machine.State.UP && machine.attempts.isEmpty()) continue
-            val expiresAt = machine.lease.answeredAt + expiresAfterMs
-            if (now < expiresAt) {
-                nextExpiryAt = minOf(nextExpiryAt, expiresAt)
+            val expiresAtMs = machine.lease.answeredAt + expiresAfterMs
+            if (now < expiresAtMs) {
+                nextExpiryAtMs = minOf(nextExpiryAtMs, expiresAtMs)
             } else {
                 expire(machine)
             }
@@ -40,11 +43,11 @@
     }
 
     private fun expire(machine: Machine) {
-        // One that is lost or to be deleted and still has tasks was to be deleted with them, and whether it is gone is
-        // not known yet.
-        val wasExpired = machine.state == Machine.State.LOST || machine.state == Machine.State.DELETING
-        if (!wasExpired) {
-            context.info("the lease of ${machine.name} has expired")
+        // A lost or deleting machine with attempts was to be deleted together with them; whether it is deleted is not
+        // known yet.
+        val isLostOrDeleting = machine.state == Machine.State.LOST || machine.state == Machine.State.DELETING
+        if (!isLostOrDeleting) {
+            context.info("the lease of ${machine.name} has expired; its attempts are confirmed absent")
             machine.markLost(since = context.steady)
         }
         events.onMachineGone(machine)
@@ -53,7 +56,7 @@
     private companion object {
         const val MARGIN_MS = 500L
 
-        /** Clocks of two machines drift apart by less than one part in this many. */
-        const val DRIFT_OF = 500L
+        /** The clocks of two machines drift apart by less than 1 ms in this many ms. */
+        const val CLOCK_DRIFT_DIVISOR = 500L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
@@ -4,7 +4,7 @@
 
 /** Events of machines, published by [Fleet] and [MachineTable]. */
 interface MachineEvents {
-    /** Everything on [machine] is certainly gone: it was deleted, or its lease has expired. */
+    /** No attempt on [machine] runs any more: it was deleted, or its lease has expired. */
     fun onMachineGone(machine: Machine)
 
     /**
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -5,95 +5,104 @@
 import org.chalkhollow.core.common.MS_PER_S
 
 /**
- * Owns the judgement whether our messages reach a machine. Heartbeats alone do not tell, since a network cut can stop
- * one direction only; a machine that sends heartbeats and receives nothing looks alive, and what it is given waits for
- * ever. Proofs are: its first heartbeat at our fencing token, a start of ours that shows up, a direct command that it
- * answers, and a next heartbeat that comes sooner than one can that follows a heartbeat without an answer. Where
- * heartbeats are rare, that last one is not to be had from each, so a machine is doubted only when proofs fail to come
- * for several heartbeats, then probed with a direct command, and given no more work when that brings no proof either.
- * Only placement and scaling in rest on this, no proof about attempts does. [Fleet] calls it, [ScaleIn] and [ScaleOut]
- * read it.
+ * Owns whether this controller's messages reach a machine. Heartbeats alone do not show it, since a network partition
+ * can cut one direction only: a machine that sends heartbeats but receives nothing looks healthy, and its tasks never
+ * start. These events prove that messages arrive:
+ * - the machine's first heartbeat with this leader's fencing token,
+ * - a start sent by this leader that shows up on the machine,
+ * - a direct command that the machine executes,
+ * - a heartbeat that follows the last one sooner than it could if the last one had not been answered.
+ *
+ * If heartbeats are rare, not each of them can give the last proof. So a machine is probed with a direct command only
+ * after several heartbeat intervals without proof. If the probe brings no proof either, the machine gets no new tasks.
+ * Only placement and scale-in depend on this; whether attempts are confirmed absent does not. [Fleet] calls it,
+ * [ScaleIn] and [ScaleOut] read it.
  */
 class MachineReachability(private val context: CoreContext, heartbeatIntervalS: Double, leaseS: Double) {
-    private val doubtMs = maxOf(UNANSWERED_GAP_MS, (heartbeatIntervalS * DOUBT_MS_PER_S).toLong())
-
-    /** A heartbeat is overdue after this long; silence from then on means more than that it is a little late. */
-    private val overdueMs = (heartbeatIntervalS * OVERDUE_MS_PER_S).toLong() + LATE_MS
-    private val silentMs = maxOf((leaseS * MS_PER_S / 2).toLong(), overdueMs + DIRECT_MS + LATE_MS)
-
-    /** A heartbeat of [machine] has come in that is newer than all before it. */
-    fun onHeartbeat(machine: Machine, newEpoch: Boolean, showsOurFencingToken: Boolean, atOurFencingToken: Boolean) {
-        if (newEpoch) machine.reachability.beginEpoch()
-        val soon = !newEpoch && followsSoon(machine)
-        if (atOurFencingToken && (showsOurFencingToken || soon)) machine.reachability.recordProof(context.steady)
-        judge(machine, atOurFencingToken)
+    private val proofMaxAgeMs = maxOf(UNANSWERED_GAP_MS, (heartbeatIntervalS * PROOF_AGE_MS_PER_INTERVAL_S).toLong())
+
+    /** A heartbeat that has not come after this long is overdue, not just a little late. */
+    private val overdueAfterMs = (heartbeatIntervalS * OVERDUE_MS_PER_INTERVAL_S).toLong() + MAX_DELAY_MS
+    private val unresponsiveAfterMs =
+        maxOf((leaseS * MS_PER_S / 2).toLong(), overdueAfterMs + COMMAND_TIMEOUT_MS + MAX_DELAY_MS)
+
+    /**
+     * Handles a heartbeat of [machine] that is newer than all before it. [hasCurrentToken]: it shows this leader's
+     * fencing token; [isFirstWithToken]: for the first time.
+     */
+    fun onHeartbeat(machine: Machine, isNewEpoch: Boolean, isFirstWithToken: Boolean, hasCurrentToken: Boolean) {
+        if (isNewEpoch) machine.reachability.beginEpoch()
+        val followsAnswered = !isNewEpoch && followsAnsweredHeartbeat(machine)
+        if (hasCurrentToken && (isFirstWithToken || followsAnswered)) machine.reachability.recordProof(context.steady)
+        updateReachable(machine, hasCurrentToken)
     }
 
-    /** Whether a heartbeat now comes too soon after the last one for that to have had no answer. */
-    private fun followsSoon(machine: Machine): Boolean {
-        val last = machine.lease.heartbeatAt
-        return last != Machine.NEVER && context.steady - last < UNANSWERED_GAP_MS
+    /** Whether a heartbeat at this moment follows the last one so soon that the last one must have been answered. */
+    private fun followsAnsweredHeartbeat(machine: Machine): Boolean {
+        val lastHeartbeatAtMs = machine.lease.heartbeatAt
+        return lastHeartbeatAtMs != Machine.NEVER && context.steady - lastHeartbeatAtMs < UNANSWERED_GAP_MS
     }
 
-    /** [machine] did what only one that our messages reach does. */
+    /** [machine] did something that only a machine does that this controller's messages reach. */
     fun onProof(machine: Machine) {
         machine.reachability.recordProof(context.steady)
-        judge(machine, atOurFencingToken = true)
+        updateReachable(machine, hasCurrentToken = true)
     }
 
-    private fun judge(machine: Machine, atOurFencingToken: Boolean) {
-        val provedLately = context.steady - machine.reachability.provedAt < doubtMs + PROBE_EVERY_MS
-        val changed = machine.reachability.update(atOurFencingToken && provedLately, context.steady)
+    private fun updateReachable(machine: Machine, hasCurrentToken: Boolean) {
+        val isProofRecent = context.steady - machine.reachability.provedAt < proofMaxAgeMs + PROBE_INTERVAL_MS
+        val changed = machine.reachability.update(hasCurrentToken && isProofRecent, context.steady)
         if (changed) context.changed()
     }
 
-    /** Whether to probe [machine] now with a direct command; if so, the probe is taken as sent. */
+    /** Whether to probe [machine] with a direct command now; if so, the probe is recorded as sent. */
     fun beginProbeIfDue(machine: Machine): Boolean {
-        if (machine.commandInFlight || !isDoubtful(machine)) return false
+        if (machine.commandInFlight || !needsProbe(machine)) return false
         val now = context.steady
-        if (now - machine.reachability.probedAt < PROBE_EVERY_MS) return false
+        if (now - machine.reachability.probedAt < PROBE_INTERVAL_MS) return false
         machine.reachability.recordProbe(now)
         return true
     }
 
-    private fun isDoubtful(machine: Machine): Boolean {
-        if (machine.busy && overdue(machine)) return true
-        return context.steady - machine.reachability.provedAt >= doubtMs
+    private fun needsProbe(machine: Machine): Boolean {
+        if (machine.busy && isHeartbeatOverdue(machine)) return true
+        return context.steady - machine.reachability.provedAt >= proofMaxAgeMs
     }
 
     /** Whether a heartbeat should have come from [machine] by now. */
-    fun overdue(machine: Machine): Boolean {
-        val last = machine.lease.heartbeatAt
-        return last != Machine.NEVER && context.steady - last > overdueMs
+    fun isHeartbeatOverdue(machine: Machine): Boolean {
+        val lastHeartbeatAtMs = machine.lease.heartbeatAt
+        return lastHeartbeatAtMs != Machine.NEVER && context.steady - lastHeartbeatAtMs > overdueAfterMs
     }
 
-    /** Whether [machine] has sent nothing for long, not even the reply to a probe. */
-    fun silent(machine: Machine): Boolean {
+    /** Whether [machine] has sent nothing for [unresponsiveAfterMs], not even a reply to a probe. */
+    fun isUnresponsive(machine: Machine): Boolean {
         if (machine.lease.heartbeatAt == Machine.NEVER) return false
         val now = context.steady
         val probedAt = machine.reachability.probedAt
-        val lastSignAt = maxOf(machine.lease.heartbeatAt, machine.reachability.provedAt)
-        return now - lastSignAt > silentMs && probedAt > lastSignAt && now - probedAt > DIRECT_MS
+        val lastSignAtMs = maxOf(machine.lease.heartbeatAt, machine.reachability.provedAt)
+        return now - lastSignAtMs > unresponsiveAfterMs &&
+            probedAt > lastSignAtMs && now - probedAt > COMMAND_TIMEOUT_MS
     }
 
     private companion object {
         /**
-         * A worker that gets no answer waits 4 s for it and sends its next heartbeat after another one, a little less
-         * by our clock.
+         * A worker that gets no response waits 4 s for it and sends its next heartbeat 1 s later. On this controller's
+         * clock that can be a little less.
          */
         const val UNANSWERED_GAP_MS = 4500L
 
-        /** A machine is doubted when there was no proof for three heartbeat intervals. */
-        const val DOUBT_MS_PER_S = 3000
+        /** A machine is probed after three heartbeat intervals without proof. */
+        const val PROOF_AGE_MS_PER_INTERVAL_S = 3000
 
-        /** Workers send heartbeats after three quarters to five quarters of their interval; later ones are overdue. */
-        const val OVERDUE_MS_PER_S = 1250
+        /** Workers send heartbeats after 0.75 to 1.25 of their interval; later ones are overdue. */
+        const val OVERDUE_MS_PER_INTERVAL_S = 1250
 
-        /** How much later than expected an answer or a heartbeat may be. */
-        const val LATE_MS = 500L
+        /** How much later than expected a response or a heartbeat may arrive. */
+        const val MAX_DELAY_MS = 500L
 
         /** How long a direct command waits for its reply. */
-        const val DIRECT_MS = 3000L
-        const val PROBE_EVERY_MS = 4000L
+        const val COMMAND_TIMEOUT_MS = 3000L
+        const val PROBE_INTERVAL_MS = 4000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -7,8 +7,8 @@
 import org.chalkhollow.model.MachineType
 
 /**
- * Owns which machines this leader knows, and the cloud's machine types. A machine that is certainly gone is taken out
- * once and never comes back, however late a heartbeat or a list names it. [Fleet] and its parts share it.
+ * Owns the machines that this leader knows, and the cloud's machine types. A removed machine is never added again,
+ * however late a heartbeat or a list names it. [Fleet] and its parts share it.
  */
 class MachineTable(
     private val context: CoreContext,
@@ -17,7 +17,7 @@
     private val events: MachineEvents,
 ) {
     private val byName = LinkedHashMap<String, Machine>()
-    private val gone = HashSet<String>()
+    private val removedNames = HashSet<String>()
 
     val all: MutableCollection<Machine> get() = byName.values
     val size: Int get() = byName.size
@@ -28,75 +28,76 @@
     /** The fencing token of this term as leader, and when the term began. */
     var fencingToken = 0L
         private set
-    var takenOverAt = 0L
+    var termStartedAtMs = 0L
         private set
 
     fun start(newFencingToken: Long) {
         byName.clear()
-        gone.clear()
+        removedNames.clear()
         fencingToken = newFencingToken
-        takenOverAt = context.steady
+        termStartedAtMs = context.steady
     }
 
-    /** The machine of this [name]; one that is not known yet is taken in. */
+    /** Returns the machine [name]; adds it if it is not known yet. */
     fun getOrAdd(name: String): Machine =
         byName.getOrPut(name) {
             Machine(names.machines.intern(name), name, context.steady).also {
-                it.lease.assumeAnsweredUntil(takenOverAt) // by an earlier leader
+                it.lease.assumeAnsweredUntil(termStartedAtMs) // an earlier leader may have answered it until then
             }
         }
 
     fun find(name: String): Machine? = byName[name]
 
-    fun isGone(name: String): Boolean = name in gone
+    fun isRemoved(name: String): Boolean = name in removedNames
 
     fun remove(machine: Machine) {
         events.onMachineGone(machine)
         byName.remove(machine.name)
-        gone.add(machine.name)
+        removedNames.add(machine.name)
     }
 
     /** CPUs of the machines that are up or booting. */
-    fun cpus(): Double = byName.values.sumOf { if (it.upOrBooting) cpusOf(it) else 0.0 }
+    fun cpus(): Double = byName.values.sumOf { if (it.isUpOrBooting) cpusOf(it) else 0.0 }
 
-    /** CPUs of those of one type; all if [type] is negative. */
+    /** CPUs of the machines of one type that are up or booting; of all types if [type] is negative. */
     fun cpus(type: Int): Double {
         if (type < 0) return cpus()
-        return byName.values.sumOf { if (it.type == type && it.upOrBooting) cpusOf(it) else 0.0 }
+        return byName.values.sumOf { if (it.type == type && it.isUpOrBooting) cpusOf(it) else 0.0 }
     }
 
-    private val Machine.upOrBooting: Boolean get() = state == Machine.State.UP || state == Machine.State.BOOTING
+    private val Machine.isUpOrBooting: Boolean get() = state == Machine.State.UP || state == Machine.State.BOOTING
 
     fun cpusOf(machine: Machine): Double = types.getOrNull(machine.type)?.room?.cpus ?: 0.0
 
     fun priceOf(type: Int, spot: Boolean): Double =
         types.getOrNull(type)?.let { if (spot) it.spotPrice else it.price } ?: 0.0
 
-    fun bootS(machine: Machine): Double = types.getOrNull(machine.type)?.bootS ?: UNKNOWN_BOOT_S
+    fun bootS(machine: Machine): Double = types.getOrNull(machine.type)?.bootS ?: DEFAULT_BOOT_S
 
     /**
-     * Machines that take new tasks: up, of a type that the catalog lists, heard from lately, reachable, and neither
-     * being emptied nor in quarantine.
+     * Machines that accept new tasks: up, of a type that the catalog lists, reachable, not about to be reclaimed,
+     * neither drained, cordoned nor quarantined, and [isFreshAndNotFull].
      */
-    fun placeable(): List<Machine> = byName.values.filter { it.takesTasks && heardLately(it) && isTypeListed(it) }
+    fun placeable(): List<Machine> = byName.values.filter { it.takesTasks && isFreshAndNotFull(it) && isTypeListed(it) }
 
     private val Machine.takesTasks: Boolean
         get() = state == Machine.State.UP && reachability.reachable && availability.acceptsTasks
 
-    private fun heardLately(machine: Machine): Boolean =
+    /** Whether the last heartbeat is less than half a lease old and the worker has not just found the machine full. */
+    private fun isFreshAndNotFull(machine: Machine): Boolean =
         context.steady >= machine.fullUntil && context.steady - machine.lease.heartbeatAt < leaseMs / 2
 
     private fun isTypeListed(machine: Machine): Boolean = types.getOrNull(machine.type) != null
 
-    /** Whether tasks of [job] may run on machines of this kind; room and type aside. */
+    /** Whether the type, zone and spot constraints of [job] allow machines of this kind; capacity is not checked. */
     fun allows(job: OpenJob, type: Int, zone: Int, spot: Boolean): Boolean {
-        val typeAllowed = job.types == null || type in job.types
-        val zoneAllowed = job.zone < 0 || job.zone == zone
-        return typeAllowed && zoneAllowed && (!spot || job.spec.spotAllowed)
+        val isTypeAllowed = job.types == null || type in job.types
+        val isZoneAllowed = job.zone < 0 || job.zone == zone
+        return isTypeAllowed && isZoneAllowed && (!spot || job.spec.spotAllowed)
     }
 
     private companion object {
-        /** How long a machine of a type that the catalog does not list is expected to boot. */
-        const val UNKNOWN_BOOT_S = 60.0
+        /** Boot time assumed for a machine of a type that the catalog does not list. */
+        const val DEFAULT_BOOT_S = 60.0
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferBackoff.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferBackoff.kt
@@ -1,29 +1,32 @@
 package org.chalkhollow.core.fleet
 
-/** Owns until when offers that the cloud refused are not asked for again: for longer after each refusal in a row. */
+/**
+ * Owns until when offers are not requested again after the cloud rejected them or had too few machines. The backoff
+ * grows with each such reply in a row.
+ */
 class OfferBackoff {
-    private val refusedUntil = HashMap<Offer, Long>()
-    private val nextWaitMs = HashMap<Offer, Long>()
+    private val backedOffUntilMs = HashMap<Offer, Long>()
+    private val nextBackoffMs = HashMap<Offer, Long>()
 
     fun start() {
-        refusedUntil.clear()
-        nextWaitMs.clear()
+        backedOffUntilMs.clear()
+        nextBackoffMs.clear()
     }
 
-    fun isRefused(offer: Offer, now: Long): Boolean = now < (refusedUntil[offer] ?: 0)
+    fun isBackedOff(offer: Offer, nowMs: Long): Boolean = nowMs < (backedOffUntilMs[offer] ?: 0)
 
-    fun onRefused(offer: Offer, now: Long) {
-        val waitMs = minOf(MAX_WAIT_MS, nextWaitMs[offer] ?: FIRST_WAIT_MS)
-        refusedUntil[offer] = now + waitMs
-        nextWaitMs[offer] = waitMs + waitMs / 2
+    fun onUnavailable(offer: Offer, nowMs: Long) {
+        val backoffMs = minOf(MAX_BACKOFF_MS, nextBackoffMs[offer] ?: FIRST_BACKOFF_MS)
+        backedOffUntilMs[offer] = nowMs + backoffMs
+        nextBackoffMs[offer] = backoffMs + backoffMs / 2
     }
 
-    fun onGranted(offer: Offer) {
-        nextWaitMs.remove(offer)
+    fun reset(offer: Offer) {
+        nextBackoffMs.remove(offer)
     }
 
     private companion object {
-        const val FIRST_WAIT_MS = 5000L
-        const val MAX_WAIT_MS = 20_000L
+        const val FIRST_BACKOFF_MS = 5000L
+        const val MAX_BACKOFF_MS = 20_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
@@ -15,8 +15,8 @@
 class WantedMachines(val offer: Offer, val count: Int)
 
 /**
- * Chooses what to rent for tasks that neither the machines that are up nor those that boot have room for: for each the
- * cheapest offer that is not refused now, within the bounds on the fleet's size. Sends nothing; called by [ScaleOut].
+ * Chooses what to rent for tasks that fit neither the machines that are up nor those that boot: for each the cheapest
+ * offer that is not backed off, within the bounds on the fleet's size. Sends nothing; called by [ScaleOut].
  */
 class OfferSelector(
     private val context: CoreContext,
@@ -28,113 +28,114 @@
     options: OperatorSettings,
 ) {
     /**
-     * All teams together may use this much, and half again for the room that tasks leave over; what is beyond it would
-     * idle.
+     * The limits of all teams together, and half as much again, since tasks leave part of the machines' capacity
+     * unused. More CPUs would stay idle.
      */
-    private val maxCpus = settings.teams.sumOf { it.cpusMax } * ROOM_LEFT_OVER
+    private val maxCpus = settings.teams.sumOf { it.cpusMax } * FRAGMENTATION_FACTOR
     private val maxMachines = if (options.maxMachines == 0) Int.MAX_VALUE else options.maxMachines
-    private val unreachedZones = UnreachedZones(context, table, reachability, settings.leaseMs)
+    private val unreachableZones = UnreachableZones(context, table, reachability, settings.leaseMs)
 
-    /** The fleet as it would be with what has been chosen so far. */
+    /** The fleet together with the machines chosen so far. */
     private inner class ExpectedFleet {
-        val rooms = roomsOfBooting()
+        val machines = bootingMachines()
         val machinesByZone = HashMap<Int, Int>()
-        private var machines = table.size
+        private var machineCount = table.size
         private var cpus = table.cpus()
 
-        val isFull: Boolean get() = machines >= maxMachines || cpus >= maxCpus
+        val isFull: Boolean get() = machineCount >= maxMachines || cpus >= maxCpus
 
         init {
             for (machine in table.all) machinesByZone.merge(machine.zone, 1, Int::plus)
         }
 
-        fun add(room: ExpectedRoom) {
-            rooms.add(room)
-            machinesByZone.merge(room.zone, 1, Int::plus)
-            machines++
-            cpus += room.room.cpus
+        fun add(machine: ExpectedMachine) {
+            machines.add(machine)
+            machinesByZone.merge(machine.zone, 1, Int::plus)
+            machineCount++
+            cpus += machine.freeCapacity.cpus
         }
     }
 
-    /** The room of a machine that boots or is to be rented, while it is dealt out to the tasks that wait. */
-    private class ExpectedRoom(val type: Int, val zone: Int, val spot: Boolean, var room: Resources) {
-        /** Deals room to as many of [count] tasks as fit; returns how many. */
-        fun deal(job: OpenJob, count: Int): Int {
-            val fitting = minOf(count, job.taskResources.countIn(room))
-            if (fitting > 0) room = room.without(job.taskResources, fitting)
+    /** A machine that boots or is to be rented, with the capacity that is not allocated yet. */
+    private class ExpectedMachine(val type: Int, val zone: Int, val spot: Boolean, var freeCapacity: Resources) {
+        /** Allocates capacity to as many of [count] tasks as fit; returns how many. */
+        fun allocate(job: OpenJob, count: Int): Int {
+            val fitting = minOf(count, job.taskResources.countIn(freeCapacity))
+            if (fitting > 0) freeCapacity = freeCapacity.without(job.taskResources, fitting)
             return fitting
         }
     }
 
-    /** What is wanted for the most urgent of [unplaced] that need machines to be rented; null if none do. */
+    /** The machines to rent for the most urgent of [unplaced] that need any; null if none do. */
     fun select(unplaced: List<UnplacedTasks>): WantedMachines? {
-        unreachedZones.update()
+        unreachableZones.update()
         val fleet = ExpectedFleet()
         val wanted = LinkedHashMap<Offer, Int>()
         for (tasks in unplaced) addOffers(tasks, fleet, wanted)
         val (offer, count) = wanted.entries.firstOrNull() ?: return null
-        return WantedMachines(offer, minOf(count, MAX_COUNT))
+        return WantedMachines(offer, minOf(count, MAX_MACHINES_PER_REQUEST))
     }
 
-    /** Adds to [wanted] what [tasks] need beyond the rooms of [fleet]. */
+    /** Adds to [wanted] the machines that [tasks] need beyond those of [fleet]. */
     private fun addOffers(tasks: UnplacedTasks, fleet: ExpectedFleet, wanted: MutableMap<Offer, Int>) {
-        var left = countWithoutRoom(tasks, fleet.rooms)
-        while (left > 0 && !fleet.isFull) {
-            val offer = cheapest(tasks, fleet.machinesByZone) ?: return
+        var remaining = countUnplaced(tasks, fleet.machines)
+        while (remaining > 0 && !fleet.isFull) {
+            val offer = cheapestOffer(tasks, fleet.machinesByZone) ?: return
             val capacity = table.types[offer.type]?.room ?: return
-            val room = ExpectedRoom(offer.type, offer.zone, offer.spot, capacity)
+            val machine = ExpectedMachine(offer.type, offer.zone, offer.spot, capacity)
             wanted.merge(offer, 1, Int::plus)
-            fleet.add(room)
-            left -= room.deal(tasks.job, left)
-            if (wanted.getValue(offer) >= MAX_COUNT) return
+            fleet.add(machine)
+            remaining -= machine.allocate(tasks.job, remaining)
+            if (wanted.getValue(offer) >= MAX_MACHINES_PER_REQUEST) return
         }
     }
 
-    private fun roomsOfBooting(): MutableList<ExpectedRoom> =
+    private fun bootingMachines(): MutableList<ExpectedMachine> =
         table.all
             .filter { it.state == Machine.State.BOOTING && it.isTypeKnown && !it.cloud.failed && !isOverdue(it) }
-            .map { ExpectedRoom(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NOTHING) }
+            .map { ExpectedMachine(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NOTHING) }
             .toMutableList()
 
-    /** Whether a machine has booted for twice as long as its type takes, so that it may never come up. */
+    /** Whether a machine has booted for twice its type's boot time, so that it may never come up. */
     private fun isOverdue(machine: Machine): Boolean =
         context.steady - machine.cloud.createdAt > table.bootS(machine) * 2 * MS_PER_S
 
-    /** Deals [rooms] out to [tasks]; returns how many tasks are left. */
-    private fun countWithoutRoom(tasks: UnplacedTasks, rooms: List<ExpectedRoom>): Int {
-        var left = tasks.count
-        for (room in rooms) {
-            if (left == 0) break
-            val usable = tasks.admits(room.zone) && table.allows(tasks.job, room.type, room.zone, room.spot)
-            if (usable) left -= room.deal(tasks.job, left)
+    /** Allocates capacity of [machines] to [tasks]; returns how many tasks are left. */
+    private fun countUnplaced(tasks: UnplacedTasks, machines: List<ExpectedMachine>): Int {
+        var remaining = tasks.count
+        for (machine in machines) {
+            if (remaining == 0) break
+            val isUsable =
+                tasks.admits(machine.zone) && table.allows(tasks.job, machine.type, machine.zone, machine.spot)
+            if (isUsable) remaining -= machine.allocate(tasks.job, remaining)
         }
-        return left
+        return remaining
     }
 
     private class PricedOffer(val offer: Offer, val price: Double)
 
-    /** The offer with the lowest price for one of [tasks], among those not refused lately. */
-    private fun cheapest(tasks: UnplacedTasks, machinesByZone: Map<Int, Int>): Offer? {
+    /** The eligible offer with the lowest price per task of [tasks]; null if there is none. */
+    private fun cheapestOffer(tasks: UnplacedTasks, machinesByZone: Map<Int, Int>): Offer? {
         var best: PricedOffer? = null
         for ((index, type) in table.types.withIndex()) {
             if (type == null || !tasks.job.fitsType(index, type)) continue
             for (zoneName in type.zones) {
                 val zone = names.zones.intern(zoneName)
-                if (zone in unreachedZones || !tasks.admits(zone)) continue
-                best = cheaper(best, tasks, index, type, zone, machinesByZone[zone] ?: 0)
+                if (zone in unreachableZones || !tasks.admits(zone)) continue
+                best = cheaperOf(best, tasks, index, type, zone, machinesByZone[zone] ?: 0)
             }
         }
         return best?.offer
     }
 
-    /** The better of [best] and what [type] costs in [zone], which has [machinesThere] already. */
-    private fun cheaper(
+    /** The cheaper of [best] and the offers of [type] in [zone], which has [machinesInZone] already. */
+    private fun cheaperOf(
         best: PricedOffer?,
         tasks: UnplacedTasks,
         index: Int,
         type: MachineType,
         zone: Int,
-        machinesThere: Int,
+        machinesInZone: Int,
     ): PricedOffer? {
         val tasksPerMachine = tasks.job.taskResources.countIn(type.room)
         if (tasksPerMachine <= 0) return best
@@ -142,8 +143,8 @@
         for (spot in SPOT_FIRST) {
             val offer = Offer(index, zone, spot)
             if (!isEligible(tasks, offer, type)) continue
-            // Ties between zones go to the one with fewer machines, so that no zone holds them all.
-            val price = table.priceOf(index, spot) / tasksPerMachine * (1 + machinesThere * ZONE_TIE)
+            // At equal prices the zone with fewer machines is chosen, so that no zone holds them all.
+            val price = table.priceOf(index, spot) / tasksPerMachine * (1 + machinesInZone * ZONE_TIE_FRACTION)
             if (better == null || price < better.price) better = PricedOffer(offer, price)
         }
         return better
@@ -151,20 +152,18 @@
 
     private fun isEligible(tasks: UnplacedTasks, offer: Offer, type: MachineType): Boolean {
         if (!table.allows(tasks.job, offer.type, offer.zone, offer.spot)) return false
-        if (backoff.isRefused(offer, context.steady)) return false
-        // What spot machines may run can wait for them, unless it would be late.
+        if (backoff.isBackedOff(offer, context.steady)) return false
+        // Tasks that may run on spot machines wait for those if they are cheaper, unless they would be late.
         val spotIsCheaper = tasks.job.spec.spotAllowed && type.spotPrice < type.price
         return offer.spot || tasks.mayRentOnDemand || !spotIsCheaper
     }
 
     private companion object {
         val SPOT_FIRST = booleanArrayOf(true, false)
-        const val ROOM_LEFT_OVER = 1.5
+        const val FRAGMENTATION_FACTOR = 1.5
+        const val MAX_MACHINES_PER_REQUEST = 50
 
-        /** Machines of one request. */
-        const val MAX_COUNT = 50
-
-        /** Less than any two prices differ by. */
-        const val ZONE_TIE = 1e-4
+        /** Less than the relative difference between any two prices. */
+        const val ZONE_TIE_FRACTION = 1e-4
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OverpricedMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OverpricedMachines.kt
@@ -4,42 +4,45 @@
 import org.chalkhollow.core.common.CoreContext
 
 /**
- * Owns which machines are cordoned to save money: when little is asked for, tasks spread thinly over machines that cost
- * more than their like can be had for. A few at a time those take no more tasks, run dry and are deleted; as soon as
- * anything waits they are back in use. Called by [ScaleIn].
+ * Owns which machines are cordoned to save cost. At low load tasks are spread thinly over machines that cost more than
+ * the cheapest offer of their type. A few of these at a time are cordoned, and deleted once their tasks have ended. As
+ * soon as any task waits, all are uncordoned. Called by [ScaleIn].
  */
 class OverpricedMachines(
     private val context: CoreContext,
     private val table: MachineTable,
     private val staticMachines: StaticMachines,
 ) {
-    private var tasksWaitedAt = Machine.NEVER
-    private var cordonedAt = Machine.NEVER
+    private var tasksLastWaitedAtMs = Machine.NEVER
+    private var lastCordonedAtMs = Machine.NEVER
 
     private class Overpriced(val machine: Machine, val freeCpus: Double)
 
     fun uncordonAll() {
-        tasksWaitedAt = context.steady
+        tasksLastWaitedAtMs = context.steady
         for (machine in table.all) machine.availability.uncordon()
     }
 
-    /** Cordons a few machines, if no task has waited for a while and [headroomCpus] and more stay free without them. */
+    /**
+     * Cordons a few machines if no task has waited for [NO_WAITING_TASKS_MS] and the other machines keep
+     * [FREE_HEADROOM_FACTOR] times [headroomCpus] free.
+     */
     fun cordonSome(headroomCpus: Double) {
         val now = context.steady
-        if (now - tasksWaitedAt < CALM_MS || now - cordonedAt < CORDON_EVERY_MS) return
-        val overpriced = find()
+        if (now - tasksLastWaitedAtMs < NO_WAITING_TASKS_MS || now - lastCordonedAtMs < CORDON_INTERVAL_MS) return
+        val overpriced = findOverpriced()
         if (overpriced.isEmpty()) return
         var freeCpus = table.placeable().sumOf(::freeCpus)
-        for (candidate in overpriced.take(maxOf(1, overpriced.size / CORDONED_PART))) {
+        for (candidate in overpriced.take(maxOf(1, overpriced.size / OVERPRICED_PER_CORDONED))) {
             freeCpus -= candidate.freeCpus
-            if (freeCpus < headroomCpus * HEADROOMS_KEPT) return
+            if (freeCpus < headroomCpus * FREE_HEADROOM_FACTOR) return
             candidate.machine.availability.cordon()
-            cordonedAt = now
+            lastCordonedAtMs = now
         }
     }
 
-    /** The emptiest first. */
-    private fun find(): List<Overpriced> =
+    /** Overpriced machines, those with the most free CPUs first. */
+    private fun findOverpriced(): List<Overpriced> =
         table
             .placeable()
             .filter(::isOverpriced)
@@ -51,19 +54,19 @@
     private fun isOverpriced(machine: Machine): Boolean {
         val type = table.types.getOrNull(machine.type) ?: return false
         if (machine.name in staticMachines.names) return false
-        // A replica never ends, so a machine that has one would never run dry.
+        // A replica runs until its job is cancelled, so its machine would never become idle.
         if (machine.attempts.any { it.job.service }) return false
         return table.priceOf(machine.type, machine.spot) > minOf(type.price, type.spotPrice)
     }
 
     private companion object {
-        const val CALM_MS = 3000L
-        const val CORDON_EVERY_MS = 1500L
+        const val NO_WAITING_TASKS_MS = 3000L
+        const val CORDON_INTERVAL_MS = 1500L
 
         /** One in this many of the overpriced machines is cordoned at a time. */
-        const val CORDONED_PART = 15
+        const val OVERPRICED_PER_CORDONED = 15
 
-        /** So many times the headroom for urgent work stays free on the machines that are not cordoned. */
-        const val HEADROOMS_KEPT = 2.0
+        /** The machines that are not cordoned keep this many times the headroom for urgent work free. */
+        const val FREE_HEADROOM_FACTOR = 2.0
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -9,9 +9,9 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Owns which machines are deleted: those that failed, never came up, were lost, fail their tasks, are silent or
- * unreachable, and those that idle. A machine with tasks on it is deleted only where a confirmed deletion is the sooner
- * proof that they are gone. Called by [Fleet].
+ * Owns which machines are deleted: those that failed, did not boot, were lost, fail their tasks, are unresponsive or
+ * unreachable, and those that are idle for too long. A machine with tasks is deleted only where the confirmed deletion
+ * shows sooner than its lease that they do not run any more. Called by [Fleet].
  */
 class ScaleIn(
     private val context: CoreContext,
@@ -22,61 +22,62 @@
     options: OperatorSettings,
     private val leaseMs: Long,
 ) {
-    private val silentMachines = SilentMachines(context, table, reachability, leaseMs)
+    private val unresponsiveMachines = UnresponsiveMachines(context, table, reachability, leaseMs)
     private val idleMachines = IdleMachines(context, table, staticMachines, options)
     private val overpricedMachines = OverpricedMachines(context, table, staticMachines)
 
-    /** A machine that sends heartbeats but receives nothing for this long is deleted: it can run nothing, and costs. */
-    private val unreachableMs = maxOf(leaseMs * UNREACHABLE_LEASES, UNREACHABLE_MIN_MS)
+    /**
+     * A machine that sends heartbeats but is unreachable for this long is deleted: it can run nothing but still costs.
+     */
+    private val unreachableAfterMs = maxOf(leaseMs * UNREACHABLE_LEASE_COUNT, UNREACHABLE_MIN_MS)
 
-    /** Cordons a few machines that cost too much, and none while tasks wait; [headroomCpus] stay free. */
-    fun cordonOverpriced(tasksWait: Boolean, headroomCpus: Double) {
-        if (tasksWait) overpricedMachines.uncordonAll() else overpricedMachines.cordonSome(headroomCpus)
+    /** Cordons a few overpriced machines, keeping [headroomCpus] free; while tasks wait, uncordons all instead. */
+    fun cordonOverpriced(hasUnplacedTasks: Boolean, headroomCpus: Double) {
+        if (hasUnplacedTasks) overpricedMachines.uncordonAll() else overpricedMachines.cordonSome(headroomCpus)
     }
 
-    /** Deletes what is of no use any more; true if a request was sent. */
+    /** Deletes machines that are not needed any more; true if a request was sent. */
     fun deleteUnneeded(unplaced: List<UnplacedTasks>): Boolean {
-        val unneeded = useless() + idle(unplaced)
+        val unneeded = unusableMachines() + idleMachinesToDelete(unplaced)
         if (unneeded.isEmpty() || !cloud.trySpend()) return false
-        delete(unneeded.take(MAX_DELETED))
+        delete(unneeded.take(MAX_MACHINES_PER_REQUEST))
         return true
     }
 
-    private fun useless(): List<Machine> {
-        val silent = silentMachines.find()
-        val useless = ArrayList(silent)
+    private fun unusableMachines(): List<Machine> {
+        val unresponsive = unresponsiveMachines.find()
+        val unusable = ArrayList(unresponsive)
         for (machine in table.all) {
-            if (machine.state == Machine.State.DELETING || machine in silent) continue
+            if (machine.state == Machine.State.DELETING || machine in unresponsive) continue
             idleMachines.update(machine)
             drainIfFaulty(machine)
-            if (isUseless(machine)) useless.add(machine)
+            if (isUnusable(machine)) unusable.add(machine)
         }
-        return useless
+        return unusable
     }
 
-    /** Idle machines that no task waits for. */
-    private fun idle(unplaced: List<UnplacedTasks>): List<Machine> {
-        // Work that no machine can take waits for ever if idle machines of other kinds fill the room that the cloud
-        // gives.
-        val stuck = unplaced.any { tasks -> table.all.none { couldTake(it, tasks.job) } }
-        if (unplaced.isNotEmpty() && !stuck) return emptyList()
+    /** Idle machines that no waiting task could use. */
+    private fun idleMachinesToDelete(unplaced: List<UnplacedTasks>): List<Machine> {
+        // A job that fits no machine would wait forever if idle machines of other kinds used up the cloud's capacity.
+        val isSomeJobStuck = unplaced.any { tasks -> table.all.none { couldRun(it, tasks.job) } }
+        if (unplaced.isNotEmpty() && !isSomeJobStuck) return emptyList()
         return idleMachines
-            .expendable(withoutStandby = stuck)
-            .filter { machine -> unplaced.none { couldTake(machine, it.job) } }
+            .deletable(withoutStandby = isSomeJobStuck)
+            .filter { machine -> unplaced.none { couldRun(machine, it.job) } }
     }
 
     private fun drainIfFaulty(machine: Machine) {
-        if (machine.failedJobs.size < FAULTY_JOBS || machine.availability.draining) return
+        if (machine.failedJobs.size < DRAIN_AFTER_FAILED_JOBS || machine.availability.draining) return
         machine.availability.drain()
         context.changed()
-        context.info("${machine.name} fails every task and is drained")
+        context.info("draining ${machine.name}: tasks of ${machine.failedJobs.size} jobs failed on it in a row")
     }
 
-    private fun isUseless(machine: Machine): Boolean =
+    private fun isUnusable(machine: Machine): Boolean =
         when {
             machine.cloud.failed && machine.state != Machine.State.UP -> true
-            machine.state == Machine.State.LOST -> context.steady - machine.lostAt > LOST_MS
-            machine.state == Machine.State.BOOTING -> neverCameUp(machine)
+            machine.state == Machine.State.LOST -> context.steady - machine.lostAt > DELETE_LOST_AFTER_MS
+            machine.state == Machine.State.BOOTING -> hasFailedToBoot(machine)
             isUnreachable(machine) -> true
             machine.availability.draining -> !machine.busy
             machine.availability.cordoned && machine.state == Machine.State.UP -> machine.vacant
@@ -85,24 +86,25 @@
         }
 
     /**
-     * A new leader has no heartbeats yet of machines that have long been up: they are given time to find it. An earlier
-     * version deleted those that a list named before their first heartbeat came in.
+     * Whether [machine] has not come up in time. A new leader first waits two leases, since machines that have long
+     * been up need time to find it. An earlier version deleted machines that were in a list before their first
+     * heartbeat came in.
      */
-    private fun neverCameUp(machine: Machine): Boolean {
+    private fun hasFailedToBoot(machine: Machine): Boolean {
         if (machine.attempts.isNotEmpty()) return false
-        if (context.steady - table.takenOverAt <= leaseMs * 2) return false
-        val mostBootMs = table.bootS(machine) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS
-        return context.steady - machine.cloud.createdAt > mostBootMs
+        if (context.steady - table.termStartedAtMs <= leaseMs * 2) return false
+        val maxBootMs = table.bootS(machine) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS
+        return context.steady - machine.cloud.createdAt > maxBootMs
     }
 
     private fun isUnreachable(machine: Machine): Boolean {
         val since = machine.reachability.unreachableSince
         if (machine.state != Machine.State.UP || since == Machine.NEVER) return false
         val now = context.steady
-        return now - since > unreachableMs && now - table.takenOverAt > unreachableMs
+        return now - since > unreachableAfterMs && now - table.termStartedAtMs > unreachableAfterMs
     }
 
-    private fun couldTake(machine: Machine, job: OpenJob): Boolean {
+    private fun couldRun(machine: Machine, job: OpenJob): Boolean {
         val type = table.types.getOrNull(machine.type) ?: return false
         return table.allows(job, machine.type, machine.zone, machine.spot) && job.fitsType(machine.type, type) &&
             !job.backoff.avoids(machine.id, context.steady)
@@ -115,23 +117,25 @@
             if (reply is CloudReply.Deleted) {
                 machines.forEach(table::remove)
             } else {
-                // They may or may not be gone: they stay out of use and are deleted again at once.
-                machines.forEach { it.markLost(since = context.steady - LOST_MS) }
+                // They may or may not be deleted: they stay out of use, and are deleted again at once.
+                machines.forEach { it.markLost(since = context.steady - DELETE_LOST_AFTER_MS) }
             }
         }
     }
 
     private companion object {
-        const val UNREACHABLE_LEASES = 3
+        const val UNREACHABLE_LEASE_COUNT = 3
         const val UNREACHABLE_MIN_MS = 30_000L
-        const val LOST_MS = 45_000L
+        const val DELETE_LOST_AFTER_MS = 45_000L
 
-        /** A machine that has not come up after so many times its usual boot time, and some seconds, never will. */
+        /**
+         * A machine that has not come up after this many times its type's boot time, plus [BOOT_SLACK_MS], never will.
+         */
         const val BOOT_FACTOR = 4
         const val BOOT_SLACK_MS = 10_000L
 
-        /** A machine on which so many jobs failed in a row is faulty. */
-        const val FAULTY_JOBS = 2
-        const val MAX_DELETED = 100
+        /** A machine is drained when tasks of this many jobs have failed on it in a row. */
+        const val DRAIN_AFTER_FAILED_JOBS = 2
+        const val MAX_MACHINES_PER_REQUEST = 100
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
@@ -8,9 +8,8 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns the requests that rent machines; [OfferSelector] says for what. At most one has no reply, and it is repeated
- * under its name until the outcome is known: requests are idempotent, so the cloud carries it out at most once. Called
- * by [Fleet].
+ * Owns the requests that rent machines; [OfferSelector] chooses what to rent. At most one request is pending. It is
+ * repeated under its name until its outcome is known, and the cloud executes each name at most once. Called by [Fleet].
  */
 class ScaleOut(
     private val context: CoreContext,
@@ -24,22 +23,22 @@
 ) {
     private val backoff = OfferBackoff()
     private val selector = OfferSelector(context, names, table, reachability, backoff, settings, options)
-    private var requests = 0L
+    private var requestCount = 0L
     private var pending: PendingRental? = null
-    private var retryAt = 0L
+    private var retryAtMs = 0L
 
-    /** A request whose outcome is not known yet. */
+    /** A rental of unknown outcome. */
     private class PendingRental(val offer: Offer, val request: CloudOp.Rent)
 
     /**
-     * The outcome of a request is known, and there may be more to rent: much is asked for at once at a start and after
-     * mass failures.
+     * Whether a request has concluded since the last tick, so that more machines may have to be rented at once: a start
+     * and mass failures need many.
      */
     var mayScaleOutMore = false
         private set
 
     fun start() {
-        requests = 0
+        requestCount = 0
         pending = null
         backoff.start()
     }
@@ -48,30 +47,30 @@
         mayScaleOutMore = false
     }
 
-    /** Whether a request waits for its reply or for being repeated. */
+    /** Whether a rental waits for its reply or for its retry. */
     val isPending: Boolean get() = pending != null
 
-    /** Repeats the request whose outcome is not known. */
+    /** Repeats the pending rental if its retry is due. */
     fun retry() {
         val rental = pending ?: return
-        if (context.steady >= retryAt && cloud.trySpend()) send(rental)
+        if (context.steady >= retryAtMs && cloud.trySpend()) send(rental)
     }
 
-    /** Rents for the most urgent tasks that neither the machines that are up nor those that boot have room for. */
+    /** Rents for the most urgent tasks that fit neither the machines that are up nor those that boot. */
     fun rentFor(unplaced: List<UnplacedTasks>) {
         if (unplaced.isEmpty()) return
         val wanted = selector.select(unplaced) ?: return
         if (!cloud.trySpend()) return
-        val rental = PendingRental(wanted.offer, request(wanted))
+        val rental = PendingRental(wanted.offer, rentalRequest(wanted))
         pending = rental
         send(rental)
     }
 
-    private fun request(wanted: WantedMachines): CloudOp.Rent {
-        requests++
+    private fun rentalRequest(wanted: WantedMachines): CloudOp.Rent {
+        requestCount++
         return CloudOp.Rent(
-            // The fencing token is in the name, and the label for good measure: no request name comes twice.
-            "$label-${table.fencingToken}-$requests",
+            // No name may occur twice, so it contains the fencing token and, as an extra safeguard, the label.
+            "$label-${table.fencingToken}-$requestCount",
             names.types.name(wanted.offer.type),
             names.zones.name(wanted.offer.zone),
             wanted.offer.spot,
@@ -90,16 +89,16 @@
             }
             CloudReply.NoCapacity -> {
                 pending = null
-                backoff.onRefused(rental.offer, context.steady)
+                backoff.onUnavailable(rental.offer, context.steady)
                 mayScaleOutMore = true
             }
             is CloudReply.Rejected -> {
-                context.warn("the cloud rejects a rental: ${reply.why}")
+                context.warn("the cloud rejected rental ${rental.request.request}: ${reply.why}; backing off its offer")
                 pending = null
-                backoff.onRefused(rental.offer, context.steady)
+                backoff.onUnavailable(rental.offer, context.steady)
             }
-            // Unknown or not executed: it is repeated under the same name, which rents at most once.
-            else -> retryAt = context.steady + RETRY_MS
+            // Outcome unknown or not executed: it is repeated under the same name, which rents at most once.
+            else -> retryAtMs = context.steady + RETRY_DELAY_MS
         }
     }
 
@@ -107,14 +106,14 @@
         val offer = rental.offer
         val request = rental.request
         val kind = "${request.type} in ${request.zone}${if (request.spot) " (spot)" else ""}"
-        context.info("rented ${machineNames.size} of ${request.count} $kind")
+        context.info("rented ${machineNames.size} of ${request.count} requested machines: $kind")
         for (name in machineNames) {
-            if (!table.isGone(name)) addMachine(name, offer)
+            if (!table.isRemoved(name)) addMachine(name, offer)
         }
         if (machineNames.size < request.count) {
-            backoff.onRefused(offer, context.steady)
+            backoff.onUnavailable(offer, context.steady)
         } else {
-            backoff.onGranted(offer)
+            backoff.reset(offer)
         }
     }
 
@@ -126,6 +125,6 @@
     }
 
     private companion object {
-        const val RETRY_MS = 700L
+        const val RETRY_DELAY_MS = 700L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/SpotNotices.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/SpotTerminationNotices.kt
@@ -6,9 +6,14 @@
 import org.chalkhollow.core.common.MS_PER_S
 import org.chalkhollow.core.placement.ReplicaMigration
 
-/** Takes in spot notices, and starts the graceful eviction of what runs on a reclaimed machine. Called by [Fleet]. */
-class SpotNotices(private val context: CoreContext) {
-    /** A heartbeat of [machine] says that the cloud reclaims it in [noticeS] seconds, or that it does not. */
+/**
+ * Records spot termination notices, and gracefully stops the attempts on machines that are reclaimed. Called by
+ * [Fleet].
+ */
+class SpotTerminationNotices(private val context: CoreContext) {
+    /**
+     * A heartbeat of [machine] says that the cloud reclaims it in [noticeS] seconds; null if it says that it does not.
+     */
     fun onHeartbeat(machine: Machine, noticeS: Double?) {
         val availability = machine.availability
         if (noticeS == null) {
@@ -17,19 +22,20 @@
         }
         if (!availability.hasSpotNotice) context.changed()
         availability.recordSpotNotice(context.steady + (noticeS * MS_PER_S).toLong())
-        evict(machine)
+        stopAttempts(machine)
     }
 
     /**
-     * What can write a checkpoint does so now, and what will certainly not end in time starts elsewhere at once: it
-     * would be lost here, and known to be lost only when the lease has expired.
+     * Stops attempts that can write a checkpoint, so that they write it now, and those that certainly cannot end in
+     * time, so that they start elsewhere at once. Left alone they would be lost, which is known only when the lease has
+     * expired.
      */
-    private fun evict(machine: Machine) {
-        val leftS = (machine.availability.reclaimAt - context.steady) / MS_PER_S
+    private fun stopAttempts(machine: Machine) {
+        val remainingS = (machine.availability.reclaimAt - context.steady) / MS_PER_S
         for (attempt in machine.attempts) {
             if (!attempt.onMachine || attempt.stopRequested) continue
-            if (attempt.job.service) continue // replicas are moved by [ReplicaMigration]
-            if (savesCheckpoint(attempt) || !endsWithin(attempt, leftS)) attempt.requestStop()
+            if (attempt.job.service) continue // [ReplicaMigration] moves replicas
+            if (savesCheckpoint(attempt) || !endsWithin(attempt, remainingS)) attempt.requestStop()
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
@@ -8,19 +8,19 @@
 import org.chalkhollow.core.placement.ReplicaMigration
 
 /**
- * The zone constraint of one job, `together` or `spread`, counted against every attempt that may be on a machine,
- * wherever it may be: an attempt that cannot be disproved counts as there. Made by [PlacementRound], [MachineSelector]
- * and [ReplicaMigration] for each pass over a job.
+ * The zone constraint of one job, `together` or `spread`. It counts every attempt that may be on a machine, until it
+ * has exited or is confirmed absent. Made by [PlacementRound], [MachineSelector] and [ReplicaMigration] for each pass
+ * over a job.
  */
 class ZoneConstraint(private val job: OpenJob, fleet: Fleet) {
     private val tasksByZone = HashMap<Int, Int>()
 
-    /** Tasks that may be in zones that are not known. */
+    /** Tasks on machines whose zone is not known. */
     private var tasksInUnknownZones = 0
 
-    /** The zone to which `together` binds the job; [NO_ZONE] as long as any may be chosen. */
+    /** The zone to which `together` binds the job; [NO_ZONE] while any zone may be chosen. */
     private var chosenZone = NO_ZONE
-    private val maxPerZone = (job.spec.tasks + 1) / 2
+    private val spreadMaxPerZone = (job.spec.tasks + 1) / 2
 
     init {
         if (job.spec.together || job.spec.spread) {
@@ -35,41 +35,38 @@
         if (machine.zone < 0) tasksInUnknownZones += tasks else tasksByZone.merge(machine.zone, tasks, Int::plus)
     }
 
-    /**
-     * Whether a machine in [zone] could take a task of the job as things stand; any zone may yet be chosen for one that
-     * has none.
-     */
-    fun admits(zone: Int): Boolean = (chosenZone == NO_ZONE || zone == chosenZone) && spreadRoom(zone) > 0
+    /** Whether a machine in [zone] may take a task of the job now; a `together` job without a zone admits any. */
+    fun admits(zone: Int): Boolean = (chosenZone == NO_ZONE || zone == chosenZone) && maxNewTasksBySpread(zone) > 0
 
-    /** A task may be in a zone that is not known: `together` has to wait. */
+    /** Whether `together` has to wait, because a task may be in an unknown zone or tasks are in several zones. */
     val isBlocked: Boolean get() = job.spec.together && (tasksInUnknownZones > 0 || tasksByZone.size > 1)
 
-    /** Binds a job that has no zone yet to the one whose [machines] have most room for it. */
+    /** Binds a job without a zone to the zone whose [machines] can take the most of its tasks. */
     fun chooseZone(machines: List<Machine>) {
         if (chosenZone != NO_ZONE) return
-        val roomByZone = HashMap<Int, Int>()
+        val fitCountByZone = HashMap<Int, Int>()
         for (machine in machines) {
-            roomByZone.merge(machine.zone, job.taskResources.countIn(machine.roundRoom), Int::plus)
+            fitCountByZone.merge(machine.zone, job.taskResources.countIn(machine.roundRoom), Int::plus)
         }
-        chosenZone = roomByZone.entries.maxByOrNull { it.value }?.key ?: NO_ZONE
+        chosenZone = fitCountByZone.entries.maxByOrNull { it.value }?.key ?: NO_ZONE
     }
 
     /** How many more tasks may go to [zone]. */
-    fun maxNewTasksIn(zone: Int): Int = if (job.spec.together && zone != chosenZone) 0 else spreadRoom(zone)
+    fun maxNewTasksIn(zone: Int): Int = if (job.spec.together && zone != chosenZone) 0 else maxNewTasksBySpread(zone)
 
-    private fun spreadRoom(zone: Int): Int {
+    private fun maxNewTasksBySpread(zone: Int): Int {
         if (!job.spec.spread) return Int.MAX_VALUE
-        return maxOf(0, maxPerZone - tasksInUnknownZones - (tasksByZone[zone] ?: 0))
+        return maxOf(0, spreadMaxPerZone - tasksInUnknownZones - (tasksByZone[zone] ?: 0))
     }
 
-    /** A task in [zone] will be gone. */
+    /** Stops counting a task in [zone]. */
     fun removeTask(zone: Int) {
         if (zone < 0) tasksInUnknownZones--
         if ((tasksByZone[zone] ?: 0) > 1) tasksByZone.merge(zone, -1, Int::plus) else tasksByZone.remove(zone)
         if (job.spec.together) chosenZone = tasksByZone.keys.firstOrNull() ?: NO_ZONE
     }
 
-    /** So many [tasks] are placed in [zone]. */
+    /** Counts [tasks] more tasks in [zone]. */
     fun addTasks(zone: Int, tasks: Int) {
         tasksByZone.merge(zone, tasks, Int::plus)
         if (job.spec.together && chosenZone == NO_ZONE) chosenZone = zone
--- a/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/ImageLocationsTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A worker keeps its cache when its lease expires, so what it holds is known in its next epoch, too. */
+/** A worker keeps its image cache when its lease expires, so the cached images stay known in its next epoch. */
 class ImageLocationsTest {
     private val context = CoreContext(1).also { it.now = Now(10_000, 10_000) }
     private val settings = Simulation(1).settings
@@ -29,7 +29,7 @@
         ).also {
             it.start(1)
         }
-    private val memory = ImageLocations(context, names, settings.stateLimits, fleet)
+    private val locations = ImageLocations(context, names, settings.stateLimits, fleet)
 
     private fun heartbeat(epoch: Long): Machine =
         checkNotNull(
@@ -37,28 +37,28 @@
         )
 
     @Test
-    fun `images that ran stay known in the next epoch, those on their way do not`() {
-        val m = heartbeat(epoch = 1)
-        m.images.add(7)
-        m.images.add(8)
-        m.cachedImages.add(7)
-        assertEquals(m, heartbeat(epoch = 2))
-        assertEquals(setOf(7), m.images)
-        assertEquals(setOf(7), m.cachedImages)
+    fun `images that ran stay known in the next epoch, images being fetched do not`() {
+        val machine = heartbeat(epoch = 1)
+        machine.images.add(7)
+        machine.images.add(8)
+        machine.cachedImages.add(7)
+        assertEquals(machine, heartbeat(epoch = 2))
+        assertEquals(setOf(7), machine.images)
+        assertEquals(setOf(7), machine.cachedImages)
     }
 
     @Test
-    fun `a new leader knows what a machine held in an earlier epoch`() {
+    fun `a new leader knows the images that a machine cached in an earlier epoch`() {
         val value =
             mapOf(
                 "images" to listOf("i", "k"),
                 "held" to mapOf("n-1" to listOf(3L, 1L), "n-2" to listOf(1L, 0L)),
             )
-        memory.load(KeyValue(ImageLocations.KEY + "/0", value, 1))
-        val m = heartbeat(epoch = 4)
-        memory.restoreCachedImages(m)
-        assertTrue(names.images.intern("k") in m.images)
-        assertTrue(names.images.intern("k") in m.cachedImages)
-        assertFalse(names.images.intern("i") in m.images)
+        locations.load(KeyValue(ImageLocations.KEY + "/0", value, 1))
+        val machine = heartbeat(epoch = 4)
+        locations.restoreCachedImages(machine)
+        assertTrue(names.images.intern("k") in machine.images)
+        assertTrue(names.images.intern("k") in machine.cachedImages)
+        assertFalse(names.images.intern("i") in machine.images)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
@@ -8,12 +8,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
+/** If a lease expired too early, tasks that still run on the machine would be started again elsewhere. */
 class LeaseExpiryTest {
-    private val gone = ArrayList<String>()
+    private val goneMachines = ArrayList<String>()
     private val events =
         object : MachineEvents {
             override fun onMachineGone(machine: Machine) {
-                gone.add(machine.name)
+                goneMachines.add(machine.name)
             }
 
             override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) = Unit
@@ -22,42 +23,42 @@
     private val table = MachineTable(context, Interners(), LEASE_MS, events).also { it.start(1) }
     private val expiry = LeaseExpiry(context, table, events, LEASE_MS)
 
-    private fun runAt(time: Long) {
-        context.now = Now(time, time)
-        expiry.run()
+    private fun expireAt(nowMs: Long) {
+        context.now = Now(nowMs, nowMs)
+        expiry.expireDue()
     }
 
     @Test
-    fun `a lease expires with the drift of clocks and a margin after the last answer, and its epoch with it`() {
+    fun `a lease and its epoch expire after its length, clock drift and a margin without an answer`() {
         val machine = table.getOrAdd("n-1")
         machine.markUp()
         machine.lease.beginEpoch(1)
         machine.lease.renew(1, 1000)
-        runAt(1000 + LEASE_MS + 515)
-        assertEquals(emptyList<String>(), gone)
-        runAt(1000 + LEASE_MS + 516)
-        assertEquals(listOf("n-1"), gone)
+        expireAt(1000 + LEASE_MS + 515)
+        assertEquals(emptyList<String>(), goneMachines)
+        expireAt(1000 + LEASE_MS + 516)
+        assertEquals(listOf("n-1"), goneMachines)
         assertEquals(Machine.State.LOST, machine.state)
         assertTrue(machine.lease.hasEnded(1))
     }
 
     @Test
-    fun `an earlier leader may have answered until we took over`() {
+    fun `a lease counts from the start of the term, since an earlier leader may have answered until then`() {
         table.getOrAdd("n-1").markUp()
-        runAt(LEASE_MS + 515)
-        assertEquals(emptyList<String>(), gone)
-        runAt(LEASE_MS + 516)
-        assertEquals(listOf("n-1"), gone)
+        expireAt(LEASE_MS + 515)
+        assertEquals(emptyList<String>(), goneMachines)
+        expireAt(LEASE_MS + 516)
+        assertEquals(listOf("n-1"), goneMachines)
     }
 
     @Test
-    fun `the first lease to expire is not missed beside others that were renewed`() {
+    fun `the first lease to expire is found when others were renewed`() {
         val renewed = table.getOrAdd("n-1").also { it.markUp() }
         table.getOrAdd("n-2").markUp()
         renewed.lease.renew(1, 5000)
-        runAt(100)
-        runAt(LEASE_MS + 516)
-        assertEquals(listOf("n-2"), gone)
+        expireAt(100)
+        expireAt(LEASE_MS + 516)
+        assertEquals(listOf("n-2"), goneMachines)
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/core/fleet/OfferBackoffTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/OfferBackoffTest.kt
@@ -9,28 +9,28 @@
     private val backoff = OfferBackoff()
     private val offer = Offer(type = 0, zone = 1, spot = true)
 
-    /** How long the offer is not asked for after a refusal at [now]. */
-    private fun waitAfterRefusal(now: Long): Long {
-        backoff.onRefused(offer, now)
-        return (now..now + 60_000).first { !backoff.isRefused(offer, it) } - now
+    /** How long the offer is backed off after a failure at [nowMs]. */
+    private fun backoffMsAfterFailure(nowMs: Long): Long {
+        backoff.onUnavailable(offer, nowMs)
+        return (nowMs..nowMs + 60_000).first { !backoff.isBackedOff(offer, it) } - nowMs
     }
 
     @Test
-    fun `an offer is left alone for longer after each refusal in a row, up to a bound`() {
+    fun `the backoff grows with each failure in a row up to a bound, and a rental resets it`() {
         assertEquals(
             listOf(5000L, 7500L, 11_250L, 16_875L, 20_000L, 20_000L),
-            List(6) { waitAfterRefusal(it * 60_000L) },
+            List(6) { backoffMsAfterFailure(it * 60_000L) },
         )
-        backoff.onGranted(offer)
-        assertEquals(5000, waitAfterRefusal(600_000))
+        backoff.reset(offer)
+        assertEquals(5000, backoffMsAfterFailure(600_000))
     }
 
     @Test
-    fun `a refusal holds for one offer and one term`() {
-        backoff.onRefused(offer, 0)
-        assertFalse(backoff.isRefused(offer.copy(spot = false), 1))
-        assertTrue(backoff.isRefused(offer, 1))
+    fun `a backoff applies to one offer and one term`() {
+        backoff.onUnavailable(offer, 0)
+        assertFalse(backoff.isBackedOff(offer.copy(spot = false), 1))
+        assertTrue(backoff.isBackedOff(offer, 1))
         backoff.start()
-        assertFalse(backoff.isRefused(offer, 1))
+        assertFalse(backoff.isBackedOff(offer, 1))
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/fleet/RequestBudgetTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/RequestBudgetTest.kt
@@ -6,14 +6,14 @@
 class RequestBudgetTest {
     private val budget = RequestBudget(requestsPerS = 5.0)
 
-    /** How many requests the budget allows at [now]. */
-    private fun spendAll(now: Long): Int {
-        budget.refill(now)
+    /** How many requests the budget allows at [nowMs]. */
+    private fun spendAll(nowMs: Long): Int {
+        budget.refill(nowMs)
         return generateSequence { budget.trySpend().takeIf { it } }.count()
     }
 
     @Test
-    fun `the budget is four fifths of the rate, and of one second at most`() {
+    fun `the budget is refilled at four fifths of the rate and holds one second's requests at most`() {
         assertEquals(1, spendAll(0))
         assertEquals(0, spendAll(249))
         assertEquals(1, spendAll(251))
