--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
@@ -4,16 +4,19 @@
 
 /** Events of machines, published by [Fleet] and [MachineTable]. */
 interface MachineEvents {
-    /** Everything on [machine] is certainly gone: it was deleted, or its lease has expired. */
+    /** No attempt on [machine] runs any more: it was deleted, or its lease has expired. */
     fun onMachineGone(machine: Machine)
 
-    /** [machine] began a new epoch; [knewOurFencingToken] tells whether it had shown our token in the one before. */
-    fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean)
+    /**
+     * [machine] began a new epoch. [hadShownCurrentFencingToken]: whether it sent this leader's fencing token in the
+     * previous epoch.
+     */
+    fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean)
 
     /** Ignores all events. */
     object None : MachineEvents {
         override fun onMachineGone(machine: Machine) = Unit
 
-        override fun onNewEpoch(machine: Machine, knewOurFencingToken: Boolean) = Unit
+        override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) = Unit
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -60,7 +60,7 @@
         cachedImageOnly: Boolean,
     ): Int {
         val zones = ZoneConstraint(job, fleet)
-        if (zones.blocked) return 0
+        if (zones.isBlocked) return 0
         val fitting = fitting(job, machines, cachedImageOnly)
         if (fitting.isEmpty()) return 0
         val candidates = sample(fitting, wanted, job)
@@ -95,7 +95,7 @@
             var left = count
             for (machine in machines) {
                 if (left == 0) break
-                var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.roomIn(machine.zone))
+                var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.maxNewTasksIn(machine.zone))
                 if (spread) {
                     tasks = minOf(tasks, replicaPlacement.maxPerMachine(job) - replicaPlacement.countOn(machine, job))
                 }
