--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -22,9 +22,9 @@
     incarnation: Long,
     start: Now,
     /** When this process began, by the steady clock; an earlier process of this controller had ended by then. */
-    begunAt: Long = start.steady,
+    processStartedAtMs: Long = start.steady,
 ) {
-    private val modules = ControllerModules(settings, options, incarnation, start, begunAt)
+    private val modules = ControllerModules(settings, options, incarnation, start, processStartedAtMs)
     private val context = modules.context
     private val leadership = modules.leadership
 
@@ -78,7 +78,7 @@
      * What is still to be done of [effect], which the last step decided, when it is carried out only now; null for
      * nothing.
      */
-    fun whenLate(now: Now, effect: Effect): Effect? {
+    fun recheck(now: Now, effect: Effect): Effect? {
         context.now = now
         return modules.lateEffects.check(effect)
     }
@@ -90,7 +90,7 @@
     }
 
     /** Whether users may be sent here: this controller leads, or has lately heard from the leader. */
-    fun takesRequests(now: Now): Boolean {
+    fun acceptsRequests(now: Now): Boolean {
         context.now = now
         return leadership.inTouch(IN_TOUCH_MS)
     }
@@ -98,7 +98,7 @@
     /** For operators; changes nothing. */
     fun status(now: Now): StatusView {
         context.now = now
-        return modules.statusReport.status(modules.term.loaded)
+        return modules.statusReport.status(modules.term.recordsLoaded)
     }
 
     /** For operators: one job, or null when this controller does not know it. */
--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -40,7 +40,7 @@
     options: OperatorSettings,
     incarnation: Long,
     start: Now,
-    begunAt: Long,
+    processStartedAtMs: Long,
 ) {
     val context = CoreContext(incarnation).also { it.now = start }
     private val events = EventDispatcher()
@@ -49,7 +49,8 @@
     private val limits = settings.stateLimits
     private val names = Interners().apply { settings.teams.forEach { teams.intern(it.name) } }
 
-    val leadership = Leadership(context, label, peerLabels, incarnation, options, start.steady, begunAt, events)
+    val leadership =
+        Leadership(context, label, peerLabels, incarnation, options, start.steady, processStartedAtMs, events)
     private val snapshot = CandidateSnapshot(context, StoredRecords.PREFIXES) { leadership.onSnapshotComplete() }
 
     val jobs = JobTable(context, names, limits)
--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -23,7 +23,7 @@
     private var nextAt = 0L
 
     fun tick() {
-        val leading = leadership.role == Leadership.Role.LEADER && term.loaded
+        val leading = leadership.role == Leadership.Role.LEADER && term.recordsLoaded
         if (leading && leadership.entitled()) fleet.expireLeases()
         if (context.steady >= nextAt || leading && fleet.mayScaleOutMore) lookAfterFleet(leading)
     }
@@ -45,7 +45,7 @@
      */
     private fun mayScaleOut(): Boolean {
         if (!staticMachines.known) return false
-        val listenedLongEnough = context.steady - term.startedAt > listenMs
+        val listenedLongEnough = context.steady - term.startedAtMs > listenMs
         return listenedLongEnough || staticMachines.isFirstLeader && fleet.heardFromAllListed()
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
@@ -26,24 +26,24 @@
     private val requests: RequestHandler,
 ) {
     /** Whether this controller leads and has loaded the stored records; still true when it is not entitled to act. */
-    var loaded = false
+    var recordsLoaded = false
         private set
 
     /** When the last term started, by the steady clock in milliseconds. */
-    var startedAt = 0L
+    var startedAtMs = 0L
         private set
 
     /** This controller was elected; nothing was written since the leadership record had revision [snapshotRevision]. */
     fun start(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) {
         commands.newTerm()
-        startedAt = context.steady
+        startedAtMs = context.steady
         records.reset(fencingToken)
         writer.start(ownRecord.copy(fencingToken = fencingToken, writes = writes), revision)
         context.emit(Effect.Timing("takeover", snapshot.ageMs))
         for (row in snapshot.take(snapshotRevision)) {
             if (records.load(row)) writer.rememberRevision(row.key, row.revision)
         }
-        loaded = true
+        recordsLoaded = true
         leadership.ready = true
         requests.open()
         records.complete()
@@ -52,7 +52,7 @@
     /** This controller leads no more. */
     fun end() {
         commands.newTerm()
-        loaded = false
+        recordsLoaded = false
         writer.stop()
         requests.close()
     }
--- a/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
@@ -27,7 +27,7 @@
     private var changesPlaced = -1L
 
     override fun next(room: TransactionBudget): Write? {
-        if (!term.loaded || room.ops < 1 || !isDue()) return null
+        if (!term.recordsLoaded || room.ops < 1 || !isDue()) return null
         changesPlaced = context.changes
         nextRoundAt = context.steady + ROUND_MS + context.overload.tickDelayMs * ROUND_DELAY_PER_LATE_MS
         val allocations = placement.round()
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptLifecycle.kt
@@ -35,7 +35,7 @@
 
     /** An attempt whose marker is durable is not started any more: its task is ready again, or over. */
     fun withdraw(attempt: Attempt) {
-        if (!attempt.directStartUnresolved) reservations.resolve(attempt)
+        if (!attempt.directStartOutcomeUnknown) reservations.resolve(attempt)
     }
 
     /** The attempt's machine says that it is in [phase], which is one of those on a machine. */
@@ -53,12 +53,12 @@
     private fun onRunning(attempt: Attempt) {
         val job = attempt.job
         job.tasks.runStarted()
-        val startMs = context.steady - attempt.placedAt
-        val waitMs = context.now.wall - job.acceptedWall
+        val startMs = context.steady - attempt.placedAtMs
+        val waitMs = context.now.wall - job.acceptedWallMs
         context.emit(Effect.Timing("start", startMs))
         if (job.tasks.running == 1 && job.progress.doneCount == 0) context.emit(Effect.Timing("wait", waitMs))
         val task = "${job.spec.id}/${attempt.index} (${job.spec.workload})"
-        val where = attempt.machine.name + if (attempt.imageWasHeld) ", image held" else ""
+        val where = attempt.machine.name + if (attempt.imageWasCached) ", image held" else ""
         context.debug("$task runs $waitMs ms after it was accepted, $startMs ms after it was placed on $where")
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
@@ -29,7 +29,7 @@
     /** Only of runs that this leader saw from begin to end is it known how long they took. */
     private fun noteRunTime(attempt: Attempt) {
         if (attempt.phase != Attempt.Phase.RUNNING || attempt.inherited) return
-        attempt.job.runTimes.add((context.steady - attempt.progressAt) / MS_PER_S)
+        attempt.job.runTimes.add((context.steady - attempt.progressAtMs) / MS_PER_S)
     }
 
     /** Its completion is recorded before its machine may forget it. */
@@ -40,7 +40,7 @@
             job.backoff.taskCompleted()
             job.completeTask(attempt.index, context.steady)
         }
-        job.unrecorded.add(attempt)
+        job.unrecordedCompletions.add(attempt)
     }
 
     private fun retryLater(attempt: Attempt, cause: ExitCause) {
@@ -48,7 +48,7 @@
         when (cause) {
             ExitCause.ERROR -> onFailed(attempt)
             ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) onReplicaEnded(attempt)
-            ExitCause.FULL -> attempt.machine.fullUntil = context.steady + FULL_MACHINE_MS
+            ExitCause.FULL -> attempt.machine.fullUntilMs = context.steady + FULL_MACHINE_MS
             ExitCause.BUSY, ExitCause.NO_SUCH -> job.backoff.pauseUntil(context.steady + REFUSED_START_MS)
             ExitCause.HALTED -> Unit
         }
@@ -56,7 +56,7 @@
 
     private fun onReplicaEnded(attempt: Attempt) {
         val job = attempt.job
-        val placedForMs = context.steady - attempt.placedAt
+        val placedForMs = context.steady - attempt.placedAtMs
         job.backoff.replicaEnded(attempt.machine.id, context.steady, placedForMs, job.spec.tasks)
     }
 
@@ -69,7 +69,7 @@
 
     /** The completions of [done] in [job] are durable: the workers may forget them. */
     fun onRecorded(job: OpenJob, done: BitSet) {
-        val iterator = job.unrecorded.iterator()
+        val iterator = job.unrecordedCompletions.iterator()
         while (iterator.hasNext()) {
             val attempt = iterator.next()
             if (!done.get(attempt.index)) continue
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -110,12 +110,12 @@
             }
         }
         machine.orphans = unknown.filter { !adoptOrphan(machine, it) }
-        machine.reconciled = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
+        machine.lastReconciledTasks = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
     }
 
     /** Whether this says what the last heartbeat did and nothing waits for its silence: most do, so this is cheap. */
     private fun isUnchanged(machine: Machine, heartbeat: WorkerHeartbeat): Boolean =
-        heartbeat.tasks === machine.reconciled &&
+        heartbeat.tasks === machine.lastReconciledTasks &&
             heartbeat.tasks.size == machine.attempts.size &&
             machine.attempts.all { it.onMachine }
 
@@ -139,17 +139,17 @@
             Attempt.Phase.EXITED -> if (attempt.outcomeRecorded) reservations.resolve(attempt)
             Attempt.Phase.FETCHING, Attempt.Phase.RUNNING, Attempt.Phase.SAVING -> {
                 val provesAbsence = atOurFencingToken || !attempt.inherited
-                if (!attempt.directStartUnresolved && provesAbsence) reservations.resolve(attempt)
+                if (!attempt.directStartOutcomeUnknown && provesAbsence) reservations.resolve(attempt)
             }
         }
     }
 
     private fun onStartMissing(attempt: Attempt, atOurFencingToken: Boolean) {
         when {
-            attempt.directStartUnresolved -> Unit // the start may still be under way
+            attempt.directStartOutcomeUnknown -> Unit // the start may still be under way
             // At our fencing token an older leader's start can no longer be obeyed.
             attempt.inherited -> if (atOurFencingToken) reservations.resolve(attempt)
-            else -> attempt.startDropped() // the response was dropped, and stays dropped
+            else -> attempt.startNotExecuted() // the response was dropped, and stays dropped
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
@@ -47,7 +47,7 @@
         val job = attempt.job
         if (attempt.fromCredit) creditCpus += job.taskResources.cpus
         attempt.machine.attempts.add(attempt)
-        attempt.machine.usage.occupy(job.taskResources)
+        attempt.machine.usage.allocate(job.taskResources)
         job.tasks.attemptReserved(attempt.index)
         quotas.add(job.team, job.taskResources)
         attempt.marker?.hold()
@@ -59,7 +59,7 @@
         val job = attempt.job
         if (attempt.running) job.tasks.runEnded()
         quotas.remove(job.team, job.taskResources)
-        attempt.machine.usage.vacate(job.taskResources)
+        attempt.machine.usage.release(job.taskResources)
         if (attempt.fromCredit) creditCpus -= job.taskResources.cpus
         context.changed()
         job.tasks.attemptReleased(attempt.index)
@@ -77,7 +77,7 @@
     /** The attempt's outcome is durable, or needs no record: its worker may forget it. */
     fun outcomeRecorded(attempt: Attempt) {
         if (attempt.outcomeRecorded) return
-        attempt.outcomeIsRecorded()
+        attempt.markOutcomeRecorded()
         releaseMarker(attempt)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -57,7 +57,7 @@
      */
     private fun repeatedStart(attempt: Attempt, startsAllowed: Boolean): Command? {
         if (!startsAllowed || isUnwanted(attempt)) return null
-        return if (attempt.directStartUnresolved && !attempt.inherited) start(attempt) else null
+        return if (attempt.directStartOutcomeUnknown && !attempt.inherited) start(attempt) else null
     }
 
     private fun stopIfDue(attempt: Attempt): Command? =
@@ -83,7 +83,7 @@
      * earlier version took the first answer for the last.
      */
     private fun forget(attempt: Attempt): Command? {
-        if (!attempt.outcomeRecorded || attempt.directStartUnresolved) return null
+        if (!attempt.outcomeRecorded || attempt.directStartOutcomeUnknown) return null
         val cannotRunAgain = !attempt.startedDirectly || attempt.completed && !attempt.job.cancelled
         return if (cannotRunAgain) Command.Forget(attempt.job.spec.id, attempt.index, attempt.number) else null
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -71,7 +71,7 @@
 
     private fun canSendTo(machine: Machine): Boolean {
         if (machine.commandInFlight || machine.address.isEmpty() || machine.lease.epoch == 0L) return false
-        return machine.reachability.reachable && context.steady - machine.lease.heartbeatAt <= freshMs
+        return machine.reachability.reachable && context.steady - machine.lease.heartbeatAtMs <= freshMs
     }
 
     /**
@@ -125,7 +125,7 @@
 
     private fun onRefused(starts: List<Attempt>) {
         for (attempt in starts) {
-            if (attempt.phase == Attempt.Phase.START_SENT && !attempt.resolved) attempt.startDropped()
+            if (attempt.phase == Attempt.Phase.START_SENT && !attempt.resolved) attempt.startNotExecuted()
         }
     }
 
@@ -163,7 +163,7 @@
             machine.attempts.any { outcomeUnknownForLong(it) && (mayYetRunCancelled(it) || it.finished) }
 
     private fun outcomeUnknownForLong(attempt: Attempt): Boolean =
-        attempt.directStartUnresolved && context.steady - attempt.progressAt > MAX_OUTCOME_UNKNOWN_MS
+        attempt.directStartOutcomeUnknown && context.steady - attempt.progressAtMs > MAX_OUTCOME_UNKNOWN_MS
 
     /** Whether [attempt] is cancelled, and its start without a reply may still be carried out. */
     private fun mayYetRunCancelled(attempt: Attempt): Boolean =
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
@@ -22,7 +22,7 @@
      * token.
      */
     val inherited: Boolean,
-    val placedAt: Long,
+    val placedAtMs: Long,
 ) {
     enum class Phase {
         /** Its dispatch marker is not durable yet: nothing may be sent. */
@@ -47,11 +47,11 @@
         private set
 
     /** When it was placed or, later, was last seen to enter a phase on its machine. */
-    var progressAt = placedAt
+    var progressAtMs = placedAtMs
         private set
 
     /** The machine held the image when the attempt was placed. */
-    val imageWasHeld = job.image in machine.cachedImages
+    val imageWasCached = job.image in machine.cachedImages
 
     /** It ended by completing: started once more it would only end once more. */
     var completed = false
@@ -75,7 +75,7 @@
     private var directStart = DirectStart.NONE
 
     /** Whether a direct start has no known outcome: the attempt can neither be forgotten nor taken for absent. */
-    val directStartUnresolved: Boolean get() = directStart == DirectStart.OUTCOME_UNKNOWN
+    val directStartOutcomeUnknown: Boolean get() = directStart == DirectStart.OUTCOME_UNKNOWN
 
     /**
      * Whether its start went straight to the worker, so that a copy of it may come at any time while our fencing token
@@ -113,14 +113,14 @@
     }
 
     /** The start that was sent is certainly not carried out: another may be sent. */
-    fun startDropped() {
+    fun startNotExecuted() {
         phase = Phase.MARKER_PERSISTED
     }
 
     /** Its machine says that it is in [newPhase] now. */
     fun entered(newPhase: Phase, now: Long) {
         phase = newPhase
-        progressAt = now
+        progressAtMs = now
     }
 
     fun exited(hasCompleted: Boolean) {
@@ -128,7 +128,7 @@
         completed = hasCompleted
     }
 
-    fun outcomeIsRecorded() {
+    fun markOutcomeRecorded() {
         outcomeRecorded = true
     }
 
@@ -147,7 +147,7 @@
     /** How many more seconds it takes at the least, as far as its job's other tasks or its owner's estimate tell. */
     fun minRemainingS(now: Long): Double {
         if (job.service) return Double.MAX_VALUE
-        val ranS = if (phase == Phase.RUNNING) (now - progressAt) / MS_PER_S else 0.0
+        val ranS = if (phase == Phase.RUNNING) (now - progressAtMs) / MS_PER_S else 0.0
         return job.runTimes.meanS(job.spec.expectedS) * MIN_PART_OF_EXPECTED - ranS
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Availability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Availability.kt
@@ -18,12 +18,12 @@
         private set
 
     /** When the cloud reclaims it; [Machine.NEVER] without a spot notice. */
-    var reclaimAt = Machine.NEVER
+    var reclaimAtMs = Machine.NEVER
         private set
-    var idleSince = Machine.NEVER
+    var idleSinceMs = Machine.NEVER
         private set
 
-    val hasSpotNotice: Boolean get() = reclaimAt != Machine.NEVER
+    val hasSpotNotice: Boolean get() = reclaimAtMs != Machine.NEVER
 
     /** Whether all that runs on it has to end or to move elsewhere. */
     val isBeingEmptied: Boolean get() = draining || cordoned || hasSpotNotice
@@ -51,19 +51,19 @@
     }
 
     fun recordSpotNotice(at: Long) {
-        reclaimAt = at
+        reclaimAtMs = at
     }
 
     fun withdrawSpotNotice() {
-        reclaimAt = Machine.NEVER
+        reclaimAtMs = Machine.NEVER
     }
 
     /** Whether the machine idles at [now]. */
     fun recordIdle(idle: Boolean, now: Long) {
         if (!idle) {
-            idleSince = Machine.NEVER
-        } else if (idleSince == Machine.NEVER) {
-            idleSince = now
+            idleSinceMs = Machine.NEVER
+        } else if (idleSinceMs == Machine.NEVER) {
+            idleSinceMs = now
         }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
@@ -3,12 +3,12 @@
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 
 /**
- * Owns how long a job's tasks are not placed because they fail: nowhere before [notBefore], and not on machines where
+ * Owns how long a job's tasks are not placed because they fail: nowhere before [notBeforeMs], and not on machines where
  * one failed lately. Moments are by the steady clock. Written by `AttemptReconciler`, read by placement.
  */
 class FailureBackoff {
     /** Nothing of the job is placed before this moment. */
-    var notBefore = 0L
+    var notBeforeMs = 0L
         private set
 
     /** Failures since a task last completed, or a replica last ran for long. */
@@ -31,7 +31,7 @@
 
     /** Nothing is placed before [moment], nor before any moment that was named earlier. */
     fun pauseUntil(moment: Long) {
-        notBefore = maxOf(notBefore, moment)
+        notBeforeMs = maxOf(notBeforeMs, moment)
     }
 
     fun taskCompleted() {
@@ -55,7 +55,7 @@
     fun replicaEnded(machine: Int, now: Long, placedForMs: Long, replicas: Int) {
         failedAt.put(machine, now)
         failures = if (placedForMs > STABLE_REPLICA_MS) 0 else failures + 1
-        if (failures > replicas) notBefore = now + backoffMs(failures / replicas)
+        if (failures > replicas) notBeforeMs = now + backoffMs(failures / replicas)
     }
 
     private fun backoffMs(doublings: Int): Long = FIRST_BACKOFF_MS shl minOf(doublings, MAX_DOUBLINGS)
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -10,7 +10,7 @@
  * concerns are objects of their own, each of which says who changes it: [lease], [reachability], [cloud], [usage],
  * [availability]. `MachineTable` makes machines; a machine that is certainly gone is never in use again.
  */
-class Machine(val id: Int, val name: String, createdAt: Long = 0L) {
+class Machine(val id: Int, val name: String, createdAtMs: Long = 0L) {
     /** LOST: the lease has expired, and whether the machine still exists is not known. */
     enum class State { BOOTING, UP, LOST, DELETING }
 
@@ -18,7 +18,7 @@
         private set
 
     /** When it was [State.LOST]. */
-    var lostAt = NEVER
+    var lostAtMs = NEVER
         private set
 
     /** Indices of its type and zone; [UNKNOWN] until the cloud or its worker names them. */
@@ -34,7 +34,7 @@
 
     val lease = WorkerLease()
     val reachability = Reachability()
-    val cloud = CloudRecord(createdAt)
+    val cloud = CloudRecord(createdAtMs)
     val usage = ResourceUsage()
     val availability = Availability()
 
@@ -55,18 +55,18 @@
     var commandInFlight = false
 
     /** The task list that was last reconciled; an equal one is the same instance, see `HeartbeatReader`. */
-    var reconciled: List<TaskStatus>? = null
+    var lastReconciledTasks: List<TaskStatus>? = null
 
     /** Jobs that failed here since a task last completed here. */
     val failedJobs = IntOpenHashSet()
 
     /** No task is placed here until then, since its worker had no room for one. */
-    var fullUntil = NEVER
+    var fullUntilMs = NEVER
 
     // Scratch of the placement round under way, without meaning after it.
 
     /** The room that the round has not given away. */
-    var roundRoom = NOTHING
+    var roundFreeCapacity = NO_RESOURCES
 
     /** How the machine ranks for the job that is being placed. */
     var roundRank = 0
@@ -77,7 +77,7 @@
     val busy: Boolean get() = !usage.isEmpty
 
     /** Whether nothing on it needs attention; what has ended and is merely not forgotten yet does not count. */
-    val vacant: Boolean get() = attempts.all { it.finished }
+    val isIdle: Boolean get() = attempts.all { it.finished }
 
     fun describe(machineType: Int, inZone: Int, isSpot: Boolean) {
         type = machineType
@@ -96,19 +96,19 @@
     /** Whatever its worker still says belongs to an epoch that has ended. */
     fun markLost(since: Long) {
         state = State.LOST
-        lostAt = since
+        lostAtMs = since
         lease.expire()
     }
 
     /** What is left of it for new tasks. */
-    fun room(types: List<MachineType?>): Resources {
-        val capacity = types.getOrNull(type)?.room ?: return NOTHING
-        return usage.leftOf(capacity)
+    fun freeCapacity(types: List<MachineType?>): Resources {
+        val capacity = types.getOrNull(type)?.room ?: return NO_RESOURCES
+        return usage.freeOf(capacity)
     }
 
     companion object {
         const val NEVER = Long.MIN_VALUE / 4
         const val UNKNOWN = -1
-        val NOTHING = Resources(0.0, 0.0, 0.0)
+        val NO_RESOURCES = Resources(0.0, 0.0, 0.0)
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
@@ -17,7 +17,7 @@
     val image: Int,
     val types: IntOpenHashSet?,
     val zone: Int,
-    val acceptedWall: Long,
+    val acceptedWallMs: Long,
     tasksPerPage: Int,
 ) {
     val taskResources = spec.taskResources
@@ -25,7 +25,7 @@
     val pages = ProgressPages(tasksPerPage)
     val tasks = TaskReadiness(spec.tasks, progress)
     val backoff = FailureBackoff()
-    val credit = FairShareCredit(acceptedWall)
+    val credit = FairShareCredit(acceptedWallMs)
     val runTimes = ObservedRunTimes()
 
     /** Whether its cancellation is being written; nothing of it is placed or started from then on. */
@@ -37,7 +37,7 @@
         private set
 
     /** Completed attempts whose completion is not durable yet. Written by `AttemptReconciler`. */
-    val unrecorded = ArrayList<Attempt>()
+    val unrecordedCompletions = ArrayList<Attempt>()
 
     val gang: Boolean get() = spec.shape == Shape.GANG
 
@@ -49,7 +49,7 @@
         get() = !cancelling && !complete && entry.state == JobState.OPEN && !tasks.noneReady
 
     /** Whether all its tasks have to be in one zone, or to be spread over zones. */
-    val boundToZones: Boolean get() = spec.together || spec.spread
+    val hasZoneConstraint: Boolean get() = spec.together || spec.spread
 
     /** CPUs of a task where it is counted how many may start; those that take hardly any count for a little. */
     val countedCpus: Double get() = maxOf(taskResources.cpus, MIN_COUNTED_CPUS)
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
@@ -23,11 +23,11 @@
     private val rewritten = BitSet()
 
     /** Since when completions have been gathered that are not written yet. */
-    var dirtySince = 0L
+    var dirtySinceMs = 0L
         private set
 
     /** The state service refused a record of this job's progress, which is written again from this moment on. */
-    private var retryAt = 0L
+    private var retryAtMs = 0L
 
     /** Whether the record that the job is done is being written. */
     var completionInFlight = false
@@ -36,12 +36,12 @@
     val stored: IntSet get() = storedFirstTasks
 
     /** Whether some progress is not written yet, and may be tried now. */
-    fun mayWrite(now: Long): Boolean = !completionInFlight && !dirty.isEmpty && now >= retryAt
+    fun mayWrite(now: Long): Boolean = !completionInFlight && !dirty.isEmpty && now >= retryAtMs
 
     fun firstTask(page: Int): Int = page * tasksPerPage
 
     internal fun taskDone(index: Int, now: Long) {
-        if (dirty.isEmpty) dirtySince = now
+        if (dirty.isEmpty) dirtySinceMs = now
         dirty.set(index / tasksPerPage)
     }
 
@@ -82,7 +82,7 @@
 
     fun pageSent(page: Int, now: Long) {
         dirty.clear(page)
-        dirtySince = now
+        dirtySinceMs = now
     }
 
     fun pageWritten(page: Int) {
@@ -91,9 +91,9 @@
         rewritten.clear(page)
     }
 
-    fun pageRefused(page: Int, retryAt: Long) {
+    fun pageRejected(page: Int, retryAtMs: Long) {
         dirty.set(page)
-        this.retryAt = retryAt
+        this.retryAtMs = retryAtMs
     }
 
     /** All tasks of a loaded job are done, but the record says it is open: its completion is yet to be written. */
@@ -105,8 +105,8 @@
 
     fun completionWritten() = dirty.clear()
 
-    fun completionRefused(retryAt: Long) {
+    fun completionRejected(retryAtMs: Long) {
         completionInFlight = false
-        this.retryAt = retryAt
+        this.retryAtMs = retryAtMs
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Reachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Reachability.kt
@@ -9,29 +9,29 @@
         private set
 
     /** The last proof in this epoch. */
-    var provedAt = Machine.NEVER
+    var provedAtMs = Machine.NEVER
         private set
 
     /** When a direct command, whose reply would be a proof, was last sent in this epoch. */
-    var probedAt = Machine.NEVER
+    var probedAtMs = Machine.NEVER
         private set
 
     /** Since when the machine sends heartbeats and is not [reachable]; [Machine.NEVER] while it is. */
-    var unreachableSince = Machine.NEVER
+    var unreachableSinceMs = Machine.NEVER
         private set
 
     /** Proofs and probes of an earlier epoch say nothing about this one. */
     fun beginEpoch() {
-        provedAt = Machine.NEVER
-        probedAt = Machine.NEVER
+        provedAtMs = Machine.NEVER
+        probedAtMs = Machine.NEVER
     }
 
     fun recordProof(now: Long) {
-        provedAt = now
+        provedAtMs = now
     }
 
     fun recordProbe(now: Long) {
-        probedAt = now
+        probedAtMs = now
     }
 
     /** Sets [reachable]; returns whether it changed. */
@@ -39,9 +39,9 @@
         val changed = isReachable != reachable
         reachable = isReachable
         if (isReachable) {
-            unreachableSince = Machine.NEVER
-        } else if (unreachableSince == Machine.NEVER) {
-            unreachableSince = now
+            unreachableSinceMs = Machine.NEVER
+        } else if (unreachableSinceMs == Machine.NEVER) {
+            unreachableSinceMs = now
         }
         return changed
     }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ResourceUsage.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ResourceUsage.kt
@@ -15,7 +15,7 @@
     val isEmpty: Boolean get() = attempts == 0
 
     /** An attempt of this size may be on the machine from now on. */
-    fun occupy(taskResources: Resources) {
+    fun allocate(taskResources: Resources) {
         attempts++
         cpus += taskResources.cpus
         gpus += taskResources.gpus
@@ -23,7 +23,7 @@
     }
 
     /** An attempt that was counted is certainly gone. */
-    fun vacate(taskResources: Resources) {
+    fun release(taskResources: Resources) {
         if (--attempts == 0) {
             cpus = 0.0 // no rounding errors add up
             gpus = 0.0
@@ -36,6 +36,6 @@
     }
 
     /** What is left of [capacity]. */
-    fun leftOf(capacity: Resources): Resources =
+    fun freeOf(capacity: Resources): Resources =
         if (isEmpty) capacity else Resources(capacity.cpus - cpus, capacity.gpus - gpus, capacity.memoryGb - memoryGb)
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/WorkerLease.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/WorkerLease.kt
@@ -23,11 +23,11 @@
         private set
 
     /** When the last heartbeat that we answered came in; the lease ends at most its length after that. */
-    var answeredAt = Machine.NEVER
+    var answeredAtMs = Machine.NEVER
         private set
 
     /** When the newest heartbeat came in. */
-    var heartbeatAt = Machine.NEVER
+    var heartbeatAtMs = Machine.NEVER
         private set
 
     /** Heartbeats of epochs up to this one were sent before the lease expired. */
@@ -38,7 +38,7 @@
 
     /** An earlier leader may have answered the worker until [at]. */
     fun assumeAnsweredUntil(at: Long) {
-        answeredAt = at
+        answeredAtMs = at
     }
 
     fun beginEpoch(newEpoch: Long) {
@@ -49,7 +49,7 @@
 
     /** A heartbeat that shows [token] and is newer than all before it came in [at] this time. */
     fun recordHeartbeat(token: Long, at: Long) {
-        heartbeatAt = at
+        heartbeatAtMs = at
         fencingToken = maxOf(fencingToken, token)
     }
 
@@ -62,7 +62,7 @@
     fun renew(seq: Long, now: Long) {
         if (seq <= answeredSeq) return
         answeredSeq = seq
-        answeredAt = now
+        answeredAtMs = now
     }
 
     /** Whether the status [seq] is newer than all that were taken in; it is the newest from now on. */
--- a/src/main/kotlin/org/chalkhollow/core/common/CloudCalls.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/CloudCalls.kt
@@ -12,10 +12,10 @@
     data class Machines(val after: String?) : CloudOp
 
     /**
-     * Scales out by up to [count] machines. The call is idempotent by its name [request]: the cloud executes it at most
+     * Scales out by up to [count] machines. The call is idempotent by its name [requestName]: the cloud executes it at most
      * once, however often it is sent.
      */
-    data class Rent(val request: String, val type: String, val zone: String, val spot: Boolean, val count: Int) :
+    data class Rent(val requestName: String, val type: String, val zone: String, val spot: Boolean, val count: Int) :
         CloudOp
 
     /** Scales in: deletes the machines with these [names]. */
@@ -45,6 +45,6 @@
     /** No response that could be read: the call was applied now, will be applied later, or never. */
     data object NoResponse : CloudReply
 
-    /** The cloud refuses the call for what it is, [why]. */
-    data class Rejected(val why: String) : CloudReply
+    /** The cloud refuses the call for what it is, [reason]. */
+    data class Rejected(val reason: String) : CloudReply
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/CommandReply.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/CommandReply.kt
@@ -11,7 +11,7 @@
      * The worker executed nothing, since it is in another epoch or knows a newer fencing token; [heartbeat] tells its
      * state.
      */
-    data class Refused(val heartbeat: WorkerHeartbeat) : CommandReply
+    data class Rejected(val heartbeat: WorkerHeartbeat) : CommandReply
 
     /** The commands were certainly not executed: no connection could be made, or the worker could not read them. */
     data object NotSent : CommandReply
--- a/src/main/kotlin/org/chalkhollow/core/common/Effect.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Effect.kt
@@ -5,7 +5,7 @@
 
 /**
  * Everything that a controller can want done. The runtime carries effects out in the order in which a step gave them;
- * [org.chalkhollow.core.Controller.whenLate] says which of them still hold when it comes to them late.
+ * [org.chalkhollow.core.Controller.recheck] says which of them still hold when it comes to them late.
  */
 sealed interface Effect {
     /**
@@ -36,8 +36,8 @@
     /** A message to another controller; [peer] is its index among the peers. It is lost when there is no connection. */
     class Send(val peer: Int, val message: PeerMessage) : Effect
 
-    /** Asks for [Input.Tick] at the moment [at] of the steady clock, in place of what was asked for before. */
-    class Timer(val at: Long) : Effect
+    /** Asks for [Input.Tick] at the moment [atMs] of the steady clock, in place of what was asked for before. */
+    class Timer(val atMs: Long) : Effect
 
     /** Something of a kind took [ms] milliseconds; for histograms. */
     class Timing(val kind: String, val ms: Long) : Effect
--- a/src/main/kotlin/org/chalkhollow/core/common/StateServiceCalls.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/StateServiceCalls.kt
@@ -46,6 +46,6 @@
     /** No response that could be read: the call was applied now, will be applied later, or never. */
     data object NoResponse : StateReply
 
-    /** The service refuses the call for what it is, [why]; this sending of it was not executed. */
-    data class Rejected(val why: String) : StateReply
+    /** The service refuses the call for what it is, [reason]; this sending of it was not executed. */
+    data class Rejected(val reason: String) : StateReply
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
@@ -14,10 +14,10 @@
     }
 
     /**
-     * A submission that is malformed, [why], but whose [jobId] can be read: it is never accepted, and is refused only
-     * once it is certain that it does not repeat a job that was.
+     * A malformed submission whose [jobId] can be read; [reason] says what is wrong. It is never accepted. It is
+     * rejected only once it is certain that it does not repeat the submission of a job that was accepted.
      */
-    class Invalid(override val jobId: String, val raw: ByteArray, val why: String?) : UserRequest
+    class Invalid(override val jobId: String, val raw: ByteArray, val reason: String?) : UserRequest
 
     /** Asks for the state and progress of a job. */
     class Query(override val jobId: String) : UserRequest
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -118,7 +118,7 @@
         if (machine.state == Machine.State.UP || machine.state == Machine.State.DELETING) return false
         // Its lease has to expire first.
         if (machine.state == Machine.State.BOOTING && machine.attempts.isNotEmpty()) return false
-        val lastKnownAt = if (machine.cloud.isListed) machine.cloud.listedAt else machine.cloud.createdAt
+        val lastKnownAt = if (machine.cloud.isListed) machine.cloud.listedAtMs else machine.cloud.createdAtMs
         return context.steady - lastKnownAt > missingMs
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -119,7 +119,7 @@
         if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasShownOurFencingToken(machine))
         machine.lease.beginEpoch(epoch)
         machine.availability.endQuarantine()
-        machine.reconciled = null
+        machine.lastReconciledTasks = null
         machine.images.clear()
         machine.images.addAll(machine.cachedImages) // its cache outlives the epoch; what it was fetching does not
     }
@@ -130,7 +130,7 @@
     /** Whether it is uncertain that our messages reach [machine], so that it is to be probed; true once in a while. */
     fun shouldProbe(machine: Machine): Boolean {
         if (machine.state != Machine.State.UP || !hasShownOurFencingToken(machine)) return false
-        return context.steady - machine.lease.heartbeatAt < leaseMs && reachability.startProbe(machine)
+        return context.steady - machine.lease.heartbeatAtMs < leaseMs && reachability.startProbe(machine)
     }
 
     /** Expires the leases that have certainly run out. */
--- a/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
@@ -16,14 +16,14 @@
     private val options: OperatorSettings,
 ) {
     fun update(machine: Machine) {
-        val idle = machine.vacant && machine.state == Machine.State.UP
+        val idle = machine.isIdle && machine.state == Machine.State.UP
         machine.availability.recordIdle(idle, context.steady)
     }
 
     /** The machines that need not be kept; with [withoutStandby] none is kept as a standby. */
     fun expendable(withoutStandby: Boolean): List<Machine> {
         val idle = table.all.filter { isIdle(it) && it.name !in staticMachines.names }
-        val idleTooLong = idle.filter { context.steady - it.availability.idleSince > idleAllowedMs(it) }
+        val idleTooLong = idle.filter { context.steady - it.availability.idleSinceMs > idleAllowedMs(it) }
         if (idleTooLong.isEmpty()) return emptyList()
         val expendable = beyondStandby(idleTooLong, withoutStandby)
         return expendable.take(maxOf(0, idle.size - options.spareMachines))
@@ -41,7 +41,7 @@
     }
 
     private fun isIdle(machine: Machine): Boolean =
-        machine.state == Machine.State.UP && machine.availability.idleSince != Machine.NEVER &&
+        machine.state == Machine.State.UP && machine.availability.idleSinceMs != Machine.NEVER &&
             !machine.availability.draining
 
     /** The dearer a machine is, compared with the cheapest way to have its like, the sooner it goes. */
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -31,7 +31,7 @@
 
     /** Whether a heartbeat now comes too soon after the last one for that to have had no answer. */
     private fun followsSoon(machine: Machine): Boolean {
-        val last = machine.lease.heartbeatAt
+        val last = machine.lease.heartbeatAtMs
         return last != Machine.NEVER && context.steady - last < UNANSWERED_GAP_MS
     }
 
@@ -42,7 +42,7 @@
     }
 
     private fun judge(machine: Machine, atOurFencingToken: Boolean) {
-        val provedLately = context.steady - machine.reachability.provedAt < doubtMs + PROBE_EVERY_MS
+        val provedLately = context.steady - machine.reachability.provedAtMs < doubtMs + PROBE_EVERY_MS
         val changed = machine.reachability.update(atOurFencingToken && provedLately, context.steady)
         if (changed) context.changed()
     }
@@ -51,28 +51,28 @@
     fun startProbe(machine: Machine): Boolean {
         if (machine.commandInFlight || !isDoubtful(machine)) return false
         val now = context.steady
-        if (now - machine.reachability.probedAt < PROBE_EVERY_MS) return false
+        if (now - machine.reachability.probedAtMs < PROBE_EVERY_MS) return false
         machine.reachability.recordProbe(now)
         return true
     }
 
     private fun isDoubtful(machine: Machine): Boolean {
         if (machine.busy && overdue(machine)) return true
-        return context.steady - machine.reachability.provedAt >= doubtMs
+        return context.steady - machine.reachability.provedAtMs >= doubtMs
     }
 
     /** Whether a heartbeat should have come from [machine] by now. */
     fun overdue(machine: Machine): Boolean {
-        val last = machine.lease.heartbeatAt
+        val last = machine.lease.heartbeatAtMs
         return last != Machine.NEVER && context.steady - last > overdueMs
     }
 
     /** Whether [machine] has sent nothing for long, not even the reply to a probe. */
     fun silent(machine: Machine): Boolean {
-        if (machine.lease.heartbeatAt == Machine.NEVER) return false
+        if (machine.lease.heartbeatAtMs == Machine.NEVER) return false
         val now = context.steady
-        val probedAt = machine.reachability.probedAt
-        val lastSignAt = maxOf(machine.lease.heartbeatAt, machine.reachability.provedAt)
+        val probedAt = machine.reachability.probedAtMs
+        val lastSignAt = maxOf(machine.lease.heartbeatAtMs, machine.reachability.provedAtMs)
         return now - lastSignAt > silentMs && probedAt > lastSignAt && now - probedAt > DIRECT_MS
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -84,7 +84,7 @@
         get() = state == Machine.State.UP && reachability.reachable && availability.acceptsTasks
 
     private fun heardLately(machine: Machine): Boolean =
-        context.steady >= machine.fullUntil && context.steady - machine.lease.heartbeatAt < leaseMs / 2
+        context.steady >= machine.fullUntilMs && context.steady - machine.lease.heartbeatAtMs < leaseMs / 2
 
     private fun isTypeListed(machine: Machine): Boolean = types.getOrNull(machine.type) != null
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
@@ -93,12 +93,14 @@
     private fun roomsOfBooting(): MutableList<ExpectedRoom> =
         table.all
             .filter { it.state == Machine.State.BOOTING && it.isTypeKnown && !it.cloud.failed && !isOverdue(it) }
-            .map { ExpectedRoom(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NOTHING) }
+            .map {
+                ExpectedRoom(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NO_RESOURCES)
+            }
             .toMutableList()
 
     /** Whether a machine has booted for twice as long as its type takes, so that it may never come up. */
     private fun isOverdue(machine: Machine): Boolean =
-        context.steady - machine.cloud.createdAt > table.bootS(machine) * 2 * MS_PER_S
+        context.steady - machine.cloud.createdAtMs > table.bootS(machine) * 2 * MS_PER_S
 
     /** Deals [rooms] out to [tasks]; returns how many tasks are left. */
     private fun countWithoutRoom(tasks: UnplacedTasks, rooms: List<ExpectedRoom>): Int {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OverpricedMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OverpricedMachines.kt
@@ -46,7 +46,7 @@
             .map { Overpriced(it, freeCpus(it)) }
             .sortedByDescending { it.freeCpus }
 
-    private fun freeCpus(machine: Machine): Double = machine.room(table.types).cpus
+    private fun freeCpus(machine: Machine): Double = machine.freeCapacity(table.types).cpus
 
     private fun isOverpriced(machine: Machine): Boolean {
         val type = table.types.getOrNull(machine.type) ?: return false
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -75,12 +75,12 @@
     private fun isUseless(machine: Machine): Boolean =
         when {
             machine.cloud.failed && machine.state != Machine.State.UP -> true
-            machine.state == Machine.State.LOST -> context.steady - machine.lostAt > LOST_MS
+            machine.state == Machine.State.LOST -> context.steady - machine.lostAtMs > LOST_MS
             machine.state == Machine.State.BOOTING -> neverCameUp(machine)
             isUnreachable(machine) -> true
             machine.availability.draining -> !machine.busy
-            machine.availability.cordoned && machine.state == Machine.State.UP -> machine.vacant
-            machine.availability.hasSpotNotice -> machine.vacant
+            machine.availability.cordoned && machine.state == Machine.State.UP -> machine.isIdle
+            machine.availability.hasSpotNotice -> machine.isIdle
             else -> false
         }
 
@@ -92,11 +92,11 @@
         if (machine.attempts.isNotEmpty()) return false
         if (context.steady - table.takenOverAt <= leaseMs * 2) return false
         val mostBootMs = table.bootS(machine) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS
-        return context.steady - machine.cloud.createdAt > mostBootMs
+        return context.steady - machine.cloud.createdAtMs > mostBootMs
     }
 
     private fun isUnreachable(machine: Machine): Boolean {
-        val since = machine.reachability.unreachableSince
+        val since = machine.reachability.unreachableSinceMs
         if (machine.state != Machine.State.UP || since == Machine.NEVER) return false
         val now = context.steady
         return now - since > unreachableMs && now - table.takenOverAt > unreachableMs
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
@@ -94,7 +94,7 @@
                 mayScaleOutMore = true
             }
             is CloudReply.Rejected -> {
-                context.warn("the cloud rejects a rental: ${reply.why}")
+                context.warn("the cloud rejects a rental: ${reply.reason}")
                 pending = null
                 backoff.onRefused(rental.offer, context.steady)
             }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/SilentMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/SilentMachines.kt
@@ -36,7 +36,7 @@
     }
 
     private fun isReclaimed(machine: Machine): Boolean =
-        machine.availability.hasSpotNotice && context.steady > machine.availability.reclaimAt + RECLAIMED_MS
+        machine.availability.hasSpotNotice && context.steady > machine.availability.reclaimAtMs + RECLAIMED_MS
 
     private companion object {
         /** This long after the announced moment a machine counts as reclaimed. */
--- a/src/main/kotlin/org/chalkhollow/core/fleet/SpotNotices.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/SpotNotices.kt
@@ -25,7 +25,7 @@
      * would be lost here, and known to be lost only when the lease has expired.
      */
     private fun evict(machine: Machine) {
-        val leftS = (machine.availability.reclaimAt - context.steady) / MS_PER_S
+        val leftS = (machine.availability.reclaimAtMs - context.steady) / MS_PER_S
         for (attempt in machine.attempts) {
             if (!attempt.onMachine || attempt.stopRequested) continue
             if (attempt.job.service) continue // replicas are moved by [ReplicaMigration]
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
@@ -49,7 +49,7 @@
         if (chosenZone != NO_ZONE) return
         val roomByZone = HashMap<Int, Int>()
         for (machine in machines) {
-            roomByZone.merge(machine.zone, job.taskResources.countIn(machine.roundRoom), Int::plus)
+            roomByZone.merge(machine.zone, job.taskResources.countIn(machine.roundFreeCapacity), Int::plus)
         }
         chosenZone = roomByZone.entries.maxByOrNull { it.value }?.key ?: NO_ZONE
     }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -28,7 +28,7 @@
         for (job in jobs.open) {
             if (job.cancelling || !job.pages.mayWrite(context.steady)) continue
             if (job.complete) return jobCompletion(job, room)
-            if (gathered == null && context.steady - job.pages.dirtySince >= GATHER_MS) gathered = job
+            if (gathered == null && context.steady - job.pages.dirtySinceMs >= GATHER_MS) gathered = job
         }
         return gathered?.let { nextPage(it, room) }
     }
@@ -36,7 +36,7 @@
     private fun jobCompletion(job: OpenJob, room: TransactionBudget): Write? {
         val done = job.progress.snapshot()
         val change = Change(JobRecord.key(job.spec.id), JobRecord.encodeDone(job.spec))
-        val onRefused = { job.pages.completionRefused(retryAt = context.steady + REFUSED_RETRY_MS) }
+        val onRefused = { job.pages.completionRejected(retryAtMs = context.steady + REFUSED_RETRY_MS) }
         val write =
             Write(listOf(change), onRefused) {
                 job.pages.completionWritten()
@@ -63,7 +63,7 @@
         val done = job.progress.slice(firstTask, job.pages.firstTask(page + 1))
         val key = ProgressPageRecord.key(job.spec.id, firstTask)
         val change = Change(key, ProgressPageRecord(firstTask, done).encode())
-        val onRefused = { job.pages.pageRefused(page, retryAt = context.steady + REFUSED_RETRY_MS) }
+        val onRefused = { job.pages.pageRejected(page, retryAtMs = context.steady + REFUSED_RETRY_MS) }
         return Write(listOf(change), onRefused) {
             job.pages.pageWritten(page)
             if (job.entry.state != JobState.OPEN) jobs.garbage.collect(key)
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -62,18 +62,18 @@
         if (job.service) return true
         if (!awaitsPromptStart(job)) return false
         val limits = startWithinMs[job.spec.workload] ?: return false
-        return wall < job.acceptedWall + limits.last()
+        return wall < job.acceptedWallMs + limits.last()
     }
 
     /** Whether most of the time that the class's tasks may wait for their start is over, and not all of it. */
     fun startDeadlineNear(job: OpenJob, wall: Long): Boolean {
         val limits = startWithinMs[job.spec.workload] ?: return false
-        val waitedMs = wall - job.acceptedWall
+        val waitedMs = wall - job.acceptedWallMs
         return limits.any { it >= leastBootMs() && waitedMs < it && waitedMs * NEAR_OF >= it * NEAR }
     }
 
     /** Whether tasks within a guarantee that start now are still in time. */
-    fun guaranteeStartsInTime(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWall + guaranteeWithinMs
+    fun guaranteeStartsInTime(job: OpenJob, wall: Long): Boolean = wall < job.acceptedWallMs + guaranteeWithinMs
 
     /**
      * When the job should be over, by its owner's deadline and its class's objectives: the first moment that can still
@@ -90,9 +90,9 @@
             if (wall + leastMs <= due) firstKept = minOf(firstKept, due)
         }
         job.spec.dueS?.let { dueS ->
-            for (factor in deadlineFactorsOf(job)) consider(job.acceptedWall + millis(dueS * factor))
+            for (factor in deadlineFactorsOf(job)) consider(job.acceptedWallMs + millis(dueS * factor))
         }
-        finishWithinMs[job.spec.workload]?.let { for (within in it) consider(job.acceptedWall + within) }
+        finishWithinMs[job.spec.workload]?.let { for (within in it) consider(job.acceptedWallMs + within) }
         return if (firstKept != Long.MAX_VALUE || last == Long.MIN_VALUE) firstKept else last
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
@@ -27,7 +27,7 @@
             !machine.reachability.reachable -> "deaf"
             machine.availability.hasSpotNotice -> "noticed"
             machine.availability.draining || machine.availability.cordoned -> "draining"
-            machine.vacant -> "idle"
+            machine.isIdle -> "idle"
             else -> "busy"
         }
 }
--- a/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
@@ -28,7 +28,7 @@
             jobs = jobsOfClass.size,
             tasksReady = jobsOfClass.sumOf { it.tasks.readyCount },
             tasksLive = jobsOfClass.sumOf { it.tasks.liveCount },
-            oldestS = jobsOfClass.maxOf { context.now.wall - it.acceptedWall } / MS_IN_S,
+            oldestS = jobsOfClass.maxOf { context.now.wall - it.acceptedWallMs } / MS_IN_S,
         )
 
     /** The services by class, in the order of the classes' names. */
@@ -38,7 +38,7 @@
     private fun wantedServices(): List<OpenJob> = jobs.open.filter { it.service && !it.cancelling }
 
     private fun view(name: String, services: List<OpenJob>): ServiceView {
-        val lacking = services.filter { it.tasks.running < it.spec.tasks }.sortedBy { it.acceptedWall }
+        val lacking = services.filter { it.tasks.running < it.spec.tasks }.sortedBy { it.acceptedWallMs }
         return ServiceView(
             name = name,
             services = services.size,
--- a/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
@@ -31,17 +31,17 @@
     }
 
     private fun backoff(job: OpenJob): String? {
-        val leftMs = job.backoff.notBefore - context.steady
+        val leftMs = job.backoff.notBeforeMs - context.steady
         return if (leftMs > 0) "its tasks fail; tried again in ${leftMs / MS_IN_S} s" else null
     }
 
-    private fun atLimit(job: OpenJob): Boolean = quotas.headroom(job.team, job.taskResources, Machine.NOTHING) <= 0
+    private fun atLimit(job: OpenJob): Boolean = quotas.headroom(job.team, job.taskResources, Machine.NO_RESOURCES) <= 0
 
     private fun lackOfMachines(job: OpenJob): String? {
         val usable = fleet.placeable().filter { placement.mayUse(job, it) }
         return when {
             usable.isEmpty() -> "no machine that it may use is up"
-            usable.none { job.taskResources.fitsIn(it.room(fleet.types)) } ->
+            usable.none { job.taskResources.fitsIn(it.freeCapacity(fleet.types)) } ->
                 "the ${usable.size} machines that it may use have no room for a task"
             else -> null
         }
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -39,7 +39,7 @@
         guaranteed.clear()
         val cpusByTeam = HashMap<Int, Double>()
         val gpusByTeam = HashMap<Int, Double>()
-        for (job in jobs.open.sortedBy { it.acceptedWall }) {
+        for (job in jobs.open.sortedBy { it.acceptedWallMs }) {
             if (job.cancelling || job.complete) continue
             val tasks = job.spec.tasks
             val cpus = cpusByTeam.merge(job.team, job.taskResources.cpus * tasks, Double::plus) ?: 0.0
@@ -50,13 +50,13 @@
 
     /** Jobs with ready tasks, most urgent first. */
     fun waiting(): List<OpenJob> {
-        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
+        val waiting = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBeforeMs <= context.steady }
         return waiting.sortedWith(
             compareBy(
                 { if (starvation.goesFirst(it)) -1 else it.spec.priority.ordinal },
                 { if (starvation.goesFirst(it)) 0 else urgency(it).ordinal },
                 { if (starvation.goesFirst(it)) starvation.lastPlacedWall(it) else deadlines.dueWall(it) },
-                { if (starvation.goesFirst(it)) it.credit.sinceWall else it.acceptedWall },
+                { if (starvation.goesFirst(it)) it.credit.sinceWallMs else it.acceptedWallMs },
                 { it.entry.index },
             ),
         )
@@ -80,7 +80,7 @@
     /** Whether the job leaves the headroom free that is reserved for urgent work to come. */
     fun leavesHeadroom(job: OpenJob): Boolean {
         if (job.spec.priority < Priority.STANDARD || objectives.awaitsPromptStart(job)) return false
-        return !withinGuarantee(job) && !isPressing(job, 0.0) && !job.credit.waitsLong(context.now.wall)
+        return !withinGuarantee(job) && !isPressing(job, 0.0) && !job.credit.hasWaitedLong(context.now.wall)
     }
 
     /** Whether a job that waits for [waitS] more seconds would start or end too late. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -12,7 +12,7 @@
 /**
  * Chooses machines for the tasks of one job (bin packing): best fit first among a sample of those that fit, all of them
  * if the sample has no room. A job's tasks are alike, so each machine is given as many as it has room for. It takes the
- * room off [Machine.roundRoom]; [PlacementRound] and [Preemption] call it.
+ * room off [Machine.roundFreeCapacity]; [PlacementRound] and [Preemption] call it.
  */
 class MachineSelector(
     private val context: CoreContext,
@@ -38,10 +38,10 @@
 
     /** Places all [wanted] tasks of a gang, or gives back whatever it had taken; returns how many it placed. */
     fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, out: MutableList<Allocation>): Int {
-        val roomBefore = machines.map { it.roundRoom }
+        val roomBefore = machines.map { it.roundFreeCapacity }
         val sizeBefore = out.size
         if (place(job, wanted, machines, out, skip = 0, heldOnly = false) == wanted) return wanted
-        for ((index, machine) in machines.withIndex()) machine.roundRoom = roomBefore[index]
+        for ((index, machine) in machines.withIndex()) machine.roundFreeCapacity = roomBefore[index]
         while (out.size > sizeBefore) out.removeLast()
         return 0
     }
@@ -91,7 +91,8 @@
             var left = count
             for (machine in machines) {
                 if (left == 0) break
-                var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.roomIn(machine.zone))
+                var tasks =
+                    minOf(left, job.taskResources.countIn(machine.roundFreeCapacity), zones.roomIn(machine.zone))
                 if (spread) tasks = minOf(tasks, replicas.maxPerMachine(job) - replicas.countOn(machine, job))
                 if (tasks <= 0) continue
                 assignTo(machine, tasks)
@@ -103,7 +104,7 @@
         private fun assignTo(machine: Machine, count: Int) {
             out.add(Allocation(job, machine, nextTasks(count), starvation.goesFirst(job)))
             zones.addTasks(machine.zone, count)
-            machine.roundRoom = machine.roundRoom.without(job.taskResources, count)
+            machine.roundFreeCapacity = machine.roundFreeCapacity.without(job.taskResources, count)
             if (job.image >= 0) machine.images.add(job.image)
         }
 
@@ -121,7 +122,7 @@
         val urgent = objectives.awaitsPromptStart(job)
         val fitting = ArrayList<Machine>()
         for (machine in machines) {
-            if (!job.taskResources.fitsIn(machine.roundRoom) || !allowed(job, machine)) continue
+            if (!job.taskResources.fitsIn(machine.roundFreeCapacity) || !allowed(job, machine)) continue
             val fetches = fetches(job, machine)
             if (heldOnly && fetches) continue
             val elsewhereRank = if (scarceTypes.wantedElsewhere(job, machine.type)) WANTED_ELSEWHERE else 0
@@ -148,7 +149,7 @@
             var order = (first.roundRank shr 1).compareTo(second.roundRank shr 1)
             if (order == 0) order = fleet.cpusOf(first).compareTo(fleet.cpusOf(second))
             if (order == 0) order = first.roundRank.compareTo(second.roundRank)
-            if (order == 0) order = first.roundRoom.cpus.compareTo(second.roundRoom.cpus)
+            if (order == 0) order = first.roundFreeCapacity.cpus.compareTo(second.roundFreeCapacity.cpus)
             if (order == 0) order = first.id.compareTo(second.id)
             order
         }
@@ -165,7 +166,7 @@
         addSample(holders, sample)
         addSample(others, sample)
         var room = 0
-        for (machine in sample) room += job.taskResources.countIn(machine.roundRoom)
+        for (machine in sample) room += job.taskResources.countIn(machine.roundFreeCapacity)
         return if (room >= wanted) sample else fitting
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Placement.kt
@@ -105,8 +105,8 @@
         val memory = waiting.minOfOrNull { it.taskResources.memoryGb } ?: 0.0
         val smallest = Resources(cpus, 0.0, memory)
         return placeable.filter { machine ->
-            machine.roundRoom = machine.room(fleet.types)
-            smallest.fitsIn(machine.roundRoom)
+            machine.roundFreeCapacity = machine.freeCapacity(fleet.types)
+            smallest.fitsIn(machine.roundFreeCapacity)
         }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -46,7 +46,7 @@
     /** Machines on which replicas were commanded to stop, since room for them was found elsewhere. */
     val stoppedOn = ArrayList<Machine>()
     private val machines get() = room.machines
-    private var freeCpus = machines.sumOf { it.roundRoom.cpus }
+    private var freeCpus = machines.sumOf { it.roundFreeCapacity.cpus }
     private val capacity = order.capacity
 
     /** CPU seconds of waiting work, this job's and what goes before it. */
@@ -89,7 +89,7 @@
         val withinQuota = minOf(ready, quotaLeft(job))
         if (job.service && withinQuota < ready) overQuota.add(ReplicasOverQuota(job, ready - withinQuota))
         // Zone constraints are counted over what one call places, so such jobs are placed in one.
-        val inOnePass = job.gang || job.boundToZones
+        val inOnePass = job.gang || job.hasZoneConstraint
         val wanted = if (heldOnly && inOnePass) 0 else wantedTasks(job, withinQuota, ready)
         val placed = if (wanted > 0) placeWithHeadroom(job, wanted, heldOnly) else 0
         if (placed > 0) recordPlaced(job, placed)
@@ -135,11 +135,11 @@
         return selector.place(job, wanted, machines, allocations, skip, heldOnly)
     }
 
-    /** Headroom for services is no longer reserved from what waits long, see [FairShareCredit.waitsLong]. */
+    /** Headroom for services is no longer reserved from what waits long, see [FairShareCredit.hasWaitedLong]. */
     private fun takeHeadroomOffer(job: OpenJob, placed: Int): Boolean {
         if (!headroomReserved || job.service) return false
-        if (placed > 0 && job.boundToZones) return false
-        return job.credit.waitsLong(context.now.wall) && headroomOffersLeft-- > 0
+        if (placed > 0 && job.hasZoneConstraint) return false
+        return job.credit.hasWaitedLong(context.now.wall) && headroomOffersLeft-- > 0
     }
 
     private fun quotaLeft(job: OpenJob): Int {
@@ -152,7 +152,7 @@
     private fun recordUnplaced(job: OpenJob, count: Int, mayPress: Boolean) {
         if (mayPress) backlog += count * job.taskResources.cpus * job.spec.expectedS
         val pressing = mayPress && order.isPressing(job, backlog / maxOf(1.0, capacity))
-        val zones = if (job.boundToZones) zonesAfter(job) else null
+        val zones = if (job.hasZoneConstraint) zonesAfter(job) else null
         unplaced.add(UnplacedTasks(job, count, pressing, zones))
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -116,7 +116,7 @@
     private val cheapestFirst =
         compareBy<Attempt>(
             { if (it.job.spec.checkpointS > 0) 0 else 1 },
-            { -it.placedAt },
+            { -it.placedAtMs },
             { it.machine.id },
             { it.index },
         )
@@ -148,7 +148,7 @@
 
     /** The room that this round leaves on [machine], and what its tasks that are being stopped will leave. */
     private fun roomAfterStops(machine: Machine): Resources {
-        var room = machine.roundRoom
+        var room = machine.roundFreeCapacity
         for (attempt in machine.attempts) {
             if (attempt.stopRequested && attempt.onMachine) room += attempt.job.taskResources
         }
@@ -159,7 +159,7 @@
     private fun isPreemptible(attempt: Attempt): Boolean {
         if (!attempt.onMachine || attempt.stopRequested || attempt.fromCredit) return false
         if (attempt.job.spec.shape != Shape.ARRAY) return false
-        val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAt < YOUNG_MS
+        val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAtMs < YOUNG_MS
         return losesLittle && !order.withinGuarantee(attempt.job)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -120,8 +120,8 @@
     private fun mayStart(migration: Migration, placeable: List<Machine>, given: List<Allocation>): Boolean {
         val job = migration.job
         val target = migration.target
-        if (!job.placeable || job.backoff.notBefore > context.steady || target !in placeable) return false
-        if (!job.taskResources.fitsIn(target.roundRoom) || !mayUse(job, target)) return false
+        if (!job.placeable || job.backoff.notBeforeMs > context.steady || target !in placeable) return false
+        if (!job.taskResources.fitsIn(target.roundFreeCapacity) || !mayUse(job, target)) return false
         val zones = ZoneConstraint(job, fleet)
         if (zones.blocked || !zones.admits(target.zone)) return false
         return withinQuota(job, given)
@@ -137,7 +137,7 @@
 
     private fun holdRoom(migration: Migration) {
         val target = migration.target
-        target.roundRoom = target.roundRoom.without(migration.job.taskResources, 1)
+        target.roundFreeCapacity = target.roundFreeCapacity.without(migration.job.taskResources, 1)
         // It is not deleted for idling meanwhile.
         target.availability.recordIdle(idle = false, context.steady)
     }
@@ -167,7 +167,7 @@
 
     /** When the cloud reclaims the machine; [Long.MAX_VALUE] if it stays until it is empty. */
     private fun deadline(machine: Machine): Long =
-        if (machine.availability.hasSpotNotice) machine.availability.reclaimAt else Long.MAX_VALUE
+        if (machine.availability.hasSpotNotice) machine.availability.reclaimAtMs else Long.MAX_VALUE
 
     /** The zone constraint as it will stand once the migrations under way are over and [attempt] is gone. */
     private fun zonesWithout(attempt: Attempt): ZoneConstraint {
@@ -186,12 +186,12 @@
         val job = attempt.job
         if (zones.blocked) return null
         return placeable
-            .filter { job.taskResources.fitsIn(it.roundRoom) && mayUse(job, it) && zones.admits(it.zone) }
+            .filter { job.taskResources.fitsIn(it.roundFreeCapacity) && mayUse(job, it) && zones.admits(it.zone) }
             .minWithOrNull(
                 compareBy(
                     { if (job.image < 0 || job.image in it.images) 0 else 1 },
                     { if (replicas.countOn(it, job) < replicas.maxPerMachine(job)) 0 else 1 },
-                    { it.roundRoom.cpus },
+                    { it.roundFreeCapacity.cpus },
                     { it.id },
                 ),
             )
--- a/src/main/kotlin/org/chalkhollow/core/placement/Replicas.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Replicas.kt
@@ -37,7 +37,7 @@
 
     /** Gives the room that [reserveHeadroom] took off back to the machines. */
     fun releaseHeadroom() {
-        for (reservation in reservations) reservation.machine.roundRoom += reservation.resources
+        for (reservation in reservations) reservation.machine.roundFreeCapacity += reservation.resources
         reservations.clear()
     }
 
@@ -60,17 +60,17 @@
     private fun reserve(serviceClass: ServiceClass, count: Int, machines: List<Machine>) {
         var left = count
         // Where their images are kept already, a replica that comes or comes back need not wait for one.
-        val imagesFirst = compareBy<Machine>({ -serviceClass.imagesOn(it) }, { it.roundRoom.cpus })
+        val imagesFirst = compareBy<Machine>({ -serviceClass.imagesOn(it) }, { it.roundFreeCapacity.cpus })
         for (machine in machines.sortedWith(imagesFirst)) {
             if (left == 0) break
             if (machine.spot && !serviceClass.spotAllowed) continue
-            val fitting = serviceClass.taskResources.countIn(machine.roundRoom)
+            val fitting = serviceClass.taskResources.countIn(machine.roundFreeCapacity)
             val replicas = minOf(left, fitting, MAX_PER_MACHINE)
             if (replicas <= 0) continue
             left -= replicas
             reservedCpus += replicas * serviceClass.taskResources.cpus
             reservations.add(Reservation(machine, serviceClass.taskResources * replicas))
-            machine.roundRoom = machine.roundRoom.without(serviceClass.taskResources, replicas)
+            machine.roundFreeCapacity = machine.roundFreeCapacity.without(serviceClass.taskResources, replicas)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -60,8 +60,8 @@
     fun reservedFromJob(job: OpenJob, type: Int): Boolean {
         if (context.steady - seenAt.get(type) > SCARCE_MS || job.onlyType == type) return false
         if (objectives.awaitsPromptStart(job) || job.spec.priority < Priority.STANDARD) return false
-        if (job.credit.waitsLong(context.now.wall)) return false
-        return context.now.wall - job.acceptedWall < WAITED_MS || waitedLately(type)
+        if (job.credit.hasWaitedLong(context.now.wall)) return false
+        return context.now.wall - job.acceptedWallMs < WAITED_MS || waitedLately(type)
     }
 
     private fun waitedLately(type: Int): Boolean = context.steady - waitedAt.get(type) < WAITED_MS
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -42,14 +42,14 @@
         val fairShareCpus = options.patienceShare * capacity
         for (job in jobs.open) {
             if (!isStarving(job, patienceMs)) continue
-            job.credit.grant(fairShareCpus, job.credit.lastPlacedWall + patienceMs)
+            job.credit.grant(fairShareCpus, job.credit.lastPlacedWallMs + patienceMs)
         }
         creditLeft = fairShareCpus - reconciler.creditCpus
     }
 
     private fun isStarving(job: OpenJob, patienceMs: Long): Boolean {
         if (!job.placeable || job.credit.cpus > 0 ||
-            context.now.wall - job.credit.lastPlacedWall < patienceMs
+            context.now.wall - job.credit.lastPlacedWallMs < patienceMs
         ) {
             return false
         }
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -143,7 +143,7 @@
                 retryAfter(transaction, 0)
                 flush()
             }
-            is StateReply.Rejected -> onRejected(transaction, reply.why)
+            is StateReply.Rejected -> onRejected(transaction, reply.reason)
             else -> onUnavailable(transaction)
         }
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
@@ -20,7 +20,7 @@
                 http.request(GET, "/machines?" + after + "page=$PAGE", null, TIMEOUT_MS, onResult)
             }
             is CloudOp.Rent -> {
-                val body = Pack.encode(ServiceCodec.rent(op.request, op.type, op.zone, op.spot, op.count))
+                val body = Pack.encode(ServiceCodec.rent(op.requestName, op.type, op.zone, op.spot, op.count))
                 http.request(POST, "/machines", body, TIMEOUT_MS, onResult)
             }
             is CloudOp.Delete -> {
--- a/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
@@ -48,7 +48,7 @@
             if (SteadyClock.ms() - decidedAt.steady < LATE_MS) {
                 execute(effect)
             } else {
-                controller.whenLate(SteadyClock.now(), effect)?.let(::execute)
+                controller.recheck(SteadyClock.now(), effect)?.let(::execute)
             }
         }
         executing = false
@@ -73,7 +73,7 @@
 
     private fun setTimer(effect: Effect.Timer) {
         tickTimer?.dispose()
-        tickTimer = loop.after(effect.at - SteadyClock.ms()) { step(Input.Tick) }
+        tickTimer = loop.after(effect.atMs - SteadyClock.ms()) { step(Input.Tick) }
     }
 
     /** Takes a reply, steps the controller with its [input], and records how long the reply took from now on. */
--- a/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
@@ -10,7 +10,7 @@
 internal class OperatorEndpoints(private val controller: Controller, private val metrics: Metrics) {
     /** `/up`: whether this controller takes requests. */
     fun up(): HttpReply =
-        HttpReply(if (controller.takesRequests(SteadyClock.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE, null)
+        HttpReply(if (controller.acceptsRequests(SteadyClock.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE, null)
 
     /** `/metrics` in the text format of Prometheus. */
     fun metrics(): HttpReply {
--- a/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -97,7 +97,7 @@
             return responder.answer(HttpReply(HttpStatus.BAD_REQUEST, null))
         }
         if (request is UserRequest.Invalid) {
-            context.log.debug("malformed submission of {}: {}", request.jobId, request.why)
+            context.log.debug("malformed submission of {}: {}", request.jobId, request.reason)
         }
         step(responder) { Input.User(it, request) }
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerClient.kt
@@ -25,7 +25,7 @@
     private fun decode(result: HttpResult.Answered): CommandReply =
         when (result.status) {
             HttpStatus.OK -> CommandReply.Executed(WorkerCodec.heartbeat(result.body))
-            HttpStatus.CONFLICT -> CommandReply.Refused(WorkerCodec.heartbeat(result.body))
+            HttpStatus.CONFLICT -> CommandReply.Rejected(WorkerCodec.heartbeat(result.body))
             HttpStatus.BAD_REQUEST -> CommandReply.NotSent
             else -> CommandReply.NoResponse
         }
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -114,7 +114,7 @@
             val described = f.map["j"] ?: continue
             val spec = checkNotNull(jobs.findForMarker(line.name.removePrefix(JobRecord.KEY_PREFIX))).spec
             assertArrayEquals(Pack.encode(described), Pack.encode(UserCodec.map(spec)), line.name)
-            if (expected == JobState.OPEN) assertEquals(f.long("at"), entry.open?.acceptedWall)
+            if (expected == JobState.OPEN) assertEquals(f.long("at"), entry.open?.acceptedWallMs)
         }
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
@@ -30,7 +30,7 @@
         val controller = Controller(settings, OperatorSettings(), 1, Now(0, 0))
         val pending = ArrayDeque(controller.step(Now(0, 0), Input.Tick))
         var revision = 1L
-        while (!controller.takesRequests(Now(0, 0)) || pending.isNotEmpty()) {
+        while (!controller.acceptsRequests(Now(0, 0)) || pending.isNotEmpty()) {
             val effect = pending.removeFirstOrNull() ?: break
             if (effect !is Effect.State) continue
             val reply =
@@ -46,12 +46,12 @@
         val effects = controller.step(Now(20, 20), Input.Heartbeat(7, heartbeat))
         val response = effects.filterIsInstance<Effect.Response>().single()
         assertEquals(200, response.status)
-        assertEquals(200, (controller.whenLate(Now(300, 300), response) as Effect.Response).status)
-        assertEquals(503, (controller.whenLate(Now(30_000, 30_000), response) as Effect.Response).status)
+        assertEquals(200, (controller.recheck(Now(300, 300), response) as Effect.Response).status)
+        assertEquals(503, (controller.recheck(Now(30_000, 30_000), response) as Effect.Response).status)
         val command = Effect.WorkerCommand(1, "127.0.0.1:9", 1, 1, emptyList())
         assertEquals(
             null,
-            controller.whenLate(Now(30_000, 30_000), command),
+            controller.recheck(Now(30_000, 30_000), command),
             "a command of a leader that is none any more",
         )
     }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptOutcomesTest.kt
@@ -56,7 +56,7 @@
                 val attempt = running(job, machine(failure))
                 outcomes.onExit(attempt, ExitCause.ERROR)
                 assertTrue(attempt.finished && job.tasks.nextReady(0) == 0, "the task is ready again")
-                maxOf(0, job.backoff.notBefore - context.steady)
+                maxOf(0, job.backoff.notBeforeMs - context.steady)
             }
         assertEquals(listOf<Long>(0, 0, 2000, 2000, 2000, 4000, 4000, 4000), waits)
     }
@@ -65,12 +65,12 @@
     fun `a replica that ends again and again soon after its start waits, one that lasted does not`() {
         val job = openedJob(Shape.SERVICE)
         repeat(3) { outcomes.onExit(running(job, machine(it)), ExitCause.DONE) }
-        assertEquals(2000, job.backoff.notBefore - context.steady)
+        assertEquals(2000, job.backoff.notBeforeMs - context.steady)
         assertEquals(0, job.progress.doneCount, "a replica is never done")
         val lasting = running(job, machine(4))
         context.now = Now(120_000, 120_000)
         outcomes.onExit(lasting, ExitCause.DONE)
         assertEquals(0, job.backoff.failures)
-        assertTrue(job.backoff.notBefore < context.steady)
+        assertTrue(job.backoff.notBeforeMs < context.steady)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/attempts/AttemptTest.kt
@@ -13,7 +13,7 @@
     private val job = openJob("j-1", tasks = 2)
 
     private fun attempt(inherited: Boolean = false) =
-        Attempt(job, 0, 100, machine, marker = null, fromCredit = false, inherited, placedAt = 1000)
+        Attempt(job, 0, 100, machine, marker = null, fromCredit = false, inherited, placedAtMs = 1000)
 
     @Test
     fun `an attempt begins with its marker pending, an inherited one as if its start had been sent`() {
@@ -27,10 +27,10 @@
         attempt.directStartConcluded()
         assertFalse(attempt.startedDirectly, "nothing was sent directly")
         attempt.startSentDirectly()
-        assertTrue(attempt.directStartUnresolved && attempt.startedDirectly)
+        assertTrue(attempt.directStartOutcomeUnknown && attempt.startedDirectly)
         attempt.directStartConcluded()
-        attempt.startDropped()
-        assertFalse(attempt.directStartUnresolved)
+        attempt.startNotExecuted()
+        assertFalse(attempt.directStartOutcomeUnknown)
         assertTrue(attempt.startedDirectly, "a copy of it may still come")
         assertEquals(Attempt.Phase.MARKER_PERSISTED, attempt.phase)
     }
--- a/src/test/kotlin/org/chalkhollow/core/cluster/FailureBackoffTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/FailureBackoffTest.kt
@@ -20,29 +20,29 @@
     fun `one machine's faults do not hold the job up, those of several do, and longer and longer`() {
         repeat(10) { backoff.taskFailed(machine = 1, now = 1_000) }
         backoff.taskFailed(machine = 2, now = 1_000)
-        assertEquals(0, backoff.notBefore)
+        assertEquals(0, backoff.notBeforeMs)
         backoff.taskFailed(machine = 3, now = 1_000)
-        assertEquals(1_000L + (1_000 shl 4), backoff.notBefore, "12 failures double the wait 4 times")
+        assertEquals(1_000L + (1_000 shl 4), backoff.notBeforeMs, "12 failures double the wait 4 times")
         repeat(30) { backoff.taskFailed(machine = 3, now = 1_000) }
-        assertEquals(1_000L + (1_000 shl 5), backoff.notBefore, "it is doubled 5 times at most")
+        assertEquals(1_000L + (1_000 shl 5), backoff.notBeforeMs, "it is doubled 5 times at most")
     }
 
     @Test
     fun `a completion ends the count of failures, and a pause is never shortened`() {
         repeat(3) { backoff.taskFailed(machine = it, now = 0) }
-        assertEquals(2_000, backoff.notBefore)
+        assertEquals(2_000, backoff.notBeforeMs)
         backoff.taskCompleted()
         assertEquals(0, backoff.failures)
         backoff.pauseUntil(500)
-        assertEquals(2_000, backoff.notBefore)
+        assertEquals(2_000, backoff.notBeforeMs)
     }
 
     @Test
     fun `replicas that end soon are held up once more of them ended than the service has`() {
         repeat(2) { backoff.replicaEnded(machine = it, now = 1_000, placedForMs = 100, replicas = 2) }
-        assertEquals(0, backoff.notBefore)
+        assertEquals(0, backoff.notBeforeMs)
         backoff.replicaEnded(machine = 0, now = 1_000, placedForMs = 100, replicas = 2)
-        assertEquals(3_000, backoff.notBefore)
+        assertEquals(3_000, backoff.notBeforeMs)
         backoff.replicaEnded(machine = 0, now = 1_000, placedForMs = 15_001, replicas = 2)
         assertEquals(0, backoff.failures, "one that ran for long did not fail at its start")
     }
--- a/src/test/kotlin/org/chalkhollow/core/cluster/FairShareCreditTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/FairShareCreditTest.kt
@@ -6,24 +6,24 @@
 import org.junit.jupiter.api.Test
 
 class FairShareCreditTest {
-    private val credit = FairShareCredit(acceptedWall = 1_000)
+    private val credit = FairShareCredit(acceptedWallMs = 1_000)
 
     @Test
     fun `what is placed uses credit up, down to none`() {
-        credit.grant(cpus = 4.0, sinceWall = 2_000)
-        credit.placed(placedCpus = 3.0, wall = 3_000)
+        credit.grant(cpus = 4.0, sinceWallMs = 2_000)
+        credit.placed(placedCpus = 3.0, wallMs = 3_000)
         assertEquals(1.0, credit.cpus)
-        credit.placed(placedCpus = 3.0, wall = 4_000)
+        credit.placed(placedCpus = 3.0, wallMs = 4_000)
         assertEquals(0.0, credit.cpus)
-        assertEquals(4_000, credit.lastPlacedWall)
+        assertEquals(4_000, credit.lastPlacedWallMs)
     }
 
     @Test
     fun `a job waits long when some of it has been waiting for a minute, whatever was placed meanwhile`() {
-        credit.placed(placedCpus = 1.0, wall = 50_000)
-        assertFalse(credit.waitsLong(61_000))
-        assertTrue(credit.waitsLong(61_001))
+        credit.placed(placedCpus = 1.0, wallMs = 50_000)
+        assertFalse(credit.hasWaitedLong(61_000))
+        assertTrue(credit.hasWaitedLong(61_001))
         credit.allPlaced(61_001)
-        assertFalse(credit.waitsLong(61_002))
+        assertFalse(credit.hasWaitedLong(61_002))
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/cluster/MachineTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/MachineTest.kt
@@ -14,7 +14,7 @@
         machine.lease.beginEpoch(2)
         machine.markUp()
         machine.markLost(since = 500)
-        assertEquals(Machine.State.LOST to 500L, machine.state to machine.lostAt)
+        assertEquals(Machine.State.LOST to 500L, machine.state to machine.lostAtMs)
         assertTrue(machine.lease.hasEnded(2))
     }
 
@@ -22,27 +22,27 @@
     fun `an empty machine has exactly its capacity, whatever was added and taken off before`() {
         val capacity = Resources(4.0, 0.0, 16.0)
         val odd = Resources(0.1, 0.0, 0.7)
-        repeat(3) { machine.usage.occupy(odd) }
+        repeat(3) { machine.usage.allocate(odd) }
         assertTrue(machine.busy)
-        repeat(3) { machine.usage.vacate(odd) }
+        repeat(3) { machine.usage.release(odd) }
         assertFalse(machine.busy)
-        machine.usage.occupy(Resources(1.0, 0.0, 1.0))
-        assertEquals(Resources(3.0, 0.0, 15.0), machine.usage.leftOf(capacity))
+        machine.usage.allocate(Resources(1.0, 0.0, 1.0))
+        assertEquals(Resources(3.0, 0.0, 15.0), machine.usage.freeOf(capacity))
     }
 
     @Test
     fun `a machine idles since it first did, and is unreachable since it first was`() {
         machine.availability.recordIdle(idle = true, now = 10)
         machine.availability.recordIdle(idle = true, now = 20)
-        assertEquals(10, machine.availability.idleSince)
+        assertEquals(10, machine.availability.idleSinceMs)
         machine.availability.recordIdle(idle = false, now = 30)
-        assertEquals(Machine.NEVER, machine.availability.idleSince)
+        assertEquals(Machine.NEVER, machine.availability.idleSinceMs)
 
         assertFalse(machine.reachability.update(isReachable = false, now = 10))
         assertFalse(machine.reachability.update(isReachable = false, now = 20))
-        assertEquals(10, machine.reachability.unreachableSince)
+        assertEquals(10, machine.reachability.unreachableSinceMs)
         assertTrue(machine.reachability.update(isReachable = true, now = 30))
-        assertEquals(Machine.NEVER, machine.reachability.unreachableSince)
+        assertEquals(Machine.NEVER, machine.reachability.unreachableSinceMs)
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
@@ -16,10 +16,10 @@
     fun `completions are gathered from the first that is not written`() {
         pages.taskDone(3, now = 100)
         pages.taskDone(25, now = 200)
-        assertEquals(100, pages.dirtySince)
+        assertEquals(100, pages.dirtySinceMs)
         assertEquals(0, pages.nextToWrite())
         pages.pageSent(0, now = 300)
-        assertEquals(300, pages.dirtySince)
+        assertEquals(300, pages.dirtySinceMs)
         assertEquals(2, pages.nextToWrite())
     }
 
@@ -28,7 +28,7 @@
         pages.taskDone(3, now = 100)
         pages.pageSent(0, now = 100)
         assertFalse(pages.mayWrite(100))
-        pages.pageRefused(0, retryAt = 500)
+        pages.pageRejected(0, retryAtMs = 500)
         assertFalse(pages.mayWrite(499))
         assertTrue(pages.mayWrite(500))
     }
@@ -39,7 +39,7 @@
         assertTrue(pages.mayWrite(0))
         pages.completionSent()
         assertFalse(pages.mayWrite(0))
-        pages.completionRefused(retryAt = 7)
+        pages.completionRejected(retryAtMs = 7)
         assertTrue(pages.mayWrite(7))
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/cluster/WorkerLeaseTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/WorkerLeaseTest.kt
@@ -13,16 +13,16 @@
         lease.renew(5, 1000)
         lease.renew(5, 2000)
         lease.renew(4, 3000)
-        assertEquals(1000, lease.answeredAt)
+        assertEquals(1000, lease.answeredAtMs)
         lease.renew(6, 4000)
-        assertEquals(4000, lease.answeredAt)
+        assertEquals(4000, lease.answeredAtMs)
     }
 
     @Test
     fun `a status from the reply to a direct command keeps no later heartbeat from renewing the lease`() {
         assertTrue(lease.advanceStatus(8))
         lease.renew(7, 1000)
-        assertEquals(1000, lease.answeredAt)
+        assertEquals(1000, lease.answeredAtMs)
         assertFalse(lease.advanceStatus(7), "its status is older than the reply's")
     }
 
@@ -42,6 +42,6 @@
         lease.beginEpoch(4)
         assertTrue(lease.advanceStatus(1))
         lease.renew(1, 2000)
-        assertEquals(2000, lease.answeredAt)
+        assertEquals(2000, lease.answeredAtMs)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -65,7 +65,7 @@
 
     /** What a placement round finds left of the machine. */
     private fun offer(machine: Machine, cpus: Double) {
-        machine.roundRoom = Resources(cpus, 0.0, 64.0)
+        machine.roundFreeCapacity = Resources(cpus, 0.0, 64.0)
     }
 
     private fun running(job: OpenJob, index: Int, machine: Machine): Attempt =
@@ -109,10 +109,10 @@
         old.availability.drain()
         assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, false, false), replicas.map { it.stopRequested })
-        assertEquals(6.0, other.roundRoom.cpus)
+        assertEquals(6.0, other.roundFreeCapacity.cpus)
         offer(other, 8.0)
         assertEquals(emptyList<Allocation>(), migration.start(listOf(other)), "the old attempt is not gone")
-        assertEquals(6.0, other.roundRoom.cpus, "the room is held in the next round, too")
+        assertEquals(6.0, other.roundFreeCapacity.cpus, "the room is held in the next round, too")
         assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "one is under way")
 
         replicas[0].exited(hasCompleted = false)
@@ -122,7 +122,7 @@
         offer(other, 8.0)
         val started = migration.start(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
-        assertEquals(6.0, other.roundRoom.cpus)
+        assertEquals(6.0, other.roundFreeCapacity.cpus)
         assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "the first does not run again yet")
         running(job, 0, other)
         assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
@@ -138,7 +138,7 @@
         notice(old, 10_000)
         migration.plan(listOf(other))
         assertTrue(replicas.all { it.stopRequested })
-        assertEquals(2.0, other.roundRoom.cpus)
+        assertEquals(2.0, other.roundFreeCapacity.cpus)
         gone(old)
         // Rules on zones are counted over what is on machines: each waits for the marker of the one before.
         offer(other, 8.0)
@@ -153,7 +153,7 @@
                 .tasks
                 .toList(),
         )
-        assertEquals(2.0, other.roundRoom.cpus, "room for this one and for the last")
+        assertEquals(2.0, other.roundFreeCapacity.cpus, "room for this one and for the last")
     }
 
     @Test
@@ -165,7 +165,7 @@
         running(job, 0, old)
         old.availability.cordon()
         migration.plan(listOf(fuller, holder))
-        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, holder.roundRoom.cpus))
+        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundFreeCapacity.cpus, holder.roundFreeCapacity.cpus))
     }
 
     @Test
@@ -183,7 +183,7 @@
         assertEquals(emptyList<Machine>(), plan.stoppedOn, "two are in the other zone already")
         assertEquals(listOf(true, false), listOf(0, 1).map { plan.unplaced.single().admits(it) })
         assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
-        assertEquals(0.0, sameZone.roundRoom.cpus)
+        assertEquals(0.0, sameZone.roundFreeCapacity.cpus)
     }
 
     @Test
@@ -228,7 +228,11 @@
             },
             "it is about to be taken itself",
         )
-        assertEquals(0, startAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) }, "it has no room")
+        assertEquals(
+            0,
+            startAfter { _, target -> target.roundFreeCapacity = Resources(1.0, 0.0, 64.0) },
+            "it has no room",
+        )
         assertEquals(0, startAfter { job, _ -> running(job, 3, machine("n-5", zone = 0)) }, "its zone is full")
         assertEquals(0, startAfter { job, _ -> job.beginCancellation() }, "the service is withdrawn")
         assertEquals(0, startAfter { job, _ -> job.backoff.pauseUntil(1000) }, "its replicas fail")
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicasTest.kt
@@ -32,7 +32,7 @@
     private fun machine(name: String, zone: Int, cpus: Double): Machine =
         fleet.getOrAdd(name).also {
             it.describe(Machine.UNKNOWN, zone, isSpot = false)
-            it.roundRoom = Resources(cpus, 0.0, 64.0)
+            it.roundFreeCapacity = Resources(cpus, 0.0, 64.0)
         }
 
     @Test
@@ -45,11 +45,11 @@
         val otherZone = machine("n-4", 1, 8.0)
         val machines = listOf(fullest, fuller, holder, otherZone)
         assertEquals(6.0, replicas.reserveHeadroom(machines))
-        assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.roundRoom.cpus })
+        assertEquals(listOf(1.0, 4.0, 0.0, 5.0), machines.map { it.roundFreeCapacity.cpus })
         replicas.releaseHeadroom()
-        assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.roundRoom.cpus })
+        assertEquals(listOf(2.0, 4.0, 2.0, 8.0), machines.map { it.roundFreeCapacity.cpus })
         val spot = machine("n-5", 0, 1.0).also { it.describe(it.type, it.zone, isSpot = true) }
         replicas.reserveHeadroom(listOf(spot))
-        assertEquals(1.0, spot.roundRoom.cpus, "its services may not use spot machines")
+        assertEquals(1.0, spot.roundFreeCapacity.cpus, "its services may not use spot machines")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/requests/UndecidedRequestsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/UndecidedRequestsTest.kt
@@ -92,8 +92,8 @@
         for (request in requests - requests[1]) {
             val responses = c.responses(request)
             assertEquals(listOf(if (request === bad) 400 else 404), responses.map(::status).distinct(), "$request")
-            assertEquals(responses.map(::status), responses.map { status(c.whenLate(Now(300, 300), it)) })
-            assertEquals(listOf(503, 503), responses.map { status(c.whenLate(Now(30_000, 30_000), it)) })
+            assertEquals(responses.map(::status), responses.map { status(c.recheck(Now(300, 300), it)) })
+            assertEquals(listOf(503, 503), responses.map { status(c.recheck(Now(30_000, 30_000), it)) })
         }
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/EffectDigest.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/EffectDigest.kt
@@ -35,7 +35,7 @@
                     Pack.encode(WorkerCodec.direct(effect.fencingToken, effect.epoch, effect.commands)),
                 )
             is Effect.Send -> add("send ${effect.peer}", Frames.encode(effect.message))
-            is Effect.Timer -> add("timer ${effect.at}", null)
+            is Effect.Timer -> add("timer ${effect.atMs}", null)
             is Effect.Timing -> add("sample ${effect.kind} ${effect.ms}", null)
             is Effect.LogEvent -> Unit
         }
@@ -60,7 +60,7 @@
         when (op) {
             CloudOp.Catalog -> "catalog"
             is CloudOp.Machines -> "machines ${op.after}"
-            is CloudOp.Rent -> "rent ${op.request} ${op.type} ${op.zone} ${op.spot} ${op.count}"
+            is CloudOp.Rent -> "rent ${op.requestName} ${op.type} ${op.zone} ${op.spot} ${op.count}"
             is CloudOp.Delete -> "delete ${op.names}"
         }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
@@ -57,15 +57,15 @@
         }
 
     private fun rent(op: CloudOp.Rent): CloudReply {
-        bookings[op.request]?.let { (before, names) ->
-            check(before == op) { "request name ${op.request} was used again for something else" }
+        bookings[op.requestName]?.let { (before, names) ->
+            check(before == op) { "request name ${op.requestName} was used again for something else" }
             return CloudReply.Rented(names)
         }
         if (types.none { it.name == op.type }) return CloudReply.NoCapacity
         val n = minOf(op.count, capacity - machines.size)
         if (n <= 0) return CloudReply.NoCapacity
         val names = List(n) { add(types.first { it.name == op.type }, op.zone, op.spot, clock.between(3000, 9000)) }
-        bookings[op.request] = op to names
+        bookings[op.requestName] = op to names
         return CloudReply.Rented(names)
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -250,7 +250,7 @@
         }
         expire()
         if (message.epoch != epoch || message.fencingToken < fencingToken) {
-            return reply(CommandReply.Refused(snapshot()))
+            return reply(CommandReply.Rejected(snapshot()))
         }
         fencingToken = message.fencingToken
         message.commands.forEach { execute(it, sentAt) }
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -149,7 +149,7 @@
 
     private fun setTimer(effect: Effect.Timer, askedBy: Int) {
         val timer = ++timers
-        clock.after(effect.at - now().steady + clock.between(0, 3)) {
+        clock.after(effect.atMs - now().steady + clock.between(0, 3)) {
             if (timer == timers) feedBack(askedBy, Input.Tick)
         }
     }
