--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -12,26 +12,26 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * A controller as a pure state machine: an input at a moment in, effects out. It has no clock, does no I/O, and two
- * controllers given the same inputs and seed do the same. It passes each input to the module that owns it; the modules
- * and what ties them together are in [ControllerModules]. Called by the runtime and by simulations, on one thread.
+ * A controller as a pure state machine that turns each input into effects. It has no clock and does no I/O. Two
+ * controllers with the same inputs and seed produce the same effects. It passes each input to the module that handles
+ * it; [ControllerModules] builds and connects the modules. Called by the runtime and by simulations, on one thread.
  */
 class Controller(
     settings: PlatformSettings,
     options: OperatorSettings,
     incarnation: Long,
     start: Now,
-    /** When this process began, by the steady clock; an earlier process of this controller had ended by then. */
+    /** When this process started, in monotonic time. Any earlier process of this controller had ended by then. */
     processStartedAtMs: Long = start.steady,
 ) {
     private val modules = ControllerModules(settings, options, incarnation, start, processStartedAtMs)
     private val context = modules.context
     private val leadership = modules.leadership
 
-    /** [org.chalkhollow.core.common.CoreContext.changes] when writes were last collected after a heartbeat. */
-    private var changesPumped = -1L
+    /** [org.chalkhollow.core.common.CoreContext.changes] at the last heartbeat. */
+    private var changesAtHeartbeat = -1L
 
-    /** Handles one input and returns what is to be done about it. */
+    /** Handles one input and returns the resulting effects. */
     fun step(now: Now, input: Input): List<Effect> {
         context.now = now
         dispatch(input)
@@ -63,51 +63,54 @@
     }
 
     /**
-     * Whether a transaction may be due because of [input]. Most heartbeats change nothing, and asking all sources for
-     * writes after each of them was the largest part of a leader's work; what falls due by time alone waits for the
-     * next tick.
+     * Whether [input] may have made a transaction due. Most heartbeats change nothing, and querying all write producers
+     * after each heartbeat was the largest part of a leader's processor time. A write that becomes due by time alone
+     * waits for the next tick.
      */
     private fun mayCauseWrites(input: Input): Boolean {
         if (input !is Input.Heartbeat) return true
-        val changed = context.changes != changesPumped
-        changesPumped = context.changes
+        val changed = context.changes != changesAtHeartbeat
+        changesAtHeartbeat = context.changes
         return changed
     }
 
     /**
-     * What is still to be done of [effect], which the last step decided, when it is carried out only now; null for
-     * nothing.
+     * Checks an [effect] of the last step that is executed late. Returns the effect to execute instead, or null for
+     * none.
      */
     fun recheck(now: Now, effect: Effect): Effect? {
         context.now = now
         return modules.lateEffects.check(effect)
     }
 
-    /** Whether this controller is entitled to act as the leader at this moment. */
+    /** Whether this controller is entitled to act as the leader at [now]. */
     fun isLeader(now: Now): Boolean {
         context.now = now
         return leadership.entitled()
     }
 
-    /** Whether users may be sent here: this controller leads, or has lately heard from the leader. */
+    /**
+     * Whether users may send requests here: this controller leads, or had contact with the leader within
+     * [LEADER_CONTACT_MS].
+     */
     fun acceptsRequests(now: Now): Boolean {
         context.now = now
-        return leadership.inTouch(IN_TOUCH_MS)
+        return leadership.inTouch(LEADER_CONTACT_MS)
     }
 
-    /** For operators; changes nothing. */
+    /** The status for operators; changes nothing. */
     fun status(now: Now): StatusView {
         context.now = now
         return modules.statusReport.status(modules.term.recordsLoaded)
     }
 
-    /** For operators: one job, or null when this controller does not know it. */
+    /** The status of one job for operators, or null if this controller does not know the job. */
     fun jobStatus(now: Now, id: String): JobView? {
         context.now = now
         return modules.jobReport.job(id)
     }
 
-    /** As of the last input. */
+    /** The gauges as of the last input. */
     val gauges: ControllerGauges
         get() =
             ControllerGauges(
@@ -122,7 +125,7 @@
             )
 
     private companion object {
-        /** A follower that has heard nothing from a leader for so long says that it takes no requests. */
-        const val IN_TOUCH_MS = 3500L
+        /** A follower without contact to a leader for this long accepts no user requests. */
+        const val LEADER_CONTACT_MS = 3500L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
+++ b/src/main/kotlin/org/chalkhollow/core/ControllerModules.kt
@@ -32,8 +32,9 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Builds the modules of one controller and gives each what it uses, in the order of their layers. Where two need each
- * other, the later one is reached through [EventDispatcher]. Public are the modules that [Controller] passes inputs to.
+ * Builds the modules of one controller in the order of their layers and passes to each the modules that it uses. Where
+ * two modules need each other, the earlier one reaches the later one through [EventDispatcher]. The modules that
+ * [Controller] uses are public.
  */
 internal class ControllerModules(
     settings: PlatformSettings,
@@ -106,9 +107,9 @@
     }
 
     /**
-     * Who has something to write, the most urgent first, since the budget may not suffice for all: users wait for what
-     * is accepted and cancelled, and tasks for their placement. Completions follow; until they are durable, workers
-     * merely keep them in their heartbeats. Garbage collection comes last, nobody waits for it.
+     * The write producers, most urgent first, since the budget of a transaction may not suffice for all. Users wait for
+     * accepted and cancelled jobs, and tasks wait for their placement. Completions follow: until they are durable,
+     * workers keep them in their heartbeats. Garbage collection comes last because nothing waits for it.
      */
     private fun writeProducers(): List<WriteProducer> =
         listOf(
--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -18,17 +18,17 @@
 import org.chalkhollow.core.storage.WriteProducer
 
 /**
- * Passes the events of leadership, jobs, attempts and machines on to who acts on them. Those modules need each other:
- * the reconciler is notified of machines that are gone, and the fleet of attempts that have begun. So each is given
- * this dispatcher at construction, and the dispatcher is given its targets by [bind] once all of them exist. Built by
- * [ControllerModules].
+ * Passes the events of leadership, jobs, attempts and machines to the modules that handle them. These modules depend on
+ * each other: the reconciler is notified of machines that are gone, and the fleet of attempts that have started.
+ * Therefore each module receives this dispatcher at construction, and [bind] sets the targets of the dispatcher once
+ * all modules exist. Built by [ControllerModules].
  */
 internal class EventDispatcher :
     Leadership.Events,
     MachineEvents,
     AttemptEvents,
     JobEvents {
-    /** The receivers of events; [placement] gives the write of a placement round. */
+    /** The modules that receive events; [placement] produces the write of a placement round. */
     class Targets(
         val snapshot: CandidateSnapshot,
         val term: LeaderTerm,
@@ -41,11 +41,11 @@
     )
 
     private var bound: Targets? = null
-    private val targets: Targets get() = checkNotNull(bound) { "an event came before the dispatcher was bound" }
+    private val targets: Targets get() = checkNotNull(bound) { "event received before bind() was called" }
 
-    /** Sets the receivers of events; to be called once, before the first input. */
+    /** Sets the receivers of events. Must be called once, before the first input. */
     fun bind(targets: Targets) {
-        check(bound == null) { "the dispatcher is bound already" }
+        check(bound == null) { "bind() was called twice" }
         bound = targets
     }
 
@@ -79,5 +79,5 @@
     }
 
     /** The write of the next placement round, if one is due. */
-    fun nextPlacement(room: TransactionBudget): Write? = targets.placement.next(room)
+    fun nextPlacement(budget: TransactionBudget): Write? = targets.placement.next(budget)
 }
--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -7,25 +7,25 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Checks effects that are carried out later than they were decided. What only an entitled leader may say is not said
- * when this controller is none by then, refusals included: the job may have been accepted since. Writes need no such
- * check, their conditions hold or do not. Called by [Controller].
+ * Checks effects that are executed late. If this controller is no longer entitled to act as the leader by then, it must
+ * not send what only an entitled leader may send. That includes rejections, because another leader may have accepted
+ * the job in the meantime. Writes need no check, because they are conditional. Called by [Controller].
  */
 internal class LateEffects(private val leadership: Leadership) {
     private var entitledAtStep = false
 
-    /** A step is over; its effects may be given to [check] later. */
+    /** A step has ended; its effects may be passed to [check] later. */
     fun stepDone() {
         entitledAtStep = leadership.entitled()
     }
 
-    /** What is still to be done of [effect], which the last step decided; null for nothing. */
+    /** Returns what to execute instead of [effect], an effect of the last step; null for nothing. */
     fun check(effect: Effect): Effect? {
         if (!entitledAtStep || leadership.entitled()) return effect
         return when (effect) {
             is Effect.Response -> if (isDecided(effect.status)) unavailable(effect) else effect
             is Effect.Send -> checkMessage(effect)
-            is Effect.WorkerCommand -> null // like a command that is lost on its way
+            is Effect.WorkerCommand -> null // the same as a command that is lost on the network
             else -> effect
         }
     }
@@ -41,6 +41,6 @@
     private fun unavailable(effect: Effect.Response) =
         Effect.Response(effect.call, HttpStatus.UNAVAILABLE, null, UserRequest.RETRY_AFTER_S)
 
-    /** Server errors say that nothing was decided; every other response rests on what the leader knows. */
+    /** A server error says that nothing was decided. Every other response depends on the state of the leader. */
     private fun isDecided(status: Int): Boolean = status < HttpStatus.SERVER_ERRORS
 }
--- a/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
@@ -10,13 +10,13 @@
 import org.chalkhollow.core.storage.StateWriter
 
 /**
- * Owns the start and end of a leader's term. A term starts with everything that earlier leaders wrote: the snapshot is
- * complete before this controller is elected, so no leader acts on part of the records. [EventDispatcher] calls it when
- * [Leadership] is won or lost.
+ * Owns the start and end of a leader term. A term starts with all records that earlier leaders wrote: the snapshot is
+ * complete before this controller is elected, so that no leader acts on a part of the records. [EventDispatcher] calls
+ * it when this controller wins or loses [Leadership].
  */
 internal class LeaderTerm(
     private val context: CoreContext,
-    /** Names this process as the owner of the leadership record. */
+    /** The leadership record with this process as its owner. */
     private val ownRecord: LeadershipRecord,
     private val leadership: Leadership,
     private val snapshot: CandidateSnapshot,
@@ -25,15 +25,15 @@
     private val commands: WorkerCommandSender,
     private val requests: RequestHandler,
 ) {
-    /** Whether this controller leads and has loaded the stored records; still true when it is not entitled to act. */
+    /** Whether this controller leads and has loaded the stored records; stays true while it is not entitled to act. */
     var recordsLoaded = false
         private set
 
-    /** When the last term started, by the steady clock in milliseconds. */
+    /** When the last term started, in monotonic time. */
     var startedAtMs = 0L
         private set
 
-    /** This controller was elected; nothing was written since the leadership record had revision [snapshotRevision]. */
+    /** This controller was elected. Nothing was written since the leadership record had [snapshotRevision]. */
     fun start(fencingToken: Long, revision: Long, writes: Long, snapshotRevision: Long) {
         commands.newTerm()
         startedAtMs = context.steady
@@ -49,7 +49,7 @@
         records.complete()
     }
 
-    /** This controller leads no more. */
+    /** This controller has stepped down. */
     fun end() {
         commands.newTerm()
         recordsLoaded = false
--- a/src/main/kotlin/org/chalkhollow/core/PeriodicTasks.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PeriodicTasks.kt
@@ -6,7 +6,9 @@
 import org.chalkhollow.core.leadership.Leadership
 import org.chalkhollow.core.requests.RequestHandler
 
-/** Does what is due by time alone, and requests the timer for the next tick. Called by [Controller] at every tick. */
+/**
+ * Runs the periodic work of the modules and requests the timer for the next tick. Called by [Controller] at every tick.
+ */
 internal class PeriodicTasks(
     private val context: CoreContext,
     private val leadership: Leadership,
--- a/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/PlacementStep.kt
@@ -10,8 +10,8 @@
 import org.chalkhollow.core.storage.WriteProducer
 
 /**
- * Decides when a placement round runs, and gives its dispatch markers to the next transaction: they are durable before
- * any start is sent. Called by [StateWriter] as one of its producers.
+ * Decides when a placement round runs, and adds its dispatch markers to the next transaction, so that they are durable
+ * before any start is sent. Called by [StateWriter] as one of its producers.
  */
 internal class PlacementStep(
     private val context: CoreContext,
@@ -21,34 +21,37 @@
     private val commands: WorkerCommandSender,
     private val dispatch: DispatchLog,
 ) : WriteProducer {
-    private var nextRoundAt = 0L
+    private var nextRoundAtMs = 0L
 
     /** [CoreContext.changes] when the last round ran. */
-    private var changesPlaced = -1L
+    private var changesAtLastRound = -1L
 
     override fun next(room: TransactionBudget): Write? {
         if (!term.recordsLoaded || room.ops < 1 || !isDue()) return null
-        changesPlaced = context.changes
-        nextRoundAt = context.steady + ROUND_MS + context.overload.tickDelayMs * ROUND_DELAY_PER_LATE_MS
+        changesAtLastRound = context.changes
+        nextRoundAtMs = context.steady + ROUND_INTERVAL_MS + context.overload.tickDelayMs * EXTRA_MS_PER_TICK_DELAY_MS
         val allocations = placement.round()
         placement.preempted.forEach(commands::send)
-        if (allocations.isNotEmpty()) context.changed() // what did not fit into this transaction comes with the next
+        if (allocations.isNotEmpty()) context.changed() // some may not have fit into this transaction
         return dispatch.writeMarkers(allocations, room)
     }
 
-    /** Rounds cost processor time, of which there is little: without a change they run far less often. */
+    /** Rounds are expensive in processor time, so without a change they run far less often. */
     private fun isDue(): Boolean {
-        if (context.steady < nextRoundAt || writer.stalled()) return false
-        return context.changes != changesPlaced || context.steady >= nextRoundAt + IDLE_ROUND_MS
+        if (context.steady < nextRoundAtMs || writer.stalled()) return false
+        return context.changes != changesAtLastRound || context.steady >= nextRoundAtMs + UNCHANGED_DELAY_MS
     }
 
     private companion object {
-        const val ROUND_MS = 100L
+        const val ROUND_INTERVAL_MS = 100L
 
-        /** So much longer waits a round when nothing has changed; time alone also decides some placements. */
-        const val IDLE_ROUND_MS = 900L
+        /**
+         * Extra delay of a round if nothing has changed. Rounds still run then, because some placements become possible
+         * by time.
+         */
+        const val UNCHANGED_DELAY_MS = 900L
 
-        /** For each millisecond that ticks are late, placement rounds wait so many more. */
-        const val ROUND_DELAY_PER_LATE_MS = 2
+        /** Milliseconds by which the interval grows for each millisecond of tick delay. */
+        const val EXTRA_MS_PER_TICK_DELAY_MS = 2
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
+++ b/src/main/kotlin/org/chalkhollow/core/StoredRecords.kt
@@ -16,8 +16,8 @@
 import org.chalkhollow.wire.MalformedMessageException
 
 /**
- * Rebuilds a new leader's modules from the records that earlier leaders wrote to the state service. Owns no state;
- * [LeaderTerm] calls it when a term starts.
+ * Rebuilds the state of a new leader's modules from the records that earlier leaders wrote to the state service. Has no
+ * state of its own. [LeaderTerm] calls it when a term starts.
  */
 internal class StoredRecords(
     private val context: CoreContext,
@@ -29,7 +29,7 @@
     private val images: ImageLocations,
     private val dispatch: DispatchLog,
 ) {
-    /** Empties every module for the term of [fencingToken]. */
+    /** Clears the state of every module for the term with [fencingToken]. */
     fun reset(fencingToken: Long) {
         jobs.clear()
         quotas.clear()
@@ -40,13 +40,14 @@
         dispatch.start(fencingToken)
     }
 
-    /** Gives [row] to the module that owns its key; false when it cannot be read, which is logged. */
+    /** Passes [row] to the module that owns its key. If it cannot be decoded, logs an error and returns false. */
     fun load(row: KeyValue): Boolean =
         try {
             loadByKey(row)
             true
         } catch (e: MalformedMessageException) {
-            context.emit(Effect.LogEvent(Effect.Level.ERROR, "unreadable record ${row.key}: ${e.message}"))
+            val text = "cannot decode stored record ${row.key}: ${e.message}; loading continues without it"
+            context.emit(Effect.LogEvent(Effect.Level.ERROR, text))
             false
         }
 
@@ -59,15 +60,20 @@
             else -> dispatch.load(row, jobs)
         }
 
-    /** Every record is loaded. */
+    /** All records are loaded. */
     fun complete() {
         jobs.finishLoading()
-        val unknownOutcomes = fleet.machines.sumOf { it.attempts.size }
-        context.info("rebuilt ${jobs.size} jobs (${jobs.open.size} open), $unknownOutcomes attempts of unknown outcome")
+        val outcomeUnknownCount = fleet.machines.sumOf { it.attempts.size }
+        context.info(
+            "loaded ${jobs.size} jobs (${jobs.open.size} open) and $outcomeUnknownCount attempts with unknown outcome",
+        )
     }
 
     companion object {
-        /** Key prefixes of what a candidate reads before it may lead; jobs come first, the others refer to them. */
+        /**
+         * Key prefixes that a candidate reads before it may lead. Jobs come first because the other records refer to
+         * them.
+         */
         val PREFIXES =
             listOf(
                 JobRecord.KEY_PREFIX,
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Attempt.kt
@@ -3,11 +3,11 @@
 import org.chalkhollow.core.common.MS_PER_S
 
 /**
- * One start of a task, named by job, index and number, on one machine. It counts against its team's limit and its
- * machine until it is known to have exited or is resolved, that is, until it is certain that it runs nowhere and never
- * will. The attempts package makes the transitions; placement and the fleet read it and ask for stops.
+ * One start of a task on one machine, identified by job, task index and attempt number. It counts against its team's
+ * limit and its machine's capacity until it is known to have exited, or until it is resolved. The attempts package
+ * makes the transitions; placement and the fleet read them and request stops.
  *
- * There are tens of thousands of these, so the state of each stays in plain fields.
+ * A leader holds tens of thousands of attempts, so their state is kept in plain fields.
  */
 class Attempt(
     val job: OpenJob,
@@ -15,23 +15,23 @@
     val number: Long,
     val machine: Machine,
     val marker: DispatchMarker?,
-    /** Given to a job that had been passed over: not to be taken from it again. */
+    /** Placed with fair-share credit, so it must not be preempted. */
     val fromCredit: Boolean,
     /**
-     * Dispatched by an earlier leader, or found on a machine: absence is proof only in a heartbeat at our fencing
-     * token.
+     * Dispatched by an earlier leader, or found on a machine. A heartbeat that does not list it confirms its absence
+     * only if the heartbeat carries this leader's fencing token.
      */
     val inherited: Boolean,
     val placedAtMs: Long,
 ) {
     enum class Phase {
-        /** Its dispatch marker is not durable yet: nothing may be sent. */
+        /** Its dispatch marker is not durable yet, so no start may be sent. */
         MARKER_PENDING,
 
-        /** It may be started, and no start that was sent can still be carried out. */
+        /** Its dispatch marker is durable, and no start is in flight: a start may be sent. */
         MARKER_PERSISTED,
 
-        /** A start was sent, or may have been: the attempt may be on its machine. */
+        /** A start was or may have been sent, so the attempt may be on its machine. */
         START_SENT,
         FETCHING,
         RUNNING,
@@ -39,85 +39,88 @@
         EXITED,
     }
 
-    /** What is known of a start that went straight to the worker instead of with the response to a heartbeat. */
+    /** Outcome of a start that was sent by a direct command instead of the response to a heartbeat. */
     private enum class DirectStart { NONE, OUTCOME_UNKNOWN, CONCLUDED }
 
-    /** An earlier leader's start may have been sent, so its attempts begin there. */
+    /** Attempts of an earlier leader begin at [Phase.START_SENT], since that leader may have sent the start. */
     var phase = if (inherited) Phase.START_SENT else Phase.MARKER_PENDING
         private set
 
-    /** When it was placed or, later, was last seen to enter a phase on its machine. */
+    /** When the attempt was placed or, later, when a heartbeat last showed a new phase. */
     var progressAtMs = placedAtMs
         private set
 
-    /** The machine held the image when the attempt was placed. */
+    /** Whether the machine had the image cached when the attempt was placed. */
     val imageWasCached = job.image in machine.cachedImages
 
-    /** It ended by completing: started once more it would only end once more. */
+    /** Whether the task completed. If a late copy of the start runs it again, it only ends again. */
     var completed = false
         private set
 
-    /** Its outcome is recorded, or needs no record. */
+    /** Whether the outcome is durable or needs no record. */
     var outcomeRecorded = false
         private set
 
-    /** It runs nowhere and never will, and what it held is released. */
+    /** Whether the attempt is confirmed absent and its reservations are released. */
     var resolved = false
         private set
 
-    /** It is to be stopped for other work or because its machine is about to be gone. */
+    /** Whether the attempt is to be stopped, for other work or because its machine is about to be removed. */
     var stopRequested = false
         private set
 
-    /** A stop went straight to the worker; the responses to heartbeats repeat it. */
+    /** Whether a stop was sent by a direct command; the responses to heartbeats repeat it. */
     var directStopSent = false
         private set
     private var directStart = DirectStart.NONE
 
-    /** Whether a direct start has no known outcome: the attempt can neither be forgotten nor taken for absent. */
+    /**
+     * Whether a direct start has no known outcome. The attempt is then neither forgotten nor confirmed absent by a
+     * heartbeat.
+     */
     val directStartOutcomeUnknown: Boolean get() = directStart == DirectStart.OUTCOME_UNKNOWN
 
     /**
-     * Whether its start went straight to the worker, so that a copy of it may come at any time while our fencing token
-     * holds there.
+     * Whether its start was sent by a direct command. A late copy of that command can reach the worker for as long as
+     * the worker has seen no newer fencing token.
      */
     val startedDirectly: Boolean get() = directStart != DirectStart.NONE
 
     val onMachine: Boolean get() = phase == Phase.FETCHING || running
 
-    /** Whether its program runs, or saves its progress before it ends. */
+    /** Whether its program runs, which includes saving its progress before it ends. */
     val running: Boolean get() = phase == Phase.RUNNING || phase == Phase.SAVING
 
-    /** Whether nothing of it is left to be seen to but that its worker forgets it. */
+    /** Whether all that is left is for the worker to forget the attempt. */
     val finished: Boolean get() = phase == Phase.EXITED && outcomeRecorded
 
-    /** The marker that lists it is durable. */
+    /** The dispatch marker that lists the attempt is durable. */
     fun markerPersisted() {
         phase = Phase.MARKER_PERSISTED
     }
 
-    /** A start of it goes out with the response to a heartbeat. */
+    /** A start is sent with the response to a heartbeat. */
     fun startSent() {
         phase = Phase.START_SENT
     }
 
-    /** A start of it goes straight to the worker, and may be carried out until its outcome is known. */
+    /** A start is sent by a direct command; the worker may execute it until its outcome is known. */
     fun startSentDirectly() {
         phase = Phase.START_SENT
         directStart = DirectStart.OUTCOME_UNKNOWN
     }
 
-    /** The worker has answered the direct start, or can no longer carry it out. */
+    /** The worker has replied to the direct start, or can no longer execute it. */
     fun directStartConcluded() {
         if (directStart == DirectStart.OUTCOME_UNKNOWN) directStart = DirectStart.CONCLUDED
     }
 
-    /** The start that was sent is certainly not carried out: another may be sent. */
+    /** The start that was sent will certainly not be executed, so another may be sent. */
     fun startNotExecuted() {
         phase = Phase.MARKER_PERSISTED
     }
 
-    /** Its machine says that it is in [newPhase] now. */
+    /** A heartbeat shows the attempt in [newPhase]. */
     fun entered(newPhase: Phase, now: Long) {
         phase = newPhase
         progressAtMs = now
@@ -144,28 +147,32 @@
         directStopSent = true
     }
 
-    /** How many more seconds it takes at the least, as far as its job's other tasks or its owner's estimate tell. */
+    /**
+     * Lower estimate of the remaining run time in seconds, from the observed run times of the job's tasks or, without
+     * any, from the estimate in its spec. [Double.MAX_VALUE] for a service.
+     */
     fun minRemainingS(now: Long): Double {
         if (job.service) return Double.MAX_VALUE
         val ranS = if (phase == Phase.RUNNING) (now - progressAtMs) / MS_PER_S else 0.0
-        return job.runTimes.meanS(job.spec.expectedS) * MIN_PART_OF_EXPECTED - ranS
+        return job.runTimes.meanS(job.spec.expectedS) * MIN_RUN_TIME_FRACTION - ranS
     }
 
     private companion object {
-        /** Of the time a task is expected to take, the part that it takes at the least. */
-        const val MIN_PART_OF_EXPECTED = 0.8
+        /** A task is assumed to take at least this fraction of its expected run time. */
+        const val MIN_RUN_TIME_FRACTION = 0.8
     }
 }
 
-/** A durable note that the attempts listed under [key] may have been started. */
+/**
+ * The durable record, stored under [key], that its attempts may have been started. Counts the attempts that need it.
+ */
 class DispatchMarker(val key: String, val number: Long) {
     private var holders = 0
 
-    /** One more attempt needs the marker. */
     fun hold() {
         holders++
     }
 
-    /** One that held it needs it no more; true for the last, after which the marker can be removed. */
+    /** Ends one [hold]; returns true if none is left, so that the marker can be deleted. */
     fun release(): Boolean = --holders == 0
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Availability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Availability.kt
@@ -1,31 +1,39 @@
 package org.chalkhollow.core.cluster
 
 /**
- * Holds why one machine takes no new tasks although it is up, and since when it idles. `ScaleIn` drains, cordons and
- * notes idling; `Fleet` takes in spot notices and ends the quarantine that `WorkerCommandSender` begins.
+ * Holds the reasons why one machine accepts no new tasks although it is up, and since when it is idle. `ScaleIn`
+ * drains, cordons and records idle machines. `Fleet` records spot termination notices and ends the quarantine that
+ * `WorkerCommandSender` begins.
  */
 class Availability {
-    /** It failed the tasks of several jobs and is deleted once it is empty. */
+    /** Whether tasks of several jobs failed on the machine. It is deleted once no attempt may be on it. */
     var draining = false
         private set
 
-    /** It takes no new tasks while the others have room enough, so that it can be deleted. */
+    /**
+     * Whether it accepts no new tasks because the other machines have enough free capacity, so that it can be deleted.
+     */
     var cordoned = false
         private set
 
-    /** Its heartbeats are not answered, so that its epoch ends: only then is it certain what it will not do. */
+    /**
+     * Whether the leader does not respond to the machine's heartbeats, so that its lease expires. Only then are
+     * attempts with unknown outcome confirmed absent.
+     */
     var quarantined = false
         private set
 
-    /** When the cloud reclaims it; [Machine.NEVER] without a spot notice. */
+    /** When the cloud reclaims the machine; [Machine.NEVER] without a spot termination notice. */
     var reclaimAtMs = Machine.NEVER
         private set
+
+    /** [Machine.NEVER] while the machine is not idle. */
     var idleSinceMs = Machine.NEVER
         private set
 
     val hasSpotNotice: Boolean get() = reclaimAtMs != Machine.NEVER
 
-    /** Whether all that runs on it has to end or to move elsewhere. */
+    /** Whether all tasks on the machine have to end or to be restarted on other machines. */
     val isBeingEmptied: Boolean get() = draining || cordoned || hasSpotNotice
 
     val acceptsTasks: Boolean get() = !quarantined && !isBeingEmptied
@@ -50,15 +58,14 @@
         quarantined = false
     }
 
-    fun recordSpotNotice(at: Long) {
-        reclaimAtMs = at
+    fun recordSpotNotice(newReclaimAtMs: Long) {
+        reclaimAtMs = newReclaimAtMs
     }
 
     fun withdrawSpotNotice() {
         reclaimAtMs = Machine.NEVER
     }
 
-    /** Whether the machine idles at [now]. */
     fun recordIdle(idle: Boolean, now: Long) {
         if (!idle) {
             idleSinceMs = Machine.NEVER
--- a/src/main/kotlin/org/chalkhollow/core/cluster/CloudRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/CloudRecord.kt
@@ -2,13 +2,13 @@
 
 import org.chalkhollow.model.ListedMachine
 
-/** Holds what the cloud said of one machine, as `CloudInventory` and `ScaleOut` read it. */
+/** What the cloud inventory says about one machine. Written by `CloudInventory` and `ScaleOut`. */
 class CloudRecord(createdAtMs: Long) {
-    /** When the machine was asked for, by our clock. */
+    /** When the machine was requested, by this controller's monotonic clock. */
     var createdAtMs = createdAtMs
         private set
 
-    /** When a list last had the machine. */
+    /** When the cloud last listed the machine; [Machine.NEVER] if it never did. */
     var listedAtMs = Machine.NEVER
         private set
     var failed = false
@@ -17,7 +17,7 @@
 
     val isListed: Boolean get() = listedAtMs != Machine.NEVER
 
-    /** Whether the machine should be sending heartbeats by what the cloud says. */
+    /** Whether, according to the cloud, the machine should be sending heartbeats. */
     val isListedUp: Boolean get() = isListed && !starting && !failed
 
     fun recordCreated(at: Long) {
--- a/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
@@ -3,35 +3,34 @@
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap
 
 /**
- * Owns how long a job's tasks are not placed because they fail: nowhere before [notBeforeMs], and not on machines where
- * one failed lately. Moments are by the steady clock. Written by `AttemptReconciler`, read by placement.
+ * Delays the placement of a job's tasks after failures: on no machine before [notBeforeMs], and not on a machine where
+ * one of them failed within [AVOID_MS]. All times are monotonic. Written by `AttemptReconciler`, read by placement.
  */
 class FailureBackoff {
-    /** Nothing of the job is placed before this moment. */
     var notBeforeMs = 0L
         private set
 
-    /** Failures since a task last completed, or a replica last ran for long. */
+    /** Failures since a task last completed, or since a replica last ran for more than [STABLE_REPLICA_MS]. */
     var failures = 0
         private set
 
-    /** When a task last failed on a machine, by machine. */
-    private val failedAt = Int2LongOpenHashMap()
+    /** When a task last failed on a machine, by machine id. */
+    private val failedAtMs = Int2LongOpenHashMap()
 
     /**
-     * Whether a task failed on [machine] lately. What was wrong there may be over: an earlier version kept such a
-     * machine from the job for good, and a job that had failed everywhere waited for ever beside machines with room.
+     * Whether a task failed on [machine] within [AVOID_MS]. The fault may be gone afterwards. An earlier version
+     * excluded such machines permanently, so a job that had failed on every machine stayed pending indefinitely.
      */
     fun avoids(machine: Int, now: Long): Boolean =
-        failedAt.containsKey(machine) && now - failedAt.get(machine) < AVOID_MS
+        failedAtMs.containsKey(machine) && now - failedAtMs.get(machine) < AVOID_MS
 
-    /** Whether tasks failed on several machines lately. */
+    /** Whether tasks failed on at least [SEVERAL_MACHINES] machines within [AVOID_MS]. */
     fun failsOnSeveralMachines(now: Long): Boolean =
-        failedAt.size >= SEVERAL_MACHINES && failedAt.values.count { now - it < AVOID_MS } >= SEVERAL_MACHINES
+        failedAtMs.size >= SEVERAL_MACHINES && failedAtMs.values.count { now - it < AVOID_MS } >= SEVERAL_MACHINES
 
-    /** Nothing is placed before [moment], nor before any moment that was named earlier. */
-    fun pauseUntil(moment: Long) {
-        notBeforeMs = maxOf(notBeforeMs, moment)
+    /** Delays placement until [untilMs]; never shortens an earlier delay. */
+    fun pauseUntil(untilMs: Long) {
+        notBeforeMs = maxOf(notBeforeMs, untilMs)
     }
 
     fun taskCompleted() {
@@ -39,21 +38,21 @@
     }
 
     /**
-     * A task failed on [machine]. One machine's faults should not hold a job up; a job that fails wherever it goes
-     * waits longer and longer.
+     * A task failed on [machine]. A fault of one machine does not delay the job. A job that fails on several machines
+     * is delayed with exponential backoff.
      */
     fun taskFailed(machine: Int, now: Long) {
-        failedAt.put(machine, now)
+        failedAtMs.put(machine, now)
         failures++
         if (failsOnSeveralMachines(now)) pauseUntil(now + backoffMs(failures / FAILURES_PER_DOUBLING))
     }
 
     /**
-     * One of a service's [replicas] ended by itself on [machine], [placedForMs] after it was placed. It runs again
-     * elsewhere, and later and later if that happens again and again.
+     * One of a service's [replicas] ended by itself on [machine], [placedForMs] after it was placed. It is restarted on
+     * another machine, with exponential backoff once more than [replicas] have ended this way.
      */
     fun replicaEnded(machine: Int, now: Long, placedForMs: Long, replicas: Int) {
-        failedAt.put(machine, now)
+        failedAtMs.put(machine, now)
         failures = if (placedForMs > STABLE_REPLICA_MS) 0 else failures + 1
         if (failures > replicas) notBeforeMs = now + backoffMs(failures / replicas)
     }
@@ -65,10 +64,10 @@
         const val SEVERAL_MACHINES = 3
         const val FIRST_BACKOFF_MS = 1000L
 
-        /** A replica that lasted longer than this does not count as one that fails again and again. */
+        /** The end of a replica that was placed for longer than this does not count as a failure. */
         const val STABLE_REPLICA_MS = 15_000L
 
-        /** So many failures, wherever they were, double the wait, and the wait is doubled so many times at most. */
+        /** The backoff doubles after this many failures, on whichever machines they were. */
         const val FAILURES_PER_DOUBLING = 3
         const val MAX_DOUBLINGS = 5
     }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/FairShareCredit.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FairShareCredit.kt
@@ -1,49 +1,50 @@
 package org.chalkhollow.core.cluster
 
 /**
- * Owns when a job was last served, and the credit that it has for having been passed over. All moments are by the time
- * of day, since a new leader goes on counting from [acceptedWallMs]. Written by `StarvationPrevention` and, for
- * [allPlaced], by `PlacementRound`.
+ * Owns when tasks of a job were last placed, and the credit that the job gets for being passed over. All times are
+ * wall-clock times, because a new leader counts from the stored time at which the job was accepted. Written by
+ * `StarvationPrevention` and, for [allPlaced], by `PlacementRound`.
  */
 class FairShareCredit(acceptedWallMs: Long) {
-    /** CPUs that the job is given before others; zero without credit. */
+    /** CPUs that the job may allocate before jobs without credit; 0 without credit. */
     var cpus = 0.0
         private set
 
-    /** From when on the job has had credit, if it has any. */
+    /** Since when the job has had credit; meaningful only while [cpus] is not 0. */
     var sinceWallMs = 0L
         private set
 
-    /** When this leader last placed a task of the job. */
+    /** When this leader last placed a task of the job, or when the job was accepted if it placed none. */
     var lastPlacedWallMs = acceptedWallMs
         private set
 
-    /** When nothing of the job was left waiting last. */
+    /** When the job last had no pending tasks, or when it was accepted. */
     private var allPlacedWallMs = acceptedWallMs
 
     /**
-     * Whether some of the job has waited for so long that room kept for other work is no longer kept from it. An
-     * earlier version kept it for ever, so that work waited beside machines with room for it.
+     * Whether the job has had pending tasks for longer than [MAX_WAIT_FOR_RESERVED_MS]. It may then use capacity that
+     * is reserved for other work. Without this limit, in an earlier version, tasks stayed pending indefinitely although
+     * machines had free capacity.
      */
-    fun hasWaitedLong(wallMs: Long): Boolean = wallMs - allPlacedWallMs > MAX_WAIT_BESIDE_KEPT_ROOM_MS
+    fun hasWaitedLong(wallMs: Long): Boolean = wallMs - allPlacedWallMs > MAX_WAIT_FOR_RESERVED_MS
 
     fun grant(cpus: Double, sinceWallMs: Long) {
         this.cpus = cpus
         this.sinceWallMs = sinceWallMs
     }
 
-    /** Tasks of [placedCpus] CPUs in all were placed, which uses up credit. */
+    /** Tasks with [placedCpus] CPUs in total were placed, which reduces the credit. */
     fun placed(placedCpus: Double, wallMs: Long) {
         lastPlacedWallMs = wallMs
         cpus = maxOf(0.0, cpus - placedCpus)
     }
 
-    /** Nothing of the job is left waiting. */
+    /** The job has no pending tasks. */
     fun allPlaced(wallMs: Long) {
         allPlacedWallMs = wallMs
     }
 
     private companion object {
-        const val MAX_WAIT_BESIDE_KEPT_ROOM_MS = 60_000L
+        const val MAX_WAIT_FOR_RESERVED_MS = 60_000L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Interners.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Interners.kt
@@ -3,8 +3,8 @@
 import org.chalkhollow.model.Interner
 
 /**
- * One controller's dense indices for names. They are its own: what is stored or sent says names, since another
- * controller, or this one after a restart, numbers them otherwise. `JobTable` starts those of jobs again with
+ * Dense indices for names within one controller. Stored records and messages contain names instead, because another
+ * controller, or this one after a restart, assigns other indices. `JobTable` resets the indices of jobs at the start of
  * each term.
  */
 class Interners {
--- a/src/main/kotlin/org/chalkhollow/core/cluster/JobEntry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/JobEntry.kt
@@ -3,8 +3,9 @@
 import org.chalkhollow.model.JobState
 
 /**
- * What stays of a job for ever: its index, its size, and its durable state, which is null while the job is being
- * accepted. [open] is set exactly while the job is neither done nor cancelled. Written by `JobTable` alone.
+ * What the controller keeps of a job permanently: its index, its number of [tasks] and its durable [state]. [state] is
+ * null until the record of the job is durable. [open] is set exactly while the job is neither done nor cancelled. Only
+ * `JobTable` writes it.
  */
 class JobEntry(val index: Int, val tasks: Int) {
     var state: JobState? = null
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -6,22 +6,22 @@
 import org.chalkhollow.model.TaskStatus
 
 /**
- * A machine as this leader knows it: its state, what kind of machine it is, and the attempts that may be on it. Its
- * concerns are objects of their own, each of which says who changes it: [lease], [reachability], [cloud], [usage],
- * [availability]. `MachineTable` makes machines; a machine that is certainly gone is never in use again.
+ * What this leader knows about a machine: its state, its type and zone, and the attempts that may be on it. [lease],
+ * [reachability], [cloud], [usage] and [availability] hold the rest; each of them says who writes it. `MachineTable`
+ * creates machines. A machine that is confirmed gone is never used again.
  */
 class Machine(val id: Int, val name: String, createdAtMs: Long = 0L) {
-    /** LOST: the lease has expired, and whether the machine still exists is not known. */
+    /** LOST: the lease has expired, and it is not known whether the machine still exists. */
     enum class State { BOOTING, UP, LOST, DELETING }
 
     var state = State.BOOTING
         private set
 
-    /** When it was [State.LOST]. */
+    /** When the state became [State.LOST]. */
     var lostAtMs = NEVER
         private set
 
-    /** Indices of its type and zone; [UNKNOWN] until the cloud or its worker names them. */
+    /** Indices of its type and zone; [UNKNOWN] until the cloud or the worker reports them. */
     var type = UNKNOWN
         private set
     var zone = UNKNOWN
@@ -29,7 +29,7 @@
     var spot = false
         private set
 
-    /** Where its worker takes direct commands; empty while that is not known. */
+    /** Where the worker receives direct commands; empty until a heartbeat contains it. */
     var address = ""
 
     val lease = WorkerLease()
@@ -38,45 +38,45 @@
     val usage = ResourceUsage()
     val availability = Availability()
 
-    // What follows belongs to `AttemptReconciler` and the modules beside it.
+    // Written by `AttemptReconciler` and the other modules of the attempts package.
 
     val attempts = ArrayList<Attempt>()
 
-    /** Tasks in heartbeats that no attempt of ours explains and that must be stopped. */
+    /** Tasks in the last heartbeat that match no known attempt; the worker must stop or forget them. */
     var orphans: List<TaskStatus> = emptyList()
 
-    /** Images that are on it, or will be when the tasks that were sent there have fetched them. */
+    /** Images that the machine has, or will have once the tasks placed on it have fetched them. */
     val images = IntOpenHashSet()
 
-    /** Images that some task here has run with; a worker keeps its cache when its lease expires. */
+    /** Images that a task on this machine has run with. A worker keeps its cached images when its lease expires. */
     val cachedImages = IntOpenHashSet()
 
-    /** Whether a direct command has no reply yet. */
+    /** Whether a direct command still waits for its reply. */
     var commandInFlight = false
 
-    /** The task list that was last reconciled; an equal one is the same instance, see `HeartbeatReader`. */
+    /** The task list that was reconciled last. `HeartbeatReader` returns the same instance for an equal list. */
     var lastReconciledTasks: List<TaskStatus>? = null
 
-    /** Jobs that failed here since a task last completed here. */
+    /** Indices of jobs that failed on this machine since a task last completed on it. */
     val failedJobs = IntOpenHashSet()
 
-    /** No task is placed here until then, since its worker had no room for one. */
+    /** No task is placed here before this time, because the worker rejected one for lack of free capacity. */
     var fullUntilMs = NEVER
 
-    // Scratch of the placement round under way, without meaning after it.
+    // Working values of the current placement round, meaningless after it.
 
-    /** The room that the round has not given away. */
+    /** The free capacity that the round has not yet allocated. */
     var roundFreeCapacity = NO_RESOURCES
 
-    /** How the machine ranks for the job that is being placed. */
+    /** The rank of the machine for the job that is being placed. */
     var roundRank = 0
 
     val isTypeKnown: Boolean get() = type != UNKNOWN
 
-    /** Whether some attempt may be on it. */
+    /** Whether any attempt may be on the machine. */
     val busy: Boolean get() = !usage.isEmpty
 
-    /** Whether nothing on it needs attention; what has ended and is merely not forgotten yet does not count. */
+    /** Whether the machine has no attempts, apart from finished ones that its worker still lists. */
     val isIdle: Boolean get() = attempts.all { it.finished }
 
     fun describe(machineType: Int, inZone: Int, isSpot: Boolean) {
@@ -93,14 +93,14 @@
         state = State.DELETING
     }
 
-    /** Whatever its worker still says belongs to an epoch that has ended. */
+    /** Also ends the worker epoch, so that later heartbeats of it are dropped. */
     fun markLost(since: Long) {
         state = State.LOST
         lostAtMs = since
         lease.expire()
     }
 
-    /** What is left of it for new tasks. */
+    /** The capacity that is not allocated; none while the type is unknown or missing in [types]. */
     fun freeCapacity(types: List<MachineType?>): Resources {
         val capacity = types.getOrNull(type)?.room ?: return NO_RESOURCES
         return usage.freeOf(capacity)
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ObservedRunTimes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ObservedRunTimes.kt
@@ -1,8 +1,6 @@
 package org.chalkhollow.core.cluster
 
-/**
- * Owns how long those of a job's tasks took that this leader saw run from start to end. Written by `AttemptReconciler`.
- */
+/** Run times of the tasks of one job that this leader observed from start to end. Written by `AttemptReconciler`. */
 class ObservedRunTimes {
     private var runs = 0
     private var totalS = 0.0
@@ -12,6 +10,6 @@
         totalS += seconds
     }
 
-    /** The mean so far, or [estimateS] while no run was seen. */
+    /** The mean in seconds, or [estimateS] if no run was observed. */
     fun meanS(estimateS: Double): Double = if (runs > 0) totalS / runs else estimateS
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
@@ -7,8 +7,8 @@
 import org.chalkhollow.model.Shape
 
 /**
- * A job that is not over, or whose attempts are not all gone yet; indices stand for all names. Made by `JobTable`. What
- * changes about it is held by parts with one owner each, which others only read.
+ * A job that is neither done nor cancelled, or that still has attempts. Names are replaced by indices. Created by
+ * `JobTable`. Its mutable state is held by objects that have one writer each; other code only reads them.
  */
 class OpenJob(
     val entry: JobEntry,
@@ -28,11 +28,14 @@
     val credit = FairShareCredit(acceptedWallMs)
     val runTimes = ObservedRunTimes()
 
-    /** Whether its cancellation is being written; nothing of it is placed or started from then on. */
+    /** Whether its cancellation is being written. From then on no task of it is placed or started. */
     var cancelling = false
         private set
 
-    /** The one machine type that can hold its tasks although others exist, or -1. Written by `ScarceMachineTypes`. */
+    /**
+     * The only machine type that is large enough for its tasks if others are too small, else -1. Written by
+     * `ScarceMachineTypes`.
+     */
     var onlyType = -1
         private set
 
@@ -41,20 +44,20 @@
 
     val gang: Boolean get() = spec.shape == Shape.GANG
 
-    /** Its replicas run until it is cancelled; none is ever done. */
+    /** Whether it is a service: its replicas run until it is cancelled, and none of them ever completes. */
     val service: Boolean get() = spec.shape == Shape.SERVICE
     val complete: Boolean get() = progress.complete
     val cancelled: Boolean get() = entry.state == JobState.CANCELLED
     val placeable: Boolean
         get() = !cancelling && !complete && entry.state == JobState.OPEN && !tasks.noneReady
 
-    /** Whether all its tasks have to be in one zone, or to be spread over zones. */
+    /** Whether all its tasks have to run in one zone, or to be spread over zones. */
     val hasZoneConstraint: Boolean get() = spec.together || spec.spread
 
-    /** CPUs of a task where it is counted how many may start; those that take hardly any count for a little. */
+    /** CPUs of a task when a number of CPUs is converted into a number of tasks; never close to 0. */
     val countedCpus: Double get() = maxOf(taskResources.cpus, MIN_COUNTED_CPUS)
 
-    /** Whether a machine of this type could ever run a task of it. */
+    /** Whether an idle machine of this type could run one of its tasks. */
     fun fitsType(index: Int, type: MachineType): Boolean =
         (types == null || index in types) && taskResources.fitsIn(type.room)
 
@@ -66,12 +69,14 @@
         cancelling = true
     }
 
-    /** A task completed at [now], by the steady clock; it is written with the next transaction that has room. */
+    /** A task completed at [now], in monotonic time. `CompletionWriter` persists it in a later transaction. */
     fun completeTask(index: Int, now: Long) {
         if (restoreCompletion(index)) pages.taskDone(index, now)
     }
 
-    /** Marks a task as done whose completion is durable; false when it was before, or when there is no such task. */
+    /**
+     * Marks a task whose completion is durable as done; returns false if it already was, or if there is no such task.
+     */
     fun restoreCompletion(index: Int): Boolean {
         if (!progress.markDone(index)) return false
         tasks.taskDone(index)
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ProgressPages.kt
@@ -5,37 +5,37 @@
 import java.util.BitSet
 
 /**
- * Owns what of a job's progress is written in the state service and what is not. Progress is written in pages of
- * [tasksPerPage] tasks each, named by their first task; a stored page may be of another size when a version with other
- * limits wrote it. A completion that is not durable always has its page among the dirty ones or in flight. Written by
- * `CompletionWriter` and, while records are loaded, `JobTable`.
+ * Owns which part of a job's progress is stored in the state service. Progress is written in pages of [tasksPerPage]
+ * tasks each, identified by their first task. A page that was stored with other limits may have another size. The page
+ * of a completion that is not durable is always dirty or in flight. Written by `CompletionWriter` and, while records
+ * are loaded, by `JobTable`.
  */
 class ProgressPages(private val tasksPerPage: Int) {
     private val dirty = BitSet()
 
-    /** The first tasks of the pages that exist in the state service. */
+    /** The first tasks of the pages that are stored. */
     private val storedFirstTasks = IntOpenHashSet()
 
-    /** Pages whose stored record reaches beyond them. */
+    /** Pages whose stored record also covers tasks of later pages. */
     private val oversized = BitSet()
 
-    /** Pages that hold what an oversized record has beyond its own page, and that are not durable yet. */
-    private val rewritten = BitSet()
+    /** Pages with completions that are durable only in an oversized record of an earlier page. */
+    private val coveredByOversized = BitSet()
 
-    /** Since when completions have been gathered that are not written yet. */
+    /** Start of the current batch of completions: the first of them, or the last page that was sent. */
     var dirtySinceMs = 0L
         private set
 
-    /** The state service refused a record of this job's progress, which is written again from this moment on. */
+    /** When to retry a record of this job's progress that the state service rejected. */
     private var retryAtMs = 0L
 
-    /** Whether the record that the job is done is being written. */
+    /** Whether the record that marks the job as done is being written. */
     var completionInFlight = false
         private set
 
     val stored: IntSet get() = storedFirstTasks
 
-    /** Whether some progress is not written yet, and may be tried now. */
+    /** Whether there is progress to write and it may be written at [now]. */
     fun mayWrite(now: Long): Boolean = !completionInFlight && !dirty.isEmpty && now >= retryAtMs
 
     fun firstTask(page: Int): Int = page * tasksPerPage
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Notes a stored page that begins at task [from] and holds [done], counted from there, of a job with [tasks] tasks.
-     * What reaches beyond a page of ours is to be written again, in pages of ours.
+     * Records that a page is stored for the tasks from [from] on. [done] has indices relative to [from]; the job has
+     * [tasks] tasks. Completions beyond [tasksPerPage] are written again to pages of their own.
      */
     internal fun loaded(from: Int, done: BitSet, tasks: Int) {
         storedFirstTasks.add(from)
@@ -57,7 +57,7 @@
         var offset = done.nextSetBit(tasksPerPage)
         while (offset >= 0 && from + offset < tasks) {
             val page = (from + offset) / tasksPerPage
-            rewritten.set(page)
+            coveredByOversized.set(page)
             dirty.set(page)
             offset = done.nextSetBit(firstTask(page + 1) - from)
         }
@@ -65,14 +65,15 @@
     }
 
     /**
-     * The page to write next, or -1. A version with larger values wrote larger pages: what such a one holds beyond ours
-     * must be durable elsewhere before it is overwritten, so those parts go first, the highest before all.
+     * The page to write next, or -1 if none may be written now. A version with a larger value limit wrote larger pages.
+     * Overwriting such a page with a smaller one removes completions of later pages, so these must be durable first.
+     * The pages that it covers are therefore written before it, from the highest down.
      */
     fun nextToWrite(): Int {
-        val highest = rewritten.length() - 1
+        val highest = coveredByOversized.length() - 1
         var page = dirty.length() - 1
         while (page >= 0) {
-            if (rewritten.get(page) && !(oversized.get(page) && page < highest)) return page
+            if (coveredByOversized.get(page) && !(oversized.get(page) && page < highest)) return page
             page = dirty.previousSetBit(page - 1)
         }
         page = dirty.nextSetBit(0)
@@ -88,7 +89,7 @@
     fun pageWritten(page: Int) {
         storedFirstTasks.add(firstTask(page))
         oversized.clear(page)
-        rewritten.clear(page)
+        coveredByOversized.clear(page)
     }
 
     fun pageRejected(page: Int, retryAtMs: Long) {
@@ -96,7 +97,7 @@
         this.retryAtMs = retryAtMs
     }
 
-    /** All tasks of a loaded job are done, but the record says it is open: its completion is yet to be written. */
+    /** All tasks of a loaded job are done, but its record says that it is open, so its completion must be written. */
     fun completionMissing() = dirty.set(0)
 
     fun completionSent() {
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Reachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Reachability.kt
@@ -1,26 +1,27 @@
 package org.chalkhollow.core.cluster
 
 /**
- * Holds whether our messages have lately reached one machine, and the proofs of that in its present epoch. Only
- * `MachineReachability`, which says what a proof is, and `WorkerCommandSender`, whose commands are probes, change it.
+ * Holds whether this controller's responses and commands reach one machine, and the last proof of that in its current
+ * epoch. Only `MachineReachability`, which defines what a proof is, and `WorkerCommandSender`, whose commands serve as
+ * probes, write it.
  */
 class Reachability {
     var reachable = false
         private set
 
-    /** The last proof in this epoch. */
+    /** When the machine was last proved reachable in this epoch. */
     var provedAtMs = Machine.NEVER
         private set
 
-    /** When a direct command, whose reply would be a proof, was last sent in this epoch. */
+    /** When a direct command was last sent in this epoch; its reply would be a proof. */
     var probedAtMs = Machine.NEVER
         private set
 
-    /** Since when the machine sends heartbeats and is not [reachable]; [Machine.NEVER] while it is. */
+    /** Since when the machine sends heartbeats without being [reachable]; [Machine.NEVER] while it is reachable. */
     var unreachableSinceMs = Machine.NEVER
         private set
 
-    /** Proofs and probes of an earlier epoch say nothing about this one. */
+    /** Discards proofs and probes of the previous epoch, since they say nothing about the new one. */
     fun beginEpoch() {
         provedAtMs = Machine.NEVER
         probedAtMs = Machine.NEVER
--- a/src/main/kotlin/org/chalkhollow/core/cluster/ResourceUsage.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/ResourceUsage.kt
@@ -3,8 +3,9 @@
 import org.chalkhollow.model.Resources
 
 /**
- * Owns what the attempts that may be on one machine occupy. It is kept as sums, since placement rounds read it of every
- * machine. `AttemptReconciler` calls it as attempts are reserved and found gone.
+ * Owns the resources allocated to the attempts that may be on one machine. Keeps sums, because a placement round reads
+ * them for every machine. `AttemptReconciler` calls it when an attempt is reserved, and when it has exited or is
+ * resolved.
  */
 class ResourceUsage {
     private var cpus = 0.0
@@ -14,7 +15,7 @@
 
     val isEmpty: Boolean get() = attempts == 0
 
-    /** An attempt of this size may be on the machine from now on. */
+    /** An attempt with this resource demand may be on the machine from now on. */
     fun allocate(taskResources: Resources) {
         attempts++
         cpus += taskResources.cpus
@@ -22,10 +23,10 @@
         memoryGb += taskResources.memoryGb
     }
 
-    /** An attempt that was counted is certainly gone. */
+    /** An allocated attempt has exited or is confirmed absent. */
     fun release(taskResources: Resources) {
         if (--attempts == 0) {
-            cpus = 0.0 // no rounding errors add up
+            cpus = 0.0 // discards accumulated rounding errors
             gpus = 0.0
             memoryGb = 0.0
             return
@@ -35,7 +36,7 @@
         memoryGb -= taskResources.memoryGb
     }
 
-    /** What is left of [capacity]. */
+    /** The part of [capacity] that is not allocated. */
     fun freeOf(capacity: Resources): Resources =
         if (isEmpty) capacity else Resources(capacity.cpus - cpus, capacity.gpus - gpus, capacity.memoryGb - memoryGb)
 }
--- a/src/main/kotlin/org/chalkhollow/core/cluster/TaskReadiness.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/TaskReadiness.kt
@@ -4,16 +4,17 @@
 import java.util.BitSet
 
 /**
- * Owns which of a job's tasks are ready to be placed, live and running. A task is ready exactly when it is neither done
- * nor live; it is live while at least one of its attempts may be on a machine. Written by `AttemptReconciler`.
+ * Owns which of a job's tasks are ready to be placed and which are live, and counts those that run. A task is live
+ * while at least one of its attempts may be on a machine. It is ready when it is neither done nor live. Written by
+ * `AttemptReconciler`.
  */
 class TaskReadiness(tasks: Int, private val progress: JobProgress) {
     private val ready = BitSet().apply { set(0, tasks) }
 
-    /** How many attempts of each live task may be on a machine. */
+    /** Number of attempts that may be on a machine, by index of the live task. */
     private val live = Int2IntOpenHashMap()
 
-    /** Attempts that are known to run. */
+    /** Number of attempts that are known to run. */
     var running = 0
         private set
 
@@ -22,7 +23,7 @@
     val liveCount: Int get() = live.size
     val noneLive: Boolean get() = live.isEmpty()
 
-    /** The first ready task from [from] on, or -1. */
+    /** The first ready task at or after [from], or -1. */
     fun nextReady(from: Int): Int = ready.nextSetBit(from)
 
     fun isLive(index: Int): Boolean = live.get(index) > 0
@@ -33,7 +34,7 @@
         ready.clear(index)
     }
 
-    /** An attempt of the task is on no machine any more. */
+    /** An attempt of the task has exited or is confirmed absent. */
     fun attemptReleased(index: Int) {
         val left = live.addTo(index, -1) - 1
         if (left <= 0) {
--- a/src/main/kotlin/org/chalkhollow/core/common/CloudCalls.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/CloudCalls.kt
@@ -3,26 +3,28 @@
 import org.chalkhollow.model.ListedPage
 import org.chalkhollow.model.MachineType
 
-/** Operations of the cloud that lends machines. */
+/** Operations of the cloud that rents out machines. */
 sealed interface CloudOp {
     /** Reads the machine types with their zones and prices. */
     data object Catalog : CloudOp
 
-    /** Reads a page of the machines in the order of their names, beginning after the name [after]. */
+    /**
+     * Reads a page of the machines in the order of their names; [after] is the last name of the page before, or null.
+     */
     data class Machines(val after: String?) : CloudOp
 
     /**
-     * Scales out by up to [count] machines. The call is idempotent by its name [requestName]: the cloud executes it at most
-     * once, however often it is sent.
+     * Rents up to [count] machines. [requestName] makes the call idempotent: the cloud executes calls with the same
+     * name at most once.
      */
     data class Rent(val requestName: String, val type: String, val zone: String, val spot: Boolean, val count: Int) :
         CloudOp
 
-    /** Scales in: deletes the machines with these [names]. */
+    /** Deletes the machines with these [names]. */
     data class Delete(val names: List<String>) : CloudOp
 }
 
-/** Results of calls of the cloud. */
+/** Results of calls to the cloud. */
 sealed interface CloudReply {
     /** The result of [CloudOp.Catalog]. */
     data class Catalog(val types: List<MachineType>) : CloudReply
@@ -30,21 +32,24 @@
     /** The result of [CloudOp.Machines]. */
     data class Machines(val page: ListedPage) : CloudReply
 
-    /** [CloudOp.Rent] gave the machines [names], which may be fewer than were asked for. */
+    /** [CloudOp.Rent] created the machines [names], possibly fewer than requested. */
     data class Rented(val names: List<String>) : CloudReply
 
-    /** [CloudOp.Rent] gave nothing: there is no such machine to be had now. */
+    /** [CloudOp.Rent] created no machine: the cloud has none of this kind available now. */
     data object NoCapacity : CloudReply
 
     /** [CloudOp.Delete] was executed. */
     data object Deleted : CloudReply
 
-    /** The call was certainly not executed, for want of service, connection or rate: it may be repeated. */
+    /**
+     * The call was certainly not executed: the cloud was unavailable, no connection could be made, or a rate limit was
+     * reached. It may be retried.
+     */
     data object Unavailable : CloudReply
 
-    /** No response that could be read: the call was applied now, will be applied later, or never. */
+    /** No readable response arrived: the call may have been executed, may still be executed later, or never. */
     data object NoResponse : CloudReply
 
-    /** The cloud refuses the call for what it is, [reason]. */
+    /** The cloud rejects the content of the call, for [reason]. */
     data class Rejected(val reason: String) : CloudReply
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/CommandReply.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/CommandReply.kt
@@ -4,12 +4,11 @@
 
 /** Results of [Effect.WorkerCommand]. */
 sealed interface CommandReply {
-    /** The worker executed the commands; [heartbeat] tells its state after that. */
+    /** The worker executed the commands; [heartbeat] is its state afterwards. */
     data class Executed(val heartbeat: WorkerHeartbeat) : CommandReply
 
     /**
-     * The worker executed nothing, since it is in another epoch or knows a newer fencing token; [heartbeat] tells its
-     * state.
+     * The worker executed nothing: it is in another epoch or has seen a newer fencing token. [heartbeat] is its state.
      */
     data class Rejected(val heartbeat: WorkerHeartbeat) : CommandReply
 
@@ -17,8 +16,8 @@
     data object NotSent : CommandReply
 
     /**
-     * No response that could be read: the commands were applied now, will be applied later, or never. They may be
-     * applied for as long as the worker knows no newer fencing token.
+     * No readable response arrived. The commands may have been executed. The worker may still execute them until it
+     * sees a newer fencing token.
      */
     data object NoResponse : CommandReply
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/CoreContext.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/CoreContext.kt
@@ -5,41 +5,39 @@
 import java.util.SplittableRandom
 
 /**
- * What the modules within a controller share: the moment, the effects of the current step, the calls whose replies are
- * pending, and a seeded random source. Owned by [org.chalkhollow.core.Controller], which sets the moment before each
- * input and takes the effects after it.
+ * What the modules of a controller share: the current time, the effects of the current step, the calls that wait for
+ * their replies, and a seeded random source. Owned by [org.chalkhollow.core.Controller], which sets the time before
+ * each input and takes the effects after it.
  */
 class CoreContext(seed: Long) {
-    /** The moment of the input that is being handled. */
+    /** The time of the input that is being handled. */
     var now = Now(0, 0)
 
-    /** The only source of random numbers in the core, so that equal inputs give equal effects. */
+    /** The only source of random numbers in the core, so that equal inputs produce equal effects. */
     val random = SplittableRandom(seed)
     val dropped = DroppedInputs()
-
-    /** How short this controller is of processor time. */
     val overload = OverloadDetector()
     private var effects = ArrayList<Effect>()
 
-    // What to do with the reply to each call that has none yet, by the call's ticket.
+    // Reply handlers of calls that have no reply yet, by ticket.
     private val pendingStateReplies = Int2ObjectHashMap<(StateReply) -> Unit>()
     private val pendingCloudReplies = Int2ObjectHashMap<(CloudReply) -> Unit>()
     private val pendingCommandReplies = Int2ObjectHashMap<(CommandReply) -> Unit>()
     private var nextTicket = 1
 
-    /** Counts changes after which a placement round may find what the one before did not. */
+    /** Counts changes after which a placement round may have another result than the last one. */
     var changes = 0L
         private set
 
-    /** The steady clock's moment, in milliseconds. */
+    /** The current monotonic time in milliseconds. */
     val steady: Long get() = now.steady
 
-    /** Notes that a placement round may now find what the one before did not. */
+    /** To be called after a change that can alter the result of a placement round. */
     fun changed() {
         changes++
     }
 
-    /** Takes the effects of the current step. */
+    /** Returns the effects of the current step and clears them. */
     fun drain(): List<Effect> = effects.also { effects = ArrayList() }
 
     fun emit(effect: Effect) {
@@ -58,7 +56,7 @@
         emit(Effect.Cloud(nextTicket++, op))
     }
 
-    /** Sends the commands that [commands] makes for a ticket; [onReply] runs in the step that handles the reply. */
+    /** Sends the commands that [commands] creates for a ticket; [onReply] runs in the step that handles the reply. */
     fun sendCommands(commands: (ticket: Int) -> Effect.WorkerCommand, onReply: (CommandReply) -> Unit) {
         pendingCommandReplies.put(nextTicket, onReply)
         emit(commands(nextTicket++))
@@ -70,7 +68,7 @@
 
     fun reply(input: Input.WorkerReply) = deliver(pendingCommandReplies.remove(input.ticket), input.reply)
 
-    /** Every call is replied to once; what comes beyond that is a copy. */
+    /** Each call gets one reply; any further reply is a duplicate and is dropped. */
     private fun <R> deliver(onReply: ((R) -> Unit)?, reply: R) {
         if (onReply == null) dropped.count(DroppedInput.REPLY_REPEATED) else onReply(reply)
     }
@@ -81,10 +79,10 @@
 
     fun warn(text: String) = emit(Effect.LogEvent(Effect.Level.WARN, text))
 
-    /** Responds to the request [call] of a user or worker; [body] is encoded here. */
+    /** Responds to the request [call] of a user or worker, after encoding [body]. */
     fun respond(call: Int, status: Int, body: Map<String, Any?>? = null, retryAfterS: Int = 0) =
         emit(Effect.Response(call, status, body?.let(Pack::encode), retryAfterS))
 
-    /** Responds with a body that is encoded already. */
+    /** Responds with a body that is already encoded. */
     fun respond(call: Int, status: Int, encoded: ByteArray) = emit(Effect.Response(call, status, encoded))
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/EncodedSize.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/EncodedSize.kt
@@ -3,31 +3,30 @@
 import org.chalkhollow.model.Change
 
 /**
- * Upper bounds, in bytes, of how large a value is as JSON, by which the state service limits values and transactions.
- * A bound that is too low would make the service refuse a transaction, so each rounds up. Called by all that put
- * values or transactions together.
+ * Upper bounds of the size of values as JSON, in bytes. The state service limits values and transactions by this size
+ * and rejects a transaction that exceeds it, so every bound rounds up. Used wherever values or transactions are built.
  */
 object EncodedSize {
-    /** A key's quotes and colon, the names of a change's fields, and brackets. */
+    /** Quotes and colon of the key, names of the fields of a change, and brackets. */
     private const val CHANGE_BYTES = 48
     private const val LONGEST_NUMBER_BYTES = 24
 
     /** `null` and a comma. */
     private const val NULL_BYTES = 5
 
-    /** Quotes of a string, or brackets of an object or array, and a comma. */
+    /** Quotes of a string or brackets of an object or array, and a comma. */
     private const val DELIMITER_BYTES = 3
 
-    /** An escaped character is written as `\u00e9`: so many bytes beside the one that it stands for. */
+    /** Bytes that an escaped character such as `\u00e9` takes in addition to one. */
     private const val ESCAPE_BYTES = 5
 
-    /** The colon and comma of a field in an object. */
+    /** Colon and comma of a field in an object. */
     private const val FIELD_BYTES = 2
 
-    /** A change as part of a transaction. */
+    /** The size of a change within a transaction. */
     fun of(change: Change): Int = CHANGE_BYTES + change.key.length + of(change.value)
 
-    /** A value of strings, numbers, lists and maps. */
+    /** The size of a value that consists of strings, numbers, lists and maps. */
     fun of(value: Any?): Int =
         when (value) {
             null -> NULL_BYTES
--- a/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
@@ -4,26 +4,26 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * The moment of an input, in milliseconds: [steady] never jumps and counts from an arbitrary start of this process,
- * [wall] is the time of day since the Unix epoch and is only for logs, status and stored records.
+ * The time of an input in milliseconds. [steady] is the monotonic time since an arbitrary start. [wall] is the
+ * wall-clock time since the Unix epoch, used only for logs, status, stored records and comparisons with stored times.
  */
 data class Now(val steady: Long, val wall: Long)
 
 /**
- * Everything that can happen to a controller. Inputs are handled one at a time, in the order in which they arrived; any
- * of them may come late, or not at all, and what comes over the network may come twice.
+ * An event that a controller handles. Inputs are handled one at a time, in the order of their arrival. Any input may be
+ * late or missing, and inputs from the network may be duplicated.
  */
 sealed interface Input {
-    /** The moment of the last [Effect.Timer] has come. */
+    /** The timer set by the last [Effect.Timer] has fired. */
     data object Tick : Input
 
-    /** A user's request. [call] identifies it until the [Effect.Response] with the same number, and is not negative. */
+    /** A user's request. [call] is not negative and identifies it until the [Effect.Response] with the same number. */
     class User(val call: Int, val request: UserRequest) : Input
 
-    /** A worker's heartbeat, to be responded to as [call]. */
+    /** A worker's heartbeat; the [Effect.Response] to it has the same [call]. */
     class Heartbeat(val call: Int, val heartbeat: WorkerHeartbeat) : Input
 
-    /** A heartbeat that came while this controller was not the leader, so that its content was not decoded. */
+    /** A heartbeat that was not decoded because this controller was not the leader when it arrived. */
     class UnreadHeartbeat(val call: Int) : Input
 
     /** The result of the [Effect.State] with the same [ticket]. */
@@ -35,6 +35,6 @@
     /** The result of the [Effect.WorkerCommand] with the same [ticket]. */
     class WorkerReply(val ticket: Int, val reply: CommandReply) : Input
 
-    /** A message of another controller; [from] is its index among the peers in the settings. */
+    /** A message from another controller; [from] is its index among the peers in the settings. */
     class Peer(val from: Int, val message: PeerMessage) : Input
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/OverloadDetector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/OverloadDetector.kt
@@ -1,39 +1,48 @@
 package org.chalkhollow.core.common
 
 /**
- * Tells how short a controller is of processor time, from how late its ticks come. What can wait then waits longer, so
- * that renewals of the leadership record, heartbeats and users get the time there is. Kept in [CoreContext].
+ * Detects a shortage of processor time from the delay of a controller's ticks. Work that can wait is then delayed, so
+ * that renewals of the leadership record, heartbeats and user requests get the available time. Kept in [CoreContext].
  */
 class OverloadDetector {
-    /** How late ticks have lately been, in milliseconds: rises at once, falls over some ticks, at most [MAX_MS]. */
+    /**
+     * The delay of recent ticks, at most [MAX_MS]. It rises with one late tick and decays over several punctual ones.
+     */
     var tickDelayMs = 0L
         private set
-    private var nextTickDueAt = NEVER
+    private var nextTickDueAtMs = NEVER
 
-    /** Whether to leave undone what is done again by other means, such as commands that heartbeats repeat. */
+    /**
+     * Whether to skip work that is repeated by other means, such as commands that the responses to heartbeats repeat.
+     */
     val overloaded: Boolean get() = tickDelayMs >= OVERLOADED_MS
 
-    /** A tick has come at [now], by the steady clock. */
+    /** A tick is handled at [now], in monotonic time. */
     fun onTick(now: Long) {
-        if (nextTickDueAt == NEVER) return
-        val delay = (now - nextTickDueAt).coerceIn(0, MAX_MS)
-        val decayed = (tickDelayMs * (DECAY_TICKS - 1) + delay) / DECAY_TICKS
-        tickDelayMs = maxOf(delay, decayed)
+        if (nextTickDueAtMs == NEVER) return
+        val delayMs = (now - nextTickDueAtMs).coerceIn(0, MAX_MS)
+        val decayedMs = (tickDelayMs * (DECAY_TICKS - 1) + delayMs) / DECAY_TICKS
+        tickDelayMs = maxOf(delayMs, decayedMs)
     }
 
-    /** The next tick is due at [dueAt], by the steady clock. */
-    fun expectTick(dueAt: Long) {
-        nextTickDueAt = dueAt
+    /** The next tick is due at [dueAtMs], in monotonic time. */
+    fun expectTick(dueAtMs: Long) {
+        nextTickDueAtMs = dueAtMs
     }
 
     private companion object {
-        /** A process that was suspended for a minute is not short of processor time for a minute. */
+        /**
+         * Bounds the effect of a pause: a process that was suspended for a minute is not overloaded for a minute after
+         * it.
+         */
         const val MAX_MS = 1000L
 
-        /** Timers fire in steps of a few milliseconds, and a placement round or garbage collection takes some more. */
+        /**
+         * Larger than the timer resolution of a few milliseconds plus a placement round or a garbage collection pause.
+         */
         const val OVERLOADED_MS = 100L
 
-        /** With each tick in time, one part in this many of the delay decays. */
+        /** With each punctual tick, the delay falls by one part in this many. */
         const val DECAY_TICKS = 4
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/StateServiceCalls.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/StateServiceCalls.kt
@@ -10,11 +10,14 @@
     /** Reads one key. */
     data class Read(val key: String) : StateOp
 
-    /** Reads a page of the keys that begin with [prefix], in their order, beginning after the key [after]. */
+    /**
+     * Reads a page of the keys that begin with [prefix], in key order; [after] is the last key of the page before, or
+     * null.
+     */
     data class List(val prefix: String, val after: String?) : StateOp
 
     /**
-     * Compare-and-swap: applies all [changes], each with the same new revision, if all [conditions] hold, and else
+     * Compare-and-swap: if all [conditions] hold, applies all [changes] with the same new revision; otherwise applies
      * none.
      */
     data class Commit(
@@ -23,29 +26,35 @@
     ) : StateOp
 }
 
-/** Results of calls of the state service. */
+/** Results of calls to the state service. */
 sealed interface StateReply {
-    /** The key that [StateOp.Read] asked for. */
+    /** The row that [StateOp.Read] requested. */
     data class Found(val row: KeyValue) : StateReply
 
-    /** The key that [StateOp.Read] asked for does not exist. */
+    /** The key that [StateOp.Read] requested does not exist. */
     data object Missing : StateReply
 
-    /** What [StateOp.List] asked for. */
+    /** The page that [StateOp.List] requested. */
     data class Page(val rows: KeyValuePage) : StateReply
 
-    /** [StateOp.Commit] was applied; the changed keys have [revision]. */
+    /** [StateOp.Commit] was applied; the changed keys now have [revision]. */
     data class Committed(val revision: Long) : StateReply
 
     /** [StateOp.Commit] was not applied: the conditions on the keys [failed] did not hold. */
     data class Conflict(val failed: List<String>) : StateReply
 
-    /** The call was certainly not executed, for want of service, connection or rate: it may be repeated. */
+    /**
+     * The call was certainly not executed: the service was unavailable, no connection could be made, or a rate limit
+     * was reached. It may be retried.
+     */
     data object Unavailable : StateReply
 
-    /** No response that could be read: the call was applied now, will be applied later, or never. */
+    /** No readable response arrived: the call may have been executed, may still be executed later, or never. */
     data object NoResponse : StateReply
 
-    /** The service refuses the call for what it is, [reason]; this sending of it was not executed. */
+    /**
+     * The service rejects the content of the call, for [reason]. This send was not executed; an earlier send of the
+     * same call may have been.
+     */
     data class Rejected(val reason: String) : StateReply
 }
--- a/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
@@ -4,11 +4,11 @@
 import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.UserCodec
 
-/** What a user asks of one job. */
+/** A user's request about one job. */
 sealed interface UserRequest {
     val jobId: String
 
-    /** Submits a job; [raw] is the body as it came, which is forwarded to the leader. */
+    /** Submits a job; [raw] is the received body, which a follower forwards to the leader. */
     class Submit(val spec: JobSpec, val raw: ByteArray) : UserRequest {
         override val jobId get() = spec.id
     }
@@ -19,17 +19,17 @@
      */
     class Invalid(override val jobId: String, val raw: ByteArray, val reason: String?) : UserRequest
 
-    /** Asks for the state and progress of a job. */
+    /** Requests the state and progress of a job. */
     class Query(override val jobId: String) : UserRequest
 
     /** Cancels a job. */
     class Cancel(override val jobId: String) : UserRequest
 
     companion object {
-        /** After how many seconds a user who got 503 may repeat the request. */
+        /** How long a user who got status 503 is to wait before retrying. */
         const val RETRY_AFTER_S = 1
 
-        /** What [body] asks as a submission, or null when it is malformed and names no job. */
+        /** Decodes [body] as a submission; null if it is malformed and contains no job id. */
         fun ofSubmission(body: ByteArray): UserRequest? =
             try {
                 Submit(UserCodec.job(body), body)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -84,8 +84,8 @@
         if (lease.hasEnded(heartbeat.epoch) || machine.state == Machine.State.DELETING) {
             return dropped(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         }
-        if (heartbeat.epoch == lease.epoch && heartbeat.seq <= lease.answeredSeq) {
-            val repeated = heartbeat.seq == lease.answeredSeq
+        if (heartbeat.epoch == lease.epoch && heartbeat.seq <= lease.respondedSeq) {
+            val repeated = heartbeat.seq == lease.respondedSeq
             context.dropped.count(if (repeated) DroppedInput.HEARTBEAT_REPEATED else DroppedInput.HEARTBEAT_LATE)
             return machine
         }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
@@ -30,7 +30,7 @@
         nextExpiryAt = now + expiresAfterMs
         for (machine in table.all) {
             if (machine.state != Machine.State.UP && machine.attempts.isEmpty()) continue
-            val expiresAt = machine.lease.answeredAtMs + expiresAfterMs
+            val expiresAt = machine.lease.respondedAtMs + expiresAfterMs
             if (now < expiresAt) {
                 nextExpiryAt = minOf(nextExpiryAt, expiresAt)
             } else {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -42,7 +42,7 @@
     fun getOrAdd(name: String): Machine =
         byName.getOrPut(name) {
             Machine(names.machines.intern(name), name, context.steady).also {
-                it.lease.assumeAnsweredUntil(takenOverAt) // by an earlier leader
+                it.lease.assumeRespondedUntil(takenOverAt) // by an earlier leader
             }
         }
 
