--- a/src/test/kotlin/org/chalkhollow/core/EventDispatcherTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/EventDispatcherTest.kt
@@ -6,7 +6,7 @@
 
 class EventDispatcherTest {
     @Test
-    fun `an event before the targets are bound is an error and not lost in silence`() {
+    fun `an event before bind throws instead of being lost`() {
         assertThrows(IllegalStateException::class.java) { EventDispatcher().onMachineGone(Machine(0, "n-1")) }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/JobFixtures.kt
+++ b/src/test/kotlin/org/chalkhollow/core/JobFixtures.kt
@@ -9,7 +9,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 
-/** A job of team `t` whose tasks take one CPU each; tests change with `copy` what they are about. */
+/** A job of team `t` whose tasks need one CPU each. Tests change the fields that they examine with `copy`. */
 internal fun jobSpec(id: String, shape: Shape = Shape.ARRAY, tasks: Int = 10) =
     JobSpec(
         id = id,
@@ -32,19 +32,19 @@
         dueS = null,
     )
 
-/** A service of team `t` whose replicas take one CPU each. */
+/** A service of team `t` whose replicas need one CPU each. */
 internal fun serviceSpec(id: String, tasks: Int): JobSpec =
     jobSpec(id, Shape.SERVICE, tasks).copy(workload = "portal", priority = Priority.PRODUCTION, expectedS = 0.0)
 
-/** An open job on its own, in no job table. */
+/** An open job that is in no job table. */
 internal fun openJob(id: String, shape: Shape = Shape.ARRAY, tasks: Int = 10): OpenJob =
     openJob(jobSpec(id, shape, tasks))
 
-/** An open job of [spec] on its own, in no job table. */
+/** An open job of [spec] that is in no job table. */
 internal fun openJob(spec: JobSpec): OpenJob =
     OpenJob(JobEntry(0, spec.tasks), spec, 0, -1, types = null, -1, 0, tasksPerPage = 8192)
 
-/** Accepts a job of [spec], whose record is written at once. */
+/** Accepts a job of [spec] and confirms its record as durable. */
 internal fun JobTable.acceptDurably(spec: JobSpec): OpenJob {
     accept(spec, onRefused = {}) {}
     urgentWrites
--- a/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertSame
 import org.junit.jupiter.api.Test
 
-/** What becomes of effects that are carried out after the leader that decided them is no longer entitled to act. */
+/** Effects that are executed after the leader that decided them is no longer entitled to act. */
 class LateEffectsTest {
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val options = OperatorSettings()
@@ -36,7 +36,7 @@
     private val accepted = Effect.Response(5, 201, ByteArray(1))
     private val timer = Effect.Timer(9)
 
-    /** Alone and without a record, the controller leads as soon as its own record is written. */
+    /** Without peers and without a leadership record, the controller leads as soon as its own record is written. */
     private fun lead() {
         leadership.tick()
         reply(StateReply.Missing)
@@ -57,20 +57,20 @@
     }
 
     @Test
-    fun `everything is done while the leader is entitled`() {
+    fun `all effects are executed unchanged while the leader is entitled`() {
         lead()
         lateEffects.stepDone()
         for (effect in listOf(command, accepted, timer)) assertSame(effect, lateEffects.check(effect))
     }
 
     @Test
-    fun `what a follower decided is done`() {
+    fun `an effect of a follower is executed unchanged`() {
         lateEffects.stepDone()
         assertSame(accepted, lateEffects.check(accepted))
     }
 
     @Test
-    fun `no command is sent and no decision told after the lease has expired`() {
+    fun `after the lease has expired, no command is sent and a decision becomes unavailable`() {
         leadAndExpire()
         assertNull(lateEffects.check(command))
         val response = lateEffects.check(accepted) as Effect.Response
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `a forwarded decision becomes unavailable after the lease has expired`() {
+    fun `after the lease has expired, a forwarded decision becomes unavailable`() {
         leadAndExpire()
         val forwarded = Effect.Send(2, PeerMessage.ForwardedResponse(7, 404, ByteArray(3), 0))
         val sent = lateEffects.check(forwarded) as Effect.Send
@@ -90,7 +90,7 @@
     }
 
     @Test
-    fun `server errors and what is no decision are done after the lease has expired`() {
+    fun `after the lease has expired, server errors and effects without a decision are executed unchanged`() {
         leadAndExpire()
         val unavailable = Effect.Response(5, 503, null, 1)
         val release = Effect.Send(0, PeerMessage.LeadershipRelease(1))
--- a/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
@@ -13,11 +13,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Responses that a controller decided on before it stood still. */
+/**
+ * A process can be paused between the decision on a response and its sending. If the leader lease expires meanwhile,
+ * another controller may lead, so the response must not be sent.
+ */
 class LateResponsesTest {
-    /** A late response must not be a leader's when this is none any more. */
     @Test
-    fun `a response that a leader decided on before it stood still is not sent after its lease`() {
+    fun `a response that the leader decided before a pause becomes 503 after its lease has expired`() {
         val settings =
             PlatformSettingsParser.parse(
                 """{"label":"a","location":"z","client_listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
@@ -52,7 +54,7 @@
         assertEquals(
             null,
             controller.recheck(Now(30_000, 30_000), command),
-            "a command of a leader that is none any more",
+            "a command is not sent after the leader lease has expired",
         )
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -11,9 +11,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Nothing waits for good beside machines that have room for it. */
+/** Pending tasks are placed eventually if machines have free capacity for them. */
 class WaitingTest {
-    private fun calm(capacity: Int, objectives: List<Objective> = emptyList()): Simulation {
+    /** A simulation with [capacity] machines, a reliable network, and no deletion of idle machines for 900 s. */
+    private fun simulationWithMachines(capacity: Int, objectives: List<Objective> = emptyList()): Simulation {
         val simulation =
             Simulation(
                 17,
@@ -26,21 +27,22 @@
         return simulation
     }
 
-    /** This job, but free to run on any machine that is no spot machine. */
+    /** A copy of this job that may run on any machine that is not a spot machine. */
     private fun JobSpec.unconstrained() =
         copy(types = null, zone = null, together = false, spread = false, spotAllowed = false)
 
     private fun Simulation.assertDone(jobs: Int) {
         assertEquals(emptyList<String>(), rules.violations)
-        assertEquals(jobs, rules.doneCount, "it still waits: ${rules.pending()}")
+        assertEquals(jobs, rules.doneCount, "jobs still pending: ${rules.pending()}")
     }
 
-    // Machines on which a job had failed were kept from it for good, though what was wrong there was over.
+    // Guards against a permanent exclusion: machines on which a job had failed were never used for it again, although
+    // they had become healthy.
     @Test
     fun `a job that failed on every machine runs once they are healthy again`() {
-        val simulation = calm(capacity = 3)
+        val simulation = simulationWithMachines(capacity = 3)
         simulation.clock.runUntil(8000)
-        // One long task on each machine, so that none idles and is exchanged for another.
+        // One long task on each machine, so that no idle machine is deleted and replaced.
         simulation.users.submit {
             it.unconstrained().copy(
                 id = "j-2",
@@ -65,10 +67,11 @@
         simulation.assertDone(jobs = 1)
     }
 
-    // Room for as much urgent work as comes at a time was kept free from other work without end.
+    // Guards against a permanent reservation: headroom for urgent jobs was never given to other jobs.
     @Test
-    fun `room that is kept for urgent work is not kept from a job that waits long`() {
-        val simulation = calm(capacity = 2, objectives = listOf(Objective("wait", "urgent", 3.0, 0.9)))
+    fun `headroom for urgent jobs is given to a job that has waited long`() {
+        val simulation =
+            simulationWithMachines(capacity = 2, objectives = listOf(Objective("wait", "urgent", 3.0, 0.9)))
         simulation.clock.runUntil(8000)
         simulation.users.submit {
             it.unconstrained().copy(
@@ -97,10 +100,11 @@
         simulation.assertDone(jobs = 2)
     }
 
-    // Room kept for services was kept without end as well; seed 1046 of the days with services among the jobs.
+    // Guards against a permanent reservation: headroom for services was never given to other jobs. Found by the random
+    // days with services among the jobs, seed 1046.
     @Test
-    fun `room that is kept for services is not kept from a job that waits long`() {
-        val simulation = calm(capacity = 2)
+    fun `headroom for services is given to a job that has waited long`() {
+        val simulation = simulationWithMachines(capacity = 2)
         simulation.clock.runUntil(8000)
         val service =
             simulation.users.submitService {
--- a/src/test/kotlin/org/chalkhollow/core/cluster/FairShareCreditTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/FairShareCreditTest.kt
@@ -9,7 +9,7 @@
     private val credit = FairShareCredit(acceptedWallMs = 1_000)
 
     @Test
-    fun `what is placed uses credit up, down to none`() {
+    fun `placing tasks reduces the credit to no less than zero`() {
         credit.grant(cpus = 4.0, sinceWallMs = 2_000)
         credit.placed(placedCpus = 3.0, wallMs = 3_000)
         assertEquals(1.0, credit.cpus)
@@ -19,7 +19,7 @@
     }
 
     @Test
-    fun `a job waits long when some of it has been waiting for a minute, whatever was placed meanwhile`() {
+    fun `a job has waited long after a minute with pending tasks, even if others were placed meanwhile`() {
         credit.placed(placedCpus = 1.0, wallMs = 50_000)
         assertFalse(credit.hasWaitedLong(61_000))
         assertTrue(credit.hasWaitedLong(61_001))
--- a/src/test/kotlin/org/chalkhollow/core/cluster/MachineTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/MachineTest.kt
@@ -10,7 +10,7 @@
     private val machine = Machine(0, "n-1")
 
     @Test
-    fun `the epoch of a lost machine has ended`() {
+    fun `marking a machine as lost ends its epoch`() {
         machine.lease.beginEpoch(2)
         machine.markUp()
         machine.markLost(since = 500)
@@ -19,19 +19,19 @@
     }
 
     @Test
-    fun `an empty machine has exactly its capacity, whatever was added and taken off before`() {
+    fun `rounding errors of earlier allocations do not reduce the free capacity`() {
         val capacity = Resources(4.0, 0.0, 16.0)
-        val odd = Resources(0.1, 0.0, 0.7)
-        repeat(3) { machine.usage.allocate(odd) }
+        val inexact = Resources(0.1, 0.0, 0.7)
+        repeat(3) { machine.usage.allocate(inexact) }
         assertTrue(machine.busy)
-        repeat(3) { machine.usage.release(odd) }
+        repeat(3) { machine.usage.release(inexact) }
         assertFalse(machine.busy)
         machine.usage.allocate(Resources(1.0, 0.0, 1.0))
         assertEquals(Resources(3.0, 0.0, 15.0), machine.usage.freeOf(capacity))
     }
 
     @Test
-    fun `a machine idles since it first did, and is unreachable since it first was`() {
+    fun `idle and unreachable times count from the first observation`() {
         machine.availability.recordIdle(idle = true, now = 10)
         machine.availability.recordIdle(idle = true, now = 20)
         assertEquals(10, machine.availability.idleSinceMs)
@@ -46,7 +46,7 @@
     }
 
     @Test
-    fun `a machine that is cordoned, drained, quarantined or reclaimed takes no tasks`() {
+    fun `a machine that is cordoned, drained, quarantined or about to be reclaimed accepts no tasks`() {
         fun acceptsAfter(change: Availability.() -> Unit) = Availability().apply(change).acceptsTasks
         assertTrue(acceptsAfter { })
         assertFalse(acceptsAfter { cordon() })
--- a/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/ProgressPageOrderTest.kt
@@ -6,14 +6,17 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** What is dirty and which page comes next; that nothing is lost when versions change is tested with the records. */
+/**
+ * Which pages are dirty and in which order they are written. `ProgressPagesTest` covers that no completion is lost
+ * when the page size changes.
+ */
 class ProgressPageOrderTest {
     private val pages = ProgressPages(tasksPerPage = 10)
 
     private fun bits(vararg indices: Int) = BitSet().apply { indices.forEach(::set) }
 
     @Test
-    fun `completions are gathered from the first that is not written`() {
+    fun `a batch starts with the first unwritten completion, and again when a page is sent`() {
         pages.taskDone(3, now = 100)
         pages.taskDone(25, now = 200)
         assertEquals(100, pages.dirtySinceMs)
@@ -24,7 +27,7 @@
     }
 
     @Test
-    fun `a refused page is dirty again, and is tried from the given moment on`() {
+    fun `a rejected page is dirty again, and may be written from its retry time on`() {
         pages.taskDone(3, now = 100)
         pages.pageSent(0, now = 100)
         assertFalse(pages.mayWrite(100))
@@ -34,7 +37,7 @@
     }
 
     @Test
-    fun `nothing else is written while the completion of the job is under way`() {
+    fun `no page is written while the completion of the job is in flight`() {
         pages.completionMissing()
         assertTrue(pages.mayWrite(0))
         pages.completionSent()
@@ -44,7 +47,7 @@
     }
 
     @Test
-    fun `an oversized page is overwritten only after what it has beyond its own tasks, the highest first`() {
+    fun `an oversized page is written after the pages that it covers, which are written from the highest down`() {
         pages.loaded(from = 0, done = bits(1, 12, 35), tasks = 40)
         val order = ArrayList<Int>()
         while (pages.mayWrite(0)) {
@@ -58,7 +61,7 @@
     }
 
     @Test
-    fun `a page that fits is not written again`() {
+    fun `a stored page of the current size is not written again`() {
         pages.loaded(from = 10, done = bits(0, 9), tasks = 40)
         assertFalse(pages.mayWrite(0))
     }
--- a/src/test/kotlin/org/chalkhollow/core/cluster/TaskReadinessTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/cluster/TaskReadinessTest.kt
@@ -10,7 +10,7 @@
     private val tasks = TaskReadiness(3, progress)
 
     @Test
-    fun `a task is ready again only once none of its attempts may be on a machine`() {
+    fun `a task becomes ready again only when none of its attempts may be on a machine`() {
         tasks.attemptReserved(0)
         tasks.attemptReserved(0)
         assertEquals(1, tasks.nextReady(0))
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `a task counts as completed once, and only if the job has it`() {
+    fun `a task counts as completed only once, and only if it belongs to the job`() {
         assertTrue(progress.markDone(2))
         assertFalse(progress.markDone(2))
         assertFalse(progress.markDone(3))
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What comes late, repeated or from another incarnation changes nothing, and is counted. */
+/** Inputs that are late, repeated or of another incarnation have no effect and are counted. */
 class DroppedInputsTest {
-    private class Events : Leadership.Events {
+    private class IgnoredEvents : Leadership.Events {
         override fun requestSnapshot(revision: Long) = Unit
 
         override fun snapshotComplete(revision: Long) = true
@@ -46,14 +46,15 @@
     private val options = OperatorSettings()
     private val limits = StateLimits(80.0, 40.0, 8192, 12)
 
-    private fun leadership(peers: Int) = Leadership(context, "m", List(peers) { "p$it" }, 77, options, 0, 0, Events())
+    private fun leadership(peers: Int) =
+        Leadership(context, "m", List(peers) { "p$it" }, 77, options, 0, 0, IgnoredEvents())
 
     private fun assertDropped(expected: Map<DroppedInput, Long>) =
         assertEquals(expected, context.dropped.counts().filterValues { it > 0 })
 
     private val Simulation.leader: SimulatedController get() = nodes.single { it.leads }
 
-    /** What [node] drops while [run] runs. */
+    /** Counts of the inputs that [node] drops while [run] runs. */
     private fun dropsOf(node: SimulatedController, run: () -> Unit): Map<DroppedInput, Long> {
         val before = node.dropped
         run()
@@ -66,9 +67,12 @@
         simulation.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
         simulation.clock.runUntil(40_000)
         val worker = simulation.cloud.workers.single { it.onMachine().isNotEmpty() }
-        val old = worker.keepHeartbeat()
+        val sendOldHeartbeat = worker.keepHeartbeat()
         simulation.clock.runUntil(50_000)
-        assertEquals(mapOf(DroppedInput.HEARTBEAT_LATE to 1L), dropsOf(simulation.leader) { old(simulation.leader) })
+        assertEquals(
+            mapOf(DroppedInput.HEARTBEAT_LATE to 1L),
+            dropsOf(simulation.leader) { sendOldHeartbeat(simulation.leader) },
+        )
         assertEquals(
             mapOf(DroppedInput.HEARTBEAT_REPEATED to 1L),
             dropsOf(simulation.leader) { worker.repeatLastHeartbeat() },
@@ -78,13 +82,13 @@
         assertEquals(
             mapOf(DroppedInput.HEARTBEAT_OTHER_INCARNATION to 1L),
             dropsOf(simulation.leader) {
-                old(simulation.leader)
+                sendOldHeartbeat(simulation.leader)
             },
         )
     }
 
     @Test
-    fun `a heartbeat in the reply to a command that is older than the last one is counted`() {
+    fun `the reply to a command with a heartbeat that is older than the last one is counted`() {
         val simulation = electedSimulation(2)
         simulation.network.heldMs = 1400L..1450L
         simulation.network.held = 1.0
@@ -97,7 +101,7 @@
     }
 
     @Test
-    fun `a response to a forwarded request that comes again or was never requested is counted`() {
+    fun `a response to a forwarded request that is repeated or of another incarnation is counted`() {
         val simulation = electedSimulation(3)
         val follower = simulation.nodes.first { !it.leads }
         val leader = simulation.indexAt(follower.label, simulation.leader.label)
@@ -106,17 +110,18 @@
         follower.user(UserRequest.Query("j-000001")) {}
         simulation.clock.runUntil(16_000)
         val response = responses.single()
-        val again = Frames.encode(response)
-        assertEquals(mapOf(DroppedInput.MESSAGE_LATE to 1L), dropsOf(follower) { follower.peer(leader, again) })
-        val foreign = Frames.encode(PeerMessage.ForwardedResponse(response.seq - 1_000_000, 200, ByteArray(0), 0))
+        val repeated = Frames.encode(response)
+        assertEquals(mapOf(DroppedInput.MESSAGE_LATE to 1L), dropsOf(follower) { follower.peer(leader, repeated) })
+        val ofOtherIncarnation =
+            Frames.encode(PeerMessage.ForwardedResponse(response.seq - 1_000_000, 200, ByteArray(0), 0))
         assertEquals(
             mapOf(DroppedInput.MESSAGE_OTHER_INCARNATION to 1L),
-            dropsOf(follower) { follower.peer(leader, foreign) },
+            dropsOf(follower) { follower.peer(leader, ofOtherIncarnation) },
         )
     }
 
     @Test
-    fun `votes, follower leases and releases that nobody waits for are counted`() {
+    fun `votes, follower leases and releases that are repeated or late are counted`() {
         val leadership = leadership(4)
         val record = LeadershipRecord("p0", 1, 5, 9).value()
         var request: PeerMessage.VoteRequest? = null
@@ -132,25 +137,25 @@
                 if (effect is Effect.Send) request = effect.message as? PeerMessage.VoteRequest ?: request
             }
         }
-        val asked = checkNotNull(request) { "no votes were asked for" }
-        val vote = PeerMessage.VoteResponse(asked.fencingToken, asked.seq, granted = true)
+        val voteRequest = checkNotNull(request) { "no votes were requested" }
+        val vote = PeerMessage.VoteResponse(voteRequest.fencingToken, voteRequest.seq, granted = true)
         leadership.onPeer(0, vote)
         assertDropped(emptyMap())
         leadership.onPeer(0, vote)
         assertDropped(mapOf(DroppedInput.MESSAGE_REPEATED to 1L))
-        leadership.onPeer(1, vote.copy(seq = asked.seq - 1))
-        leadership.onPeer(1, vote.copy(fencingToken = asked.fencingToken + 1))
+        leadership.onPeer(1, vote.copy(seq = voteRequest.seq - 1))
+        leadership.onPeer(1, vote.copy(fencingToken = voteRequest.fencingToken + 1))
         leadership.onPeer(0, PeerMessage.FollowerLeaseResponse(5, 1, granted = true, stateServed = true))
         leadership.onPeer(2, PeerMessage.LeadershipRelease(5))
         assertDropped(mapOf(DroppedInput.MESSAGE_REPEATED to 1L, DroppedInput.MESSAGE_LATE to 4L))
-        leadership.onPeer(1, vote.copy(seq = asked.seq + 1))
-        leadership.onPeer(1, vote.copy(seq = asked.seq - 1_000_000))
+        leadership.onPeer(1, vote.copy(seq = voteRequest.seq + 1))
+        leadership.onPeer(1, vote.copy(seq = voteRequest.seq - 1_000_000))
         assertEquals(2, context.dropped.counts()[DroppedInput.MESSAGE_OTHER_INCARNATION])
         assertEquals(Leadership.Role.FOLLOWER, leadership.role)
     }
 
     @Test
-    fun `a reply to a call that has had one is counted`() {
+    fun `a second reply to a call is counted`() {
         var replies = 0
         context.callStateService(StateOp.Read("x")) { replies++ }
         val call = context.drain().filterIsInstance<Effect.State>().single()
@@ -162,7 +167,7 @@
     }
 
     @Test
-    fun `a reply to a write of a term that is over is counted`() {
+    fun `a reply to a write of an ended term is counted`() {
         var durable = false
         val write = Write(listOf(Change("x", mapOf("v" to 1))), onRefused = {}) { durable = true }
         val writer = StateWriter(context, limits, options, leadership(0), listOf(WriteProducer { write }))
@@ -178,7 +183,7 @@
     }
 
     @Test
-    fun `a page of what a candidate reads no more is counted`() {
+    fun `a page of a snapshot that was replaced by a newer one is counted`() {
         val snapshot = CandidateSnapshot(context, listOf("x/")) {}
         snapshot.begin(7)
         val call = context.drain().filterIsInstance<Effect.State>().single()
@@ -189,7 +194,7 @@
     }
 
     @Test
-    fun `a reply of the cloud to an earlier term is counted`() {
+    fun `a reply of the cloud to a call of an earlier term is counted`() {
         val fleet =
             Fleet(context, Interners(), Simulation(1).settings, options, "a", StaticMachines(context, limits))
         fleet.start(1)
@@ -207,7 +212,7 @@
     }
 
     @Test
-    fun `a reply that cannot be read counts as none, and is counted`() {
+    fun `a malformed reply is treated as no reply and is counted`() {
         val metrics = Metrics()
         val decoder = ResponseDecoder { metrics.malformedReply() }
         assertEquals(1, decoder.decode(ifMalformed = 0) { 1 })
@@ -216,7 +221,7 @@
     }
 
     @Test
-    fun `every count is among the metrics`() {
+    fun `the metrics contain the count of every kind of dropped input`() {
         val counts = DroppedInput.entries.associateWith { it.ordinal + 1L }
         val lines = lines(Metrics(), counts)
         for ((input, count) in counts) assertTrue("chalkhollow_${input.metric}_total $count" in lines, input.metric)
--- a/src/test/kotlin/org/chalkhollow/core/common/OverloadDetectorTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/OverloadDetectorTest.kt
@@ -5,36 +5,35 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What late ticks tell of processor time. */
 class OverloadDetectorTest {
     private val overload = OverloadDetector()
-    private var t = 0L
+    private var nowMs = 0L
 
     private fun tick(lateMs: Long) {
-        overload.expectTick(t + 100)
-        t += 100 + lateMs
-        overload.onTick(t)
+        overload.expectTick(nowMs + 100)
+        nowMs += 100 + lateMs
+        overload.onTick(nowMs)
     }
 
     @Test
-    fun `it is high as soon as a tick is late, and passes within two seconds of ticks in time`() {
+    fun `one late tick causes overload, which ends within two seconds of punctual ticks`() {
         tick(3)
         assertFalse(overload.overloaded)
         tick(400)
         assertTrue(overload.overloaded)
-        val lateAt = t
+        val lateAtMs = nowMs
         while (overload.overloaded) tick(0)
-        assertTrue(t - lateAt in 100..2000, "it took ${t - lateAt} ms to pass")
+        assertTrue(nowMs - lateAtMs in 100..2000, "overload ended after ${nowMs - lateAtMs} ms")
     }
 
     @Test
-    fun `a process that stood still for a minute is not strained for a minute`() {
+    fun `a pause of a minute counts as a tick delay of one second`() {
         tick(60_000)
         assertEquals(1000, overload.tickDelayMs)
     }
 
     @Test
-    fun `the first tick tells nothing`() {
+    fun `the first tick has no delay`() {
         overload.onTick(5000)
         assertEquals(0, overload.tickDelayMs)
     }
