--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
@@ -95,8 +95,7 @@
             .filter { it.state == Machine.State.BOOTING && it.isTypeKnown && !it.cloud.failed && !isOverdue(it) }
             .map {
                 ExpectedRoom(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NO_RESOURCES)
-            }
-            .toMutableList()
+            }.toMutableList()
 
     /** Whether a machine has booted for twice as long as its type takes, so that it may never come up. */
     private fun isOverdue(machine: Machine): Boolean =
