--- a/src/main/kotlin/org/chalkhollow/core/cluster/JobEntry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/JobEntry.kt
@@ -22,7 +22,7 @@
         open = job
     }
 
-    /** It is durable that the job is done or cancelled. */
+    /** The record that the job is done or cancelled is durable. */
     fun ended(state: JobState) {
         this.state = state
         open = null
