--- a/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/CommandPlanner.kt
@@ -56,7 +56,7 @@
     /** Repeats this leader's direct start if its outcome is unknown; starts of earlier leaders are not repeated. */
     private fun repeatedStart(attempt: Attempt, startsAllowed: Boolean): Command? {
         if (!startsAllowed || isNoLongerNeeded(attempt)) return null
-        return if (attempt.directStartUnresolved && !attempt.inherited) start(attempt) else null
+        return if (attempt.directStartOutcomeUnknown && !attempt.inherited) start(attempt) else null
     }
 
     private fun stopIfDue(attempt: Attempt): Command? =
@@ -84,7 +84,7 @@
      * arrives after the reply to the first.
      */
     private fun forget(attempt: Attempt): Command? {
-        if (!attempt.outcomeRecorded || attempt.directStartUnresolved) return null
+        if (!attempt.outcomeRecorded || attempt.directStartOutcomeUnknown) return null
         val cannotRunAgain = !attempt.startedDirectly || attempt.completed && !attempt.job.cancelled
         return if (cannotRunAgain) Command.Forget(attempt.job.spec.id, attempt.index, attempt.number) else null
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -72,7 +72,7 @@
 
     private fun canSendTo(machine: Machine): Boolean {
         if (machine.commandInFlight || machine.address.isEmpty() || machine.lease.epoch == 0L) return false
-        return machine.reachability.reachable && context.steady - machine.lease.heartbeatAt <= maxHeartbeatAgeMs
+        return machine.reachability.reachable && context.steady - machine.lease.heartbeatAtMs <= maxHeartbeatAgeMs
     }
 
     /**
@@ -126,7 +126,7 @@
 
     private fun onNotExecuted(starts: List<Attempt>) {
         for (attempt in starts) {
-            if (attempt.phase == Attempt.Phase.START_SENT && !attempt.resolved) attempt.startDropped()
+            if (attempt.phase == Attempt.Phase.START_SENT && !attempt.resolved) attempt.startNotExecuted()
         }
     }
 
@@ -167,7 +167,7 @@
             machine.attempts.any { isOutcomeOverdue(it) && (mayStillStartCancelled(it) || it.finished) }
 
     private fun isOutcomeOverdue(attempt: Attempt): Boolean =
-        attempt.directStartUnresolved && context.steady - attempt.progressAt > MAX_OUTCOME_UNKNOWN_MS
+        attempt.directStartOutcomeUnknown && context.steady - attempt.progressAtMs > MAX_OUTCOME_UNKNOWN_MS
 
     /** Whether the job of [attempt] is cancelled, and a start that was sent may still be carried out. */
     private fun mayStillStartCancelled(attempt: Attempt): Boolean =
--- a/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/CloudInventory.kt
@@ -117,7 +117,7 @@
         if (machine.state == Machine.State.UP || machine.state == Machine.State.DELETING) return false
         // Its attempts may run until its lease expires.
         if (machine.state == Machine.State.BOOTING && machine.attempts.isNotEmpty()) return false
-        val lastKnownAtMs = if (machine.cloud.isListed) machine.cloud.listedAt else machine.cloud.createdAt
+        val lastKnownAtMs = if (machine.cloud.isListed) machine.cloud.listedAtMs else machine.cloud.createdAtMs
         return context.steady - lastKnownAtMs > missingAfterMs
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -84,8 +84,8 @@
         if (lease.hasEnded(heartbeat.epoch) || machine.state == Machine.State.DELETING) {
             return drop(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
         }
-        if (heartbeat.epoch == lease.epoch && heartbeat.seq <= lease.answeredSeq) {
-            val isRepeated = heartbeat.seq == lease.answeredSeq
+        if (heartbeat.epoch == lease.epoch && heartbeat.seq <= lease.respondedSeq) {
+            val isRepeated = heartbeat.seq == lease.respondedSeq
             context.dropped.count(if (isRepeated) DroppedInput.HEARTBEAT_REPEATED else DroppedInput.HEARTBEAT_LATE)
             return machine
         }
@@ -119,7 +119,7 @@
         if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasShownCurrentToken(machine))
         machine.lease.beginEpoch(epoch)
         machine.availability.endQuarantine()
-        machine.reconciled = null
+        machine.lastReconciledTasks = null
         machine.images.clear()
         machine.images.addAll(machine.cachedImages) // the cache outlives the epoch, fetches in progress do not
     }
@@ -130,7 +130,7 @@
     /** Whether [machine] is to be probed with a direct command now; if so, the probe is recorded as sent. */
     fun beginProbeIfDue(machine: Machine): Boolean {
         if (machine.state != Machine.State.UP || !hasShownCurrentToken(machine)) return false
-        return context.steady - machine.lease.heartbeatAt < leaseMs && reachability.beginProbeIfDue(machine)
+        return context.steady - machine.lease.heartbeatAtMs < leaseMs && reachability.beginProbeIfDue(machine)
     }
 
     /** Expires the leases that have certainly ended. */
--- a/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
@@ -17,14 +17,14 @@
     private val options: OperatorSettings,
 ) {
     fun update(machine: Machine) {
-        val idle = machine.vacant && machine.state == Machine.State.UP
+        val idle = machine.isIdle && machine.state == Machine.State.UP
         machine.availability.recordIdle(idle, context.steady)
     }
 
     /** The idle machines that can be deleted; with [withoutStandby] none is kept as a standby. */
     fun deletable(withoutStandby: Boolean): List<Machine> {
         val idle = table.all.filter { isIdle(it) && it.name !in staticMachines.names }
-        val idleTooLong = idle.filter { context.steady - it.availability.idleSince > maxIdleMs(it) }
+        val idleTooLong = idle.filter { context.steady - it.availability.idleSinceMs > maxIdleMs(it) }
         if (idleTooLong.isEmpty()) return emptyList()
         val deletable = exceedingStandby(idleTooLong, withoutStandby)
         return deletable.take(maxOf(0, idle.size - options.spareMachines))
@@ -42,7 +42,7 @@
     }
 
     private fun isIdle(machine: Machine): Boolean =
-        machine.state == Machine.State.UP && machine.availability.idleSince != Machine.NEVER &&
+        machine.state == Machine.State.UP && machine.availability.idleSinceMs != Machine.NEVER &&
             !machine.availability.draining
 
     /** How long a machine may idle: the more it costs compared with the cheapest offer of its type, the shorter. */
--- a/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
@@ -33,7 +33,7 @@
         nextExpiryAtMs = now + expiresAfterMs
         for (machine in table.all) {
             if (machine.state != Machine.State.UP && machine.attempts.isEmpty()) continue
-            val expiresAtMs = machine.lease.answeredAt + expiresAfterMs
+            val expiresAtMs = machine.lease.respondedAtMs + expiresAfterMs
             if (now < expiresAtMs) {
                 nextExpiryAtMs = minOf(nextExpiryAtMs, expiresAtMs)
             } else {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -39,7 +39,7 @@
 
     /** Whether a heartbeat at this moment follows the last one so soon that the last one must have been answered. */
     private fun followsAnsweredHeartbeat(machine: Machine): Boolean {
-        val lastHeartbeatAtMs = machine.lease.heartbeatAt
+        val lastHeartbeatAtMs = machine.lease.heartbeatAtMs
         return lastHeartbeatAtMs != Machine.NEVER && context.steady - lastHeartbeatAtMs < UNANSWERED_GAP_MS
     }
 
@@ -50,7 +50,7 @@
     }
 
     private fun updateReachable(machine: Machine, hasCurrentToken: Boolean) {
-        val isProofRecent = context.steady - machine.reachability.provedAt < proofMaxAgeMs + PROBE_INTERVAL_MS
+        val isProofRecent = context.steady - machine.reachability.provedAtMs < proofMaxAgeMs + PROBE_INTERVAL_MS
         val changed = machine.reachability.update(hasCurrentToken && isProofRecent, context.steady)
         if (changed) context.changed()
     }
@@ -59,28 +59,28 @@
     fun beginProbeIfDue(machine: Machine): Boolean {
         if (machine.commandInFlight || !needsProbe(machine)) return false
         val now = context.steady
-        if (now - machine.reachability.probedAt < PROBE_INTERVAL_MS) return false
+        if (now - machine.reachability.probedAtMs < PROBE_INTERVAL_MS) return false
         machine.reachability.recordProbe(now)
         return true
     }
 
     private fun needsProbe(machine: Machine): Boolean {
         if (machine.busy && isHeartbeatOverdue(machine)) return true
-        return context.steady - machine.reachability.provedAt >= proofMaxAgeMs
+        return context.steady - machine.reachability.provedAtMs >= proofMaxAgeMs
     }
 
     /** Whether a heartbeat should have come from [machine] by now. */
     fun isHeartbeatOverdue(machine: Machine): Boolean {
-        val lastHeartbeatAtMs = machine.lease.heartbeatAt
+        val lastHeartbeatAtMs = machine.lease.heartbeatAtMs
         return lastHeartbeatAtMs != Machine.NEVER && context.steady - lastHeartbeatAtMs > overdueAfterMs
     }
 
     /** Whether [machine] has sent nothing for [unresponsiveAfterMs], not even a reply to a probe. */
     fun isUnresponsive(machine: Machine): Boolean {
-        if (machine.lease.heartbeatAt == Machine.NEVER) return false
+        if (machine.lease.heartbeatAtMs == Machine.NEVER) return false
         val now = context.steady
-        val probedAt = machine.reachability.probedAt
-        val lastSignAtMs = maxOf(machine.lease.heartbeatAt, machine.reachability.provedAt)
+        val probedAt = machine.reachability.probedAtMs
+        val lastSignAtMs = maxOf(machine.lease.heartbeatAtMs, machine.reachability.provedAtMs)
         return now - lastSignAtMs > unresponsiveAfterMs &&
             probedAt > lastSignAtMs && now - probedAt > COMMAND_TIMEOUT_MS
     }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -42,7 +42,7 @@
     fun getOrAdd(name: String): Machine =
         byName.getOrPut(name) {
             Machine(names.machines.intern(name), name, context.steady).also {
-                it.lease.assumeAnsweredUntil(termStartedAtMs) // an earlier leader may have answered it until then
+                it.lease.assumeRespondedUntil(termStartedAtMs) // an earlier leader may have answered it until then
             }
         }
 
@@ -85,7 +85,7 @@
 
     /** Whether the last heartbeat is less than half a lease old and the worker has not just found the machine full. */
     private fun isFreshAndNotFull(machine: Machine): Boolean =
-        context.steady >= machine.fullUntil && context.steady - machine.lease.heartbeatAt < leaseMs / 2
+        context.steady >= machine.fullUntilMs && context.steady - machine.lease.heartbeatAtMs < leaseMs / 2
 
     private fun isTypeListed(machine: Machine): Boolean = types.getOrNull(machine.type) != null
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
@@ -93,12 +93,12 @@
     private fun bootingMachines(): MutableList<ExpectedMachine> =
         table.all
             .filter { it.state == Machine.State.BOOTING && it.isTypeKnown && !it.cloud.failed && !isOverdue(it) }
-            .map { ExpectedMachine(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NOTHING) }
+            .map { ExpectedMachine(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NO_RESOURCES) }
             .toMutableList()
 
     /** Whether a machine has booted for twice its type's boot time, so that it may never come up. */
     private fun isOverdue(machine: Machine): Boolean =
-        context.steady - machine.cloud.createdAt > table.bootS(machine) * 2 * MS_PER_S
+        context.steady - machine.cloud.createdAtMs > table.bootS(machine) * 2 * MS_PER_S
 
     /** Allocates capacity of [machines] to [tasks]; returns how many tasks are left. */
     private fun countUnplaced(tasks: UnplacedTasks, machines: List<ExpectedMachine>): Int {
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleIn.kt
@@ -76,12 +76,12 @@
     private fun isUnusable(machine: Machine): Boolean =
         when {
             machine.cloud.failed && machine.state != Machine.State.UP -> true
-            machine.state == Machine.State.LOST -> context.steady - machine.lostAt > DELETE_LOST_AFTER_MS
+            machine.state == Machine.State.LOST -> context.steady - machine.lostAtMs > DELETE_LOST_AFTER_MS
             machine.state == Machine.State.BOOTING -> hasFailedToBoot(machine)
             isUnreachable(machine) -> true
             machine.availability.draining -> !machine.busy
-            machine.availability.cordoned && machine.state == Machine.State.UP -> machine.vacant
-            machine.availability.hasSpotNotice -> machine.vacant
+            machine.availability.cordoned && machine.state == Machine.State.UP -> machine.isIdle
+            machine.availability.hasSpotNotice -> machine.isIdle
             else -> false
         }
 
@@ -94,11 +94,11 @@
         if (machine.attempts.isNotEmpty()) return false
         if (context.steady - table.termStartedAtMs <= leaseMs * 2) return false
         val maxBootMs = table.bootS(machine) * MS_PER_S * BOOT_FACTOR + BOOT_SLACK_MS
-        return context.steady - machine.cloud.createdAt > maxBootMs
+        return context.steady - machine.cloud.createdAtMs > maxBootMs
     }
 
     private fun isUnreachable(machine: Machine): Boolean {
-        val since = machine.reachability.unreachableSince
+        val since = machine.reachability.unreachableSinceMs
         if (machine.state != Machine.State.UP || since == Machine.NEVER) return false
         val now = context.steady
         return now - since > unreachableAfterMs && now - table.termStartedAtMs > unreachableAfterMs
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
@@ -93,7 +93,7 @@
                 mayScaleOutMore = true
             }
             is CloudReply.Rejected -> {
-                context.warn("the cloud rejected rental ${rental.request.request}: ${reply.why}; backing off its offer")
+                context.warn("the cloud rejected rental ${rental.request.request}: ${reply.reason}; backing off its offer")
                 pending = null
                 backoff.onUnavailable(rental.offer, context.steady)
             }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/SpotTerminationNotices.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/SpotTerminationNotices.kt
@@ -31,7 +31,7 @@
      * expired.
      */
     private fun stopAttempts(machine: Machine) {
-        val remainingS = (machine.availability.reclaimAt - context.steady) / MS_PER_S
+        val remainingS = (machine.availability.reclaimAtMs - context.steady) / MS_PER_S
         for (attempt in machine.attempts) {
             if (!attempt.onMachine || attempt.stopRequested) continue
             if (attempt.job.service) continue // [ReplicaMigration] moves replicas
--- a/src/main/kotlin/org/chalkhollow/core/fleet/UnresponsiveMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/UnresponsiveMachines.kt
@@ -37,7 +37,7 @@
     }
 
     private fun isReclaimed(machine: Machine): Boolean =
-        machine.availability.hasSpotNotice && context.steady > machine.availability.reclaimAt + RECLAIMED_AFTER_MS
+        machine.availability.hasSpotNotice && context.steady > machine.availability.reclaimAtMs + RECLAIMED_AFTER_MS
 
     private companion object {
         /** A machine counts as reclaimed this long after the announced time. */
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ZoneConstraint.kt
@@ -46,7 +46,7 @@
         if (chosenZone != NO_ZONE) return
         val fitCountByZone = HashMap<Int, Int>()
         for (machine in machines) {
-            fitCountByZone.merge(machine.zone, job.taskResources.countIn(machine.roundRoom), Int::plus)
+            fitCountByZone.merge(machine.zone, job.taskResources.countIn(machine.roundFreeCapacity), Int::plus)
         }
         chosenZone = fitCountByZone.entries.maxByOrNull { it.value }?.key ?: NO_ZONE
     }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/CompletionWriter.kt
@@ -28,7 +28,7 @@
         for (job in jobs.open) {
             if (job.cancelling || !job.pages.mayWrite(context.steady)) continue
             if (job.complete) return jobCompletion(job, budget)
-            if (batchedJob == null && context.steady - job.pages.dirtySince >= PAGE_BATCH_MS) batchedJob = job
+            if (batchedJob == null && context.steady - job.pages.dirtySinceMs >= PAGE_BATCH_MS) batchedJob = job
         }
         return batchedJob?.let { nextPage(it, budget) }
     }
@@ -36,7 +36,7 @@
     private fun jobCompletion(job: OpenJob, budget: TransactionBudget): Write? {
         val done = job.progress.snapshot()
         val change = Change(JobRecord.key(job.spec.id), JobRecord.encodeDone(job.spec))
-        val onRejected = { job.pages.completionRefused(retryAt = context.steady + REJECTED_RETRY_MS) }
+        val onRejected = { job.pages.completionRejected(retryAtMs = context.steady + REJECTED_RETRY_MS) }
         val write =
             Write(listOf(change), onRejected) {
                 job.pages.completionWritten()
@@ -63,7 +63,7 @@
         val done = job.progress.slice(firstTask, job.pages.firstTask(page + 1))
         val key = ProgressPageRecord.key(job.spec.id, firstTask)
         val change = Change(key, ProgressPageRecord(firstTask, done).encode())
-        val onRejected = { job.pages.pageRefused(page, retryAt = context.steady + REJECTED_RETRY_MS) }
+        val onRejected = { job.pages.pageRejected(page, retryAtMs = context.steady + REJECTED_RETRY_MS) }
         return Write(listOf(change), onRejected) {
             job.pages.pageWritten(page)
             if (job.entry.state != JobState.OPEN) jobs.garbage.collect(key)
--- a/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/JobOrder.kt
@@ -40,7 +40,7 @@
         guaranteed.clear()
         val cpusByTeam = HashMap<Int, Double>()
         val gpusByTeam = HashMap<Int, Double>()
-        for (job in jobs.open.sortedBy { it.acceptedWall }) {
+        for (job in jobs.open.sortedBy { it.acceptedWallMs }) {
             if (job.cancelling || job.complete) continue
             val tasks = job.spec.tasks
             val cpus = cpusByTeam.merge(job.team, job.taskResources.cpus * tasks, Double::plus) ?: 0.0
@@ -51,13 +51,13 @@
 
     /** Jobs with ready tasks that are not in backoff, in the order in which they are served. */
     fun pendingJobs(): List<OpenJob> {
-        val pending = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBefore <= context.steady }
+        val pending = jobs.open.filter { it.placeable && !it.cancelling && it.backoff.notBeforeMs <= context.steady }
         return pending.sortedWith(
             compareBy(
                 { if (starvation.isServedFirst(it)) -1 else it.spec.priority.ordinal },
                 { if (starvation.isServedFirst(it)) 0 else urgency(it).ordinal },
                 { if (starvation.isServedFirst(it)) starvation.kindLastPlacedWallMs(it) else deadlines.dueWallMs(it) },
-                { if (starvation.isServedFirst(it)) it.credit.sinceWall else it.acceptedWall },
+                { if (starvation.isServedFirst(it)) it.credit.sinceWallMs else it.acceptedWallMs },
                 { it.entry.index },
             ),
         )
@@ -81,7 +81,7 @@
     /** Whether the job may not use the headroom for urgent jobs, see [UrgentHeadroom]. */
     fun mustLeaveUrgentHeadroom(job: OpenJob): Boolean {
         if (job.spec.priority < Priority.STANDARD || objectives.awaitsPromptStart(job)) return false
-        return !isWithinGuarantee(job) && !mayMissObjective(job, 0.0) && !job.credit.waitsLong(context.now.wall)
+        return !isWithinGuarantee(job) && !mayMissObjective(job, 0.0) && !job.credit.hasWaitedLong(context.now.wall)
     }
 
     /** Whether the job may start or finish too late if it waits [waitS] more seconds. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -46,7 +46,7 @@
     /** Machines on which this round requested stops of replicas that migrate. */
     val stoppedOn = ArrayList<Machine>()
     private val machines get() = freeCapacity.machines
-    private var freeCpus = machines.sumOf { it.roundRoom.cpus }
+    private var freeCpus = machines.sumOf { it.roundFreeCapacity.cpus }
     private val fleetCpus = order.fleetCpus
 
     /** CPU seconds of the pending work of this job and of those served before it. */
@@ -89,7 +89,7 @@
         val withinQuota = minOf(ready, tasksLeftInQuota(job))
         if (job.service && withinQuota < ready) overQuota.add(ReplicasOverQuota(job, ready - withinQuota))
         // A zone constraint does not count what earlier calls of this round placed: one call places all of such a job.
-        val inOnePass = job.gang || job.boundToZones
+        val inOnePass = job.gang || job.hasZoneConstraint
         val wanted = if (cachedImageOnly && inOnePass) 0 else wantedTasks(job, withinQuota, ready)
         val placed = if (wanted > 0) placeWithHeadroom(job, wanted, cachedImageOnly) else 0
         if (placed > 0) recordPlaced(job, placed)
@@ -138,13 +138,13 @@
     }
 
     /**
-     * Whether the job may use the headroom for services because it has waited long, see [FairShareCredit.waitsLong]. If
+     * Whether the job may use the headroom for services because it has waited long, see [FairShareCredit.hasWaitedLong]. If
      * so, this uses up one of the round's [MAX_HEADROOM_RELEASES].
      */
     private fun trySpendHeadroomRelease(job: OpenJob, placed: Int): Boolean {
         if (!serviceHeadroomReserved || job.service) return false
-        if (placed > 0 && job.boundToZones) return false
-        return job.credit.waitsLong(context.now.wall) && headroomReleasesLeft-- > 0
+        if (placed > 0 && job.hasZoneConstraint) return false
+        return job.credit.hasWaitedLong(context.now.wall) && headroomReleasesLeft-- > 0
     }
 
     private fun tasksLeftInQuota(job: OpenJob): Int {
@@ -157,7 +157,7 @@
     private fun recordUnplaced(job: OpenJob, count: Int, canBePressing: Boolean) {
         if (canBePressing) backlogCpuS += count * job.taskResources.cpus * job.spec.expectedS
         val pressing = canBePressing && order.mayMissObjective(job, backlogCpuS / maxOf(1.0, fleetCpus))
-        val zones = if (job.boundToZones) zonesAfter(job) else null
+        val zones = if (job.hasZoneConstraint) zonesAfter(job) else null
         unplaced.add(UnplacedTasks(job, count, pressing, zones))
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -117,7 +117,7 @@
     private val cheapestFirst =
         compareBy<Attempt>(
             { if (it.job.spec.checkpointS > 0) 0 else 1 },
-            { -it.placedAt },
+            { -it.placedAtMs },
             { it.machine.id },
             { it.index },
         )
@@ -150,7 +150,7 @@
 
     /** The free capacity that this round leaves on [machine], plus that of its tasks that are being stopped. */
     private fun freeCapacityAfterStops(machine: Machine): Resources {
-        var freeCapacity = machine.roundRoom
+        var freeCapacity = machine.roundFreeCapacity
         for (attempt in machine.attempts) {
             if (attempt.stopRequested && attempt.onMachine) freeCapacity += attempt.job.taskResources
         }
@@ -161,7 +161,7 @@
     private fun isPreemptible(attempt: Attempt): Boolean {
         if (!attempt.onMachine || attempt.stopRequested || attempt.fromCredit) return false
         if (attempt.job.spec.shape != Shape.ARRAY) return false
-        val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAt < RECENT_START_MS
+        val losesLittle = attempt.job.spec.checkpointS > 0 || context.steady - attempt.placedAtMs < RECENT_START_MS
         return losesLittle && !order.isWithinGuarantee(attempt.job)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -43,14 +43,14 @@
         val fairShareCpus = options.patienceShare * fleetCpus
         for (job in jobs.open) {
             if (!isStarving(job, maxPassedOverMs)) continue
-            job.credit.grant(fairShareCpus, job.credit.lastPlacedWall + maxPassedOverMs)
+            job.credit.grant(fairShareCpus, job.credit.lastPlacedWallMs + maxPassedOverMs)
         }
         creditCpusLeft = fairShareCpus - reconciler.creditCpus
     }
 
     private fun isStarving(job: OpenJob, maxPassedOverMs: Long): Boolean {
         if (!job.placeable || job.credit.cpus > 0 ||
-            context.now.wall - job.credit.lastPlacedWall < maxPassedOverMs
+            context.now.wall - job.credit.lastPlacedWallMs < maxPassedOverMs
         ) {
             return false
         }
--- a/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateResponsesTest.kt
@@ -13,11 +13,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Responses that a controller decided on before it stood still. */
+/**
+ * A process can be paused between the decision on a response and its sending. If the leader lease expires meanwhile,
+ * another controller may lead, so the response must not be sent.
+ */
 class LateResponsesTest {
-    /** A late response must not be a leader's when this is none any more. */
     @Test
-    fun `a response that a leader decided on before it stood still is not sent after its lease`() {
+    fun `a response that the leader decided before a pause becomes 503 after its lease has expired`() {
         val settings =
             PlatformSettingsParser.parse(
                 """{"label":"a","location":"z","client_listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
@@ -30,7 +32,7 @@
         val controller = Controller(settings, OperatorSettings(), 1, Now(0, 0))
         val pending = ArrayDeque(controller.step(Now(0, 0), Input.Tick))
         var revision = 1L
-        while (!controller.takesRequests(Now(0, 0)) || pending.isNotEmpty()) {
+        while (!controller.acceptsRequests(Now(0, 0)) || pending.isNotEmpty()) {
             val effect = pending.removeFirstOrNull() ?: break
             if (effect !is Effect.State) continue
             val reply =
@@ -46,13 +48,13 @@
         val effects = controller.step(Now(20, 20), Input.Heartbeat(7, heartbeat))
         val response = effects.filterIsInstance<Effect.Response>().single()
         assertEquals(200, response.status)
-        assertEquals(200, (controller.whenLate(Now(300, 300), response) as Effect.Response).status)
-        assertEquals(503, (controller.whenLate(Now(30_000, 30_000), response) as Effect.Response).status)
+        assertEquals(200, (controller.recheck(Now(300, 300), response) as Effect.Response).status)
+        assertEquals(503, (controller.recheck(Now(30_000, 30_000), response) as Effect.Response).status)
         val command = Effect.WorkerCommand(1, "127.0.0.1:9", 1, 1, emptyList())
         assertEquals(
             null,
-            controller.whenLate(Now(30_000, 30_000), command),
-            "a command of a leader that is none any more",
+            controller.recheck(Now(30_000, 30_000), command),
+            "a command is not sent after the leader lease has expired",
         )
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/placement/ReplicaMigrationTest.kt
@@ -65,7 +65,7 @@
 
     /** Sets the free capacity that a placement round finds on the machine. */
     private fun setFreeCpus(machine: Machine, cpus: Double) {
-        machine.roundRoom = Resources(cpus, 0.0, 64.0)
+        machine.roundFreeCapacity = Resources(cpus, 0.0, 64.0)
     }
 
     private fun addRunningAttempt(job: OpenJob, index: Int, machine: Machine): Attempt =
@@ -109,10 +109,10 @@
         old.availability.drain()
         assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
         assertEquals(listOf(true, false, false), replicas.map { it.stopRequested })
-        assertEquals(6.0, other.roundRoom.cpus)
+        assertEquals(6.0, other.roundFreeCapacity.cpus)
         setFreeCpus(other, 8.0)
         assertEquals(emptyList<Allocation>(), migration.allocateRestarts(listOf(other)), "the old attempt still runs")
-        assertEquals(6.0, other.roundRoom.cpus, "the capacity stays reserved in the next round")
+        assertEquals(6.0, other.roundFreeCapacity.cpus, "the capacity stays reserved in the next round")
         assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "a migration is in progress")
 
         replicas[0].exited(hasCompleted = false)
@@ -122,7 +122,7 @@
         setFreeCpus(other, 8.0)
         val started = migration.allocateRestarts(listOf(other)).single()
         assertEquals(listOf(other, listOf(0)), listOf(started.machine, started.tasks.toList()))
-        assertEquals(6.0, other.roundRoom.cpus)
+        assertEquals(6.0, other.roundFreeCapacity.cpus)
         assertEquals(emptyList<Machine>(), migration.plan(listOf(other)).stoppedOn, "the first is not running yet")
         addRunningAttempt(job, 0, other)
         assertEquals(listOf(old), migration.plan(listOf(other)).stoppedOn)
@@ -138,7 +138,7 @@
         recordSpotNotice(old, 10_000)
         migration.plan(listOf(other))
         assertTrue(replicas.all { it.stopRequested })
-        assertEquals(2.0, other.roundRoom.cpus)
+        assertEquals(2.0, other.roundFreeCapacity.cpus)
         resolveAttemptsOn(old)
         // Zone constraints count attempts on machines, so each start waits for the marker of the previous one.
         setFreeCpus(other, 8.0)
@@ -153,7 +153,7 @@
                 .tasks
                 .toList(),
         )
-        assertEquals(2.0, other.roundRoom.cpus, "capacity for this replica and for the last one")
+        assertEquals(2.0, other.roundFreeCapacity.cpus, "capacity for this replica and for the last one")
     }
 
     @Test
@@ -165,7 +165,7 @@
         addRunningAttempt(job, 0, old)
         old.availability.cordon()
         migration.plan(listOf(fuller, withImage))
-        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundRoom.cpus, withImage.roundRoom.cpus))
+        assertEquals(listOf(2.0, 2.0), listOf(fuller.roundFreeCapacity.cpus, withImage.roundFreeCapacity.cpus))
     }
 
     @Test
@@ -183,7 +183,7 @@
         assertEquals(emptyList<Machine>(), plan.stoppedOn, "the other zone already has two replicas")
         assertEquals(listOf(true, false), listOf(0, 1).map { plan.unplaced.single().admits(it) })
         assertEquals(listOf(old), migration.plan(listOf(otherZone, sameZone)).stoppedOn)
-        assertEquals(0.0, sameZone.roundRoom.cpus)
+        assertEquals(0.0, sameZone.roundFreeCapacity.cpus)
     }
 
     @Test
@@ -230,7 +230,7 @@
         )
         assertEquals(
             0,
-            countRestartsAfter { _, target -> target.roundRoom = Resources(1.0, 0.0, 64.0) },
+            countRestartsAfter { _, target -> target.roundFreeCapacity = Resources(1.0, 0.0, 64.0) },
             "the target has too little free capacity",
         )
         assertEquals(
