--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -12,10 +12,10 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns what heartbeats tell about each machine: its state, and its worker's epoch and lease. The attempts on a machine
- * are all confirmed absent at once when its lease has certainly expired, its epoch has ended, or its deletion is
- * confirmed, never earlier. [CloudInventory] reads the cloud's lists, [ScaleOut] and [ScaleIn] scale the fleet. Called
- * by the controller; other modules read the machines here.
+ * Owns what heartbeats tell about each machine: its state, and its worker's epoch and lease. A machine that sends no
+ * heartbeats may still run its attempts: they are confirmed absent only when its lease has certainly expired, its epoch
+ * has ended, or its deletion is confirmed. [CloudInventory] reads the cloud's lists, [ScaleOut] and [ScaleIn] scale the
+ * fleet. Called by the controller; other modules read the machines here.
  */
 class Fleet(
     private val context: CoreContext,
