--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
@@ -93,8 +93,14 @@
     private fun bootingMachines(): MutableList<ExpectedMachine> =
         table.all
             .filter { it.state == Machine.State.BOOTING && it.isTypeKnown && !it.cloud.failed && !isOverdue(it) }
-            .map { ExpectedMachine(it.type, it.zone, it.spot, table.types.getOrNull(it.type)?.room ?: Machine.NO_RESOURCES) }
-            .toMutableList()
+            .map {
+                ExpectedMachine(
+                    it.type,
+                    it.zone,
+                    it.spot,
+                    table.types.getOrNull(it.type)?.room ?: Machine.NO_RESOURCES,
+                )
+            }.toMutableList()
 
     /** Whether a machine has booted for twice its type's boot time, so that it may never come up. */
     private fun isOverdue(machine: Machine): Boolean =
--- a/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/ScaleOut.kt
@@ -93,7 +93,9 @@
                 mayScaleOutMore = true
             }
             is CloudReply.Rejected -> {
-                context.warn("the cloud rejected rental ${rental.request.request}: ${reply.reason}; backing off its offer")
+                context.warn(
+                    "the cloud rejected rental ${rental.request.requestName}: ${reply.reason}; backing off its offer",
+                )
                 pending = null
                 backoff.onUnavailable(rental.offer, context.steady)
             }
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -12,8 +12,8 @@
 /**
  * Chooses machines for the tasks of one job (bin packing): best fit among a sample of the machines that fit, or among
  * all of them if the sample has too little free capacity. The tasks of a job have the same resource demand, so each
- * machine gets as many as fit. What it allocates is subtracted from [Machine.roundFreeCapacity]. Called by [PlacementRound] and
- * [Preemption].
+ * machine gets as many as fit. What it allocates is subtracted from [Machine.roundFreeCapacity]. Called by
+ * [PlacementRound] and [Preemption].
  */
 class MachineSelector(
     private val context: CoreContext,
--- a/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/PlacementRound.kt
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Whether the job may use the headroom for services because it has waited long, see [FairShareCredit.hasWaitedLong]. If
-     * so, this uses up one of the round's [MAX_HEADROOM_RELEASES].
+     * Whether the job may use the headroom for services because it has waited long, see
+     * [FairShareCredit.hasWaitedLong]. If so, this uses up one of the round's [MAX_HEADROOM_RELEASES].
      */
     private fun trySpendHeadroomRelease(job: OpenJob, placed: Int): Boolean {
         if (!serviceHeadroomReserved || job.service) return false
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaPlacement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaPlacement.kt
@@ -60,7 +60,8 @@
     private fun reserve(serviceClass: ServiceClass, count: Int, machines: List<Machine>) {
         var left = count
         // A replica that starts where its image is cached does not wait for a fetch.
-        val cachedImagesFirst = compareBy<Machine>({ -serviceClass.countCachedImages(it) }, { it.roundFreeCapacity.cpus })
+        val cachedImagesFirst =
+            compareBy<Machine>({ -serviceClass.countCachedImages(it) }, { it.roundFreeCapacity.cpus })
         for (machine in machines.sortedWith(cachedImagesFirst)) {
             if (left == 0) break
             if (machine.spot && !serviceClass.spotAllowed) continue
