--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -114,12 +114,12 @@
     val gauges: ControllerGauges
         get() =
             ControllerGauges(
-                leading = leadership.mayActAsLeader(),
+                isLeading = leadership.mayActAsLeader(),
                 fencingToken = leadership.fencingToken,
                 openJobs = modules.jobs.open.size,
-                jobs = modules.jobs.size,
+                knownJobs = modules.jobs.size,
                 machines = modules.fleet.machines.size,
-                versions = modules.versions.all,
+                versions = modules.versions.byLabel,
                 replicas = modules.jobReport.replicas(),
                 dropped = context.dropped.counts(),
             )
--- a/src/main/kotlin/org/chalkhollow/core/operations/ControllerGauges.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/ControllerGauges.kt
@@ -5,11 +5,11 @@
 /** Numbers for gauges, and which version each controller runs as far as known. */
 data class ControllerGauges(
     /** Whether this controller is entitled to act as the leader. */
-    val leading: Boolean,
+    val isLeading: Boolean,
     val fencingToken: Long,
     val openJobs: Int,
     /** Jobs that this controller knows, open or over. */
-    val jobs: Int,
+    val knownJobs: Int,
     val machines: Int,
     /** By the controller's label; null while the version of a peer is unknown. */
     val versions: Map<String, Int?> = emptyMap(),
--- a/src/main/kotlin/org/chalkhollow/core/operations/ControllerVersions.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/ControllerVersions.kt
@@ -16,10 +16,10 @@
     }
 
     /** By label, this controller's first; null is not known. */
-    val all: Map<String, Int?> get() =
+    val byLabel: Map<String, Int?> get() =
         mapOf<String, Int?>(label to PeerMessage.VERSION) +
             peers.indices.associate { peers[it] to known[it] }
 
     /** Whether every controller is known to run this version or a newer one. */
-    val allNew: Boolean get() = known.all { it != null && it >= PeerMessage.VERSION }
+    val allUpToDate: Boolean get() = known.all { it != null && it >= PeerMessage.VERSION }
 }
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -33,7 +33,7 @@
             fencingToken = leadership.fencingToken,
             ready = false,
             controllers = controllers(),
-            allNew = versions.allNew,
+            allNew = versions.allUpToDate,
         )
 
     private fun leaderStatus() =
@@ -51,7 +51,7 @@
         if (leads) label else leadership.reachableLeader().takeIf { it >= 0 }?.let(peers::get)
 
     private fun controllers(): List<ControllerView> =
-        versions.all.map { (controller, version) -> ControllerView(controller, version) }
+        versions.byLabel.map { (controller, version) -> ControllerView(controller, version) }
 
     private fun teams(): List<TeamView> =
         teams.mapIndexed { index, team ->
--- a/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -116,7 +116,7 @@
         delay(WARM_UP_AFTER_MS)
         while (steps < WARM_UP_STEPS) {
             delay(WARM_UP_EVERY_MS)
-            if (controller.gauges.leading || !controller.acceptsRequests(SteadyClock.now())) continue
+            if (controller.gauges.isLeading || !controller.acceptsRequests(SteadyClock.now())) continue
             warmUp.step()
             steps++
         }
--- a/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
@@ -65,10 +65,10 @@
         }
 
     private fun StringBuilder.appendGauges(gauges: ControllerGauges) {
-        appendLine("chalkhollow_leading ${if (gauges.leading) 1 else 0}")
+        appendLine("chalkhollow_leading ${if (gauges.isLeading) 1 else 0}")
         appendLine("chalkhollow_generation ${gauges.fencingToken}")
         appendLine("chalkhollow_jobs_open ${gauges.openJobs}")
-        appendLine("chalkhollow_jobs_known ${gauges.jobs}")
+        appendLine("chalkhollow_jobs_known ${gauges.knownJobs}")
         appendLine("chalkhollow_machines ${gauges.machines}")
         appendLine("chalkhollow_replicas_wanted ${gauges.replicas.wanted}")
         appendLine("chalkhollow_replicas_up ${gauges.replicas.up}")
--- a/src/test/kotlin/org/chalkhollow/core/operations/ControllerVersionsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/operations/ControllerVersionsTest.kt
@@ -11,14 +11,14 @@
     @Test
     fun `an upgrade is over once every peer has told a version as new as ours`() {
         val versions = ControllerVersions("a", listOf("b", "c"))
-        assertFalse(versions.allNew)
+        assertFalse(versions.allUpToDate)
         versions.onHello(0, PeerMessage.Hello("b", 1, PeerMessage.VERSION))
         versions.onHello(1, PeerMessage.Hello("c", 1))
-        assertFalse(versions.allNew)
-        assertEquals(mapOf("a" to PeerMessage.VERSION, "b" to PeerMessage.VERSION, "c" to 0), versions.all)
+        assertFalse(versions.allUpToDate)
+        assertEquals(mapOf("a" to PeerMessage.VERSION, "b" to PeerMessage.VERSION, "c" to 0), versions.byLabel)
         versions.onHello(1, PeerMessage.Hello("c", 2, PeerMessage.VERSION + 1))
-        assertTrue(versions.allNew)
+        assertTrue(versions.allUpToDate)
         versions.onHello(0, PeerMessage.Hello("b", 3))
-        assertFalse(versions.allNew)
+        assertFalse(versions.allUpToDate)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/requests/UndecidedRequestsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/NonLeaderRejectionTest.kt
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test
 
 /** A leader that has not read everything, or is none any more, does not know what was never accepted. */
-class UndecidedRequestsTest {
+class NonLeaderRejectionTest {
     private val bad = submission(malformed("j-000001").first())
     private val requests =
         listOf(
