--- a/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/FleetReport.kt
@@ -4,12 +4,12 @@
 import org.chalkhollow.core.cluster.Machine
 import org.chalkhollow.core.fleet.Fleet
 
-/** What the status report shows of machines. Owns nothing; called by [StatusReport]. */
+/** Builds the part of the status report on machines. Stateless; called by [StatusReport]. */
 internal class FleetReport(private val fleet: Fleet, private val names: Interners) {
-    /** Machines that are alike to an operator. */
-    private data class Group(val type: String, val zone: String, val spot: Boolean, val state: String)
+    /** Machines that the report counts together. */
+    private data class MachineGroup(val type: String, val zone: String, val spot: Boolean, val state: String)
 
-    /** How many machines there are of each group; those of which nothing is known but a name are left out. */
+    /** The number of machines in each group. Machines of which only the name is known are omitted. */
     fun machines(): List<MachineView> =
         fleet.machines
             .filter { it.type >= 0 }
@@ -19,7 +19,7 @@
             .sortedBy { it.toString() }
 
     private fun group(machine: Machine) =
-        Group(names.types.name(machine.type), names.zones.name(machine.zone), machine.spot, state(machine))
+        MachineGroup(names.types.name(machine.type), names.zones.name(machine.zone), machine.spot, state(machine))
 
     private fun state(machine: Machine): String =
         when {
--- a/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/JobReport.kt
@@ -6,7 +6,7 @@
 import org.chalkhollow.core.jobs.JobTable
 import org.chalkhollow.model.JobState
 
-/** What the status report shows of jobs and services. Owns nothing; called by [StatusReport] and for gauges. */
+/** Builds the part of the status report on jobs and services. Stateless; called by [StatusReport] and for gauges. */
 internal class JobReport(
     private val context: CoreContext,
     private val jobs: JobTable,
@@ -33,25 +33,27 @@
 
     /** The services by class, in the order of the classes' names. */
     fun services(): List<ServiceView> =
-        wantedServices().groupBy { it.spec.workload }.toSortedMap().map { (name, services) -> view(name, services) }
+        wantedServices().groupBy { it.spec.workload }.toSortedMap().map { (name, services) ->
+            serviceView(name, services)
+        }
 
     private fun wantedServices(): List<OpenJob> = jobs.open.filter { it.service && !it.cancelling }
 
-    private fun view(name: String, services: List<OpenJob>): ServiceView {
-        val lacking = services.filter { it.tasks.running < it.spec.tasks }.sortedBy { it.acceptedWallMs }
+    private fun serviceView(name: String, services: List<OpenJob>): ServiceView {
+        val underReplicated = services.filter { it.tasks.running < it.spec.tasks }.sortedBy { it.acceptedWallMs }
         return ServiceView(
             name = name,
             services = services.size,
             wanted = services.sumOf { it.spec.tasks },
             up = services.sumOf { it.tasks.running },
-            down = lacking.take(MAX_EXPLAINED).map { "${it.spec.id}: ${whyDown(it)}" },
+            down = underReplicated.take(MAX_EXPLAINED_SERVICES).map { "${it.spec.id}: ${whyDown(it)}" },
         )
     }
 
     private fun whyDown(service: OpenJob): String {
-        val inDoubt = service.tasks.liveCount - service.tasks.running
-        val doubt = "$inDoubt begin, or are not yet proved gone where they were".takeIf { inDoubt > 0 }
-        return (waitReasons.of(service) + listOfNotNull(doubt)).joinToString("; ")
+        val unconfirmed = service.tasks.liveCount - service.tasks.running
+        val reason = "$unconfirmed begin, or are not yet proved gone where they were".takeIf { unconfirmed > 0 }
+        return (waitReasons.of(service) + listOfNotNull(reason)).joinToString("; ")
     }
 
     /** Replicas of all services. */
@@ -67,14 +69,14 @@
         return ReplicaCounts(wanted, up)
     }
 
-    /** One job, or null when this controller does not know it. */
+    /** The status of one job; null if this controller does not know the job. */
     fun job(id: String): JobView? {
         val entry = jobs.find(id) ?: return null
         val state = entry.state?.name?.lowercase() ?: "being accepted"
-        return entry.open?.let { openJob(id, state, it) } ?: closedJob(id, state, entry)
+        return entry.open?.let { openJobView(id, state, it) } ?: closedJobView(id, state, entry)
     }
 
-    private fun openJob(id: String, state: String, job: OpenJob) =
+    private fun openJobView(id: String, state: String, job: OpenJob) =
         JobView(
             id = id,
             state = state,
@@ -85,7 +87,7 @@
             waitsFor = waitReasons.of(job),
         )
 
-    private fun closedJob(id: String, state: String, entry: JobEntry) =
+    private fun closedJobView(id: String, state: String, entry: JobEntry) =
         JobView(
             id = id,
             state = state,
@@ -97,7 +99,7 @@
         )
 
     private companion object {
-        /** So many services of a class that lack replicas are explained. */
-        const val MAX_EXPLAINED = 3
+        /** Of each class, only this many services that lack replicas are listed with their reasons. */
+        const val MAX_EXPLAINED_SERVICES = 3
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusReport.kt
@@ -5,8 +5,8 @@
 import org.chalkhollow.model.Team
 
 /**
- * What operators see of one controller and, on the leader, of the cluster. Owns nothing: it puts together what the
- * other modules know. Called by the controller for the `status` command.
+ * Builds the status that operators see: of this controller and, on the leader, of the cluster. Stateless. Called by the
+ * controller for the `status` command.
  */
 internal class StatusReport(
     private val label: String,
@@ -18,14 +18,14 @@
     private val jobReport: JobReport,
     private val fleetReport: FleetReport,
 ) {
-    /** [loaded] tells whether this controller has loaded the stored records as the leader. */
-    fun status(loaded: Boolean): StatusView {
+    /** The status; [recordsLoaded] says whether this controller has loaded the stored records as the leader. */
+    fun status(recordsLoaded: Boolean): StatusView {
         val leads = leadership.mayActAsLeader()
-        return if (leads && loaded) leaderStatus() else ownStatus(leads)
+        return if (leads && recordsLoaded) leaderStatus() else controllerStatus(leads)
     }
 
-    /** What every controller knows of itself and its peers. */
-    private fun ownStatus(leads: Boolean) =
+    /** What every controller knows about itself and its peers. */
+    private fun controllerStatus(leads: Boolean) =
         StatusView(
             label = label,
             leads = leads,
@@ -37,7 +37,7 @@
         )
 
     private fun leaderStatus() =
-        ownStatus(leads = true).copy(
+        controllerStatus(leads = true).copy(
             ready = true,
             jobsKnown = jobReport.knownJobs,
             jobsOpen = jobReport.openJobs,
--- a/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/StatusView.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The status of one controller, for operators; only the leader knows of jobs, machines and teams. */
+/** The status of one controller for operators; only the leader's contains jobs, machines, teams and services. */
 @Serializable
 data class StatusView(
     val label: String,
@@ -17,16 +17,16 @@
     val teams: List<TeamView> = emptyList(),
     val machines: List<MachineView> = emptyList(),
     val controllers: List<ControllerView> = emptyList(),
-    /** Whether every controller is known to run this one's version or a newer one, so that no upgrade is under way. */
+    /** Whether every controller is known to run this version or a newer one, so that no upgrade is in progress. */
     val allNew: Boolean = false,
     val services: List<ServiceView> = emptyList(),
 )
 
-/** The services of one class: replicas wanted and up, and for the first few that lack some, what they wait for. */
+/** The services of one class: replicas wanted and up, and for a few services that lack replicas, the reasons. */
 @Serializable
 data class ServiceView(val name: String, val services: Int, val wanted: Int, val up: Int, val down: List<String>)
 
-/** The version that one controller runs; null while it is unknown here. */
+/** The version that one controller runs; null while unknown. */
 @Serializable
 data class ControllerView(val label: String, val version: Int?)
 
@@ -38,11 +38,11 @@
 @Serializable
 data class TeamView(val name: String, val cpus: Double, val guaranteed: Double, val most: Double)
 
-/** How many machines of one type, zone and kind are in one state. */
+/** The number of machines of one type, zone and kind that are in one state. */
 @Serializable
 data class MachineView(val type: String, val zone: String, val spot: Boolean, val state: String, val count: Int)
 
-/** One open job, and why tasks of it wait. */
+/** One job, and why its ready tasks are not placed. */
 @Serializable
 data class JobView(
     val id: String,
--- a/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
+++ b/src/main/kotlin/org/chalkhollow/core/operations/WaitReasons.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.core.placement.Placement
 import org.chalkhollow.core.storage.StateWriter
 
-/** Explains to operators why tasks of a job wait. Owns nothing; called by [JobReport]. */
+/** Explains to operators why tasks of a job are pending. Stateless; called by [JobReport]. */
 internal class WaitReasons(
     private val context: CoreContext,
     private val writer: StateWriter,
@@ -16,7 +16,7 @@
     private val fleet: Fleet,
     private val placement: Placement,
 ) {
-    /** Why ready tasks of [job] are not placed now; empty when it has none. */
+    /** The reasons why ready tasks of [job] are not placed now; empty if it has no ready tasks. */
     fun of(job: OpenJob): List<String> {
         if (job.tasks.noneReady) return emptyList()
         val reasons =
@@ -24,20 +24,21 @@
                 "the state service takes no writes, and nothing starts without a marker".takeIf { writer.isStalled() },
                 "it is being cancelled".takeIf { job.cancelling },
                 backoff(job),
-                "its team is at its limit".takeIf { atLimit(job) },
-                lackOfMachines(job),
+                "its team is at its limit".takeIf { isTeamAtLimit(job) },
+                machineShortage(job),
             )
         return reasons.ifEmpty { listOf("other work goes first") }
     }
 
     private fun backoff(job: OpenJob): String? {
-        val leftMs = job.backoff.notBeforeMs - context.steady
-        return if (leftMs > 0) "its tasks fail; tried again in ${leftMs / MS_IN_S} s" else null
+        val remainingMs = job.backoff.notBeforeMs - context.steady
+        return if (remainingMs > 0) "its tasks fail; tried again in ${remainingMs / MS_IN_S} s" else null
     }
 
-    private fun atLimit(job: OpenJob): Boolean = quotas.headroom(job.team, job.taskResources, Machine.NO_RESOURCES) <= 0
+    private fun isTeamAtLimit(job: OpenJob): Boolean =
+        quotas.headroom(job.team, job.taskResources, Machine.NO_RESOURCES) <= 0
 
-    private fun lackOfMachines(job: OpenJob): String? {
+    private fun machineShortage(job: OpenJob): String? {
         val usable = fleet.placeable().filter { placement.mayUse(job, it) }
         return when {
             usable.isEmpty() -> "no machine that it may use is up"
@@ -48,5 +49,5 @@
     }
 }
 
-/** Whole seconds are shown to operators. */
+/** An integer, because the status shows whole seconds. */
 internal const val MS_IN_S = 1000L
--- a/src/main/kotlin/org/chalkhollow/core/requests/ForwardedKind.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/ForwardedKind.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.core.requests
 
-/** The kinds of requests that controllers forward to the leader, with their numbers in peer messages. */
+/** The kinds of requests that followers forward to the leader, with their numbers in peer messages. */
 internal enum class ForwardedKind(val wireNumber: Int) {
     SUBMIT(wireNumber = 1),
     QUERY(wireNumber = 2),
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -18,9 +18,9 @@
 import org.chalkhollow.wire.UserCodec
 
 /**
- * Serves users' requests on the leader. Submissions and cancellations are idempotent, and a response states only what
- * is durable. Owns the callers who wait for that. Called by [RequestHandler] while the leader is entitled and has
- * loaded the stored records.
+ * Handles users' requests on the leader. Submissions and cancellations are idempotent. A response states only what is
+ * durable; this class owns the callers that wait for a write to become durable. Called by [RequestHandler] while this
+ * controller may act as the leader and has loaded the stored records.
  */
 internal class JobRequests(
     context: CoreContext,
@@ -32,17 +32,20 @@
     private val fleet: Fleet,
     private val names: Interners,
 ) {
-    private val accepting = WaitingCallers(context, responder)
-    private val cancelling = WaitingCallers(context, responder)
+    /** Submissions of jobs whose record is being written. */
+    private val awaitingAcceptance = WaitingCallers(context, responder)
+
+    /** Cancellations of jobs whose cancellation is being written. */
+    private val awaitingCancellation = WaitingCallers(context, responder)
 
     /** Cancellations of jobs whose completion is being written. */
-    private val completing = WaitingCallers(context, responder)
-    private val allWaiting = listOf(accepting, cancelling, completing)
+    private val awaitingCompletion = WaitingCallers(context, responder)
+    private val allWaiting = listOf(awaitingAcceptance, awaitingCancellation, awaitingCompletion)
 
     fun serve(call: Int, request: UserRequest) =
         when (request) {
             is UserRequest.Submit -> submit(call, request.spec)
-            is UserRequest.Invalid -> refuseInvalid(call, request.jobId)
+            is UserRequest.Invalid -> rejectInvalid(call, request.jobId)
             is UserRequest.Query -> query(call, request.jobId)
             is UserRequest.Cancel -> cancel(call, request.jobId)
         }
@@ -51,39 +54,41 @@
         val known = jobs.find(spec.id)
         when {
             known?.state != null -> respondStatus(call, spec.id, status(known))
-            spec.id in accepting -> accepting.add(spec.id, call)
+            spec.id in awaitingAcceptance -> awaitingAcceptance.add(spec.id, call)
             !fleet.isCatalogKnown -> responder.respondUnavailable(call)
             !canEverRun(spec) -> responder.respond(call, HttpStatus.UNPROCESSABLE)
             !jobs.recordFits(spec) -> responder.respond(call, HttpStatus.BAD_REQUEST)
-            writer.isStalled() || accepting.size >= MAX_ACCEPTING -> responder.respondUnavailable(call)
+            writer.isStalled() || awaitingAcceptance.size >= MAX_PENDING_ACCEPTANCES ->
+                responder.respondUnavailable(call)
             else -> accept(call, spec)
         }
     }
 
     private fun accept(call: Int, spec: JobSpec) {
-        accepting.add(spec.id, call)
-        val onRefused = { accepting.remove(spec.id).forEach(responder::respondUnavailable) }
-        jobs.accept(spec, onRefused) {
+        awaitingAcceptance.add(spec.id, call)
+        val onRejected = { awaitingAcceptance.remove(spec.id).forEach(responder::respondUnavailable) }
+        jobs.accept(spec, onRejected) {
             val body = UserCodec.status(spec.id, QUEUED)
-            accepting.remove(spec.id).forEachIndexed { index, waitingCall ->
+            awaitingAcceptance.remove(spec.id).forEachIndexed { index, waitingCall ->
                 responder.respond(waitingCall, if (index == 0) HttpStatus.CREATED else HttpStatus.OK, body)
             }
         }
     }
 
-    /**
-     * A user gets 400 only for a job that was not accepted: a repetition gets the job's status, however it reads.
-     */
-    private fun refuseInvalid(call: Int, jobId: String) {
+    /** Responds with 400 only if the job was not accepted; a malformed repetition gets the status of the job. */
+    private fun rejectInvalid(call: Int, jobId: String) {
         val known = jobs.find(jobId)
         when {
             known?.state != null -> respondStatus(call, jobId, status(known))
-            jobId in accepting -> responder.respondUnavailable(call)
+            jobId in awaitingAcceptance -> responder.respondUnavailable(call)
             else -> responder.respond(call, HttpStatus.BAD_REQUEST)
         }
     }
 
-    /** Whether the team exists, and its limit and some allowed machine type admit at least one task. */
+    /**
+     * Whether the team exists, its limit allows one task of an array or all tasks of another job at once, and some
+     * allowed machine type has the capacity for one task.
+     */
     private fun canEverRun(spec: JobSpec): Boolean {
         val team = names.teams.find(spec.team)
         if (team < 0) return false
@@ -114,24 +119,25 @@
             entry.state == JobState.DONE -> respondStatus(call, jobId, DONE)
             entry.state == JobState.CANCELLED -> respondStatus(call, jobId, CANCELLED)
             writer.isStalled() || job == null -> responder.respondUnavailable(call)
-            job.cancelling -> cancelling.add(jobId, call)
-            job.complete -> completing.add(jobId, call)
-            else -> startCancelling(call, job)
+            job.cancelling -> awaitingCancellation.add(jobId, call)
+            job.complete -> awaitingCompletion.add(jobId, call)
+            else -> startCancellation(call, job)
         }
     }
 
-    private fun startCancelling(call: Int, job: OpenJob) {
+    private fun startCancellation(call: Int, job: OpenJob) {
         val jobId = job.spec.id
-        cancelling.add(jobId, call)
-        cancellation.cancel(job) { cancelling.remove(jobId).forEach { respondStatus(it, jobId, CANCELLED) } }
+        awaitingCancellation.add(jobId, call)
+        cancellation.cancel(job) { awaitingCancellation.remove(jobId).forEach { respondStatus(it, jobId, CANCELLED) } }
     }
 
-    /** The completion of [job] is durable. */
-    fun onJobDone(job: OpenJob) = completing.remove(job.spec.id).forEach { respondStatus(it, job.spec.id, DONE) }
+    /** The completion of [job] is durable: responds to the cancellations that waited for it. */
+    fun onJobDone(job: OpenJob) =
+        awaitingCompletion.remove(job.spec.id).forEach { respondStatus(it, job.spec.id, DONE) }
 
-    /** The job is not stored as far as we know; while its write is under way that is not certain. */
+    /** Responds with 404, or with 503 while the job's record is being written, since it may already be stored. */
     private fun respondUnknown(call: Int, jobId: String) {
-        if (jobId in accepting) return responder.respondUnavailable(call)
+        if (jobId in awaitingAcceptance) return responder.respondUnavailable(call)
         responder.respond(call, HttpStatus.NOT_FOUND)
     }
 
@@ -146,8 +152,8 @@
         }
 
     /**
-     * Responds to callers whose write takes too long, and to all when the state service does not take writes: they get
-     * 503 now, though what is under way may still be applied.
+     * Responds with 503 to callers whose write takes too long, and to all callers while the state service accepts no
+     * writes. Pending writes may still be applied.
      */
     fun expire() {
         for (waiting in allWaiting) {
@@ -155,13 +161,16 @@
         }
     }
 
-    /** No longer leading: the next leader knows what became of the writes that are under way. */
+    /**
+     * This controller no longer leads: responds with 503 to all callers. The next leader knows which of the pending
+     * writes were applied.
+     */
     fun close() = allWaiting.forEach(WaitingCallers::clear)
 
     private companion object {
-        /** Users wait 5 s for a response. */
+        /** Less than the 5 s that users wait for a response. */
         const val TIMEOUT_MS = 4000L
-        const val MAX_ACCEPTING = 1000
+        const val MAX_PENDING_ACCEPTANCES = 1000
 
         // The states of a job in the users' protocol.
         const val QUEUED = "queued"
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestForwarder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestForwarder.kt
@@ -9,27 +9,27 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Forwards users' requests from a follower to the leader. Owns which forwarded requests have no response yet; each is
- * responded to once, by the leader's response or with 503 when that does not come in time. Called by [RequestHandler].
+ * Forwards users' requests from a follower to the leader. Owns the forwarded requests that have no response yet. Each
+ * gets one response: the leader's, or 503 after a time-out. Called by [RequestHandler].
  */
 internal class RequestForwarder(
     private val context: CoreContext,
     private val leadership: Leadership,
     private val responder: Responder,
 ) {
-    private class Forwarded(val call: Int, val deadline: Long)
+    private class Forwarded(val call: Int, val deadlineMs: Long)
 
-    /** By their numbers, the oldest first. */
+    /** By sequence number, the oldest first. */
     private val pending = Long2ObjectLinkedOpenHashMap<Forwarded>()
 
-    // Not from 1: a response to an earlier incarnation of this controller must not be taken for one to this.
+    // Random, so that a response to an earlier incarnation of this controller is not taken for one to this incarnation.
     private val firstSeq = context.random.nextLong(FIRST_SEQ_BOUND)
     private var nextSeq = firstSeq
 
-    /** Forwards [request]; responds with 503 when no leader can take it. */
+    /** Forwards [request]; responds with 503 if no ready leader is reachable or too many responses are pending. */
     fun forward(call: Int, request: UserRequest) {
         val leader = leadership.reachableLeader()
-        if (leader < 0 || !leadership.leaderIsReady() || pending.size >= MAX_PENDING) {
+        if (leader < 0 || !leadership.leaderIsReady() || pending.size >= MAX_PENDING_REQUESTS) {
             return responder.respondUnavailable(call)
         }
         val seq = nextSeq++
@@ -55,16 +55,18 @@
     }
 
     private fun countDropped(response: PeerMessage.ForwardedResponse) {
-        val ours = response.seq in firstSeq until nextSeq
-        context.dropped.count(if (ours) DroppedInput.MESSAGE_LATE else DroppedInput.MESSAGE_OTHER_INCARNATION)
+        val isOfThisIncarnation = response.seq in firstSeq until nextSeq
+        context.dropped.count(
+            if (isOfThisIncarnation) DroppedInput.MESSAGE_LATE else DroppedInput.MESSAGE_OTHER_INCARNATION,
+        )
     }
 
-    /** Responds to requests whose response has not come in time. */
+    /** Responds with 503 to requests that got no response from the leader in time. */
     fun expire() {
         while (!pending.isEmpty()) {
             val seq = pending.firstLongKey()
             val oldest = pending.get(seq)
-            if (oldest.deadline > context.steady) return
+            if (oldest.deadlineMs > context.steady) return
             pending.remove(seq)
             responder.respondUnavailable(oldest.call)
         }
@@ -72,7 +74,7 @@
 
     private companion object {
         const val TIMEOUT_MS = 1500L
-        const val MAX_PENDING = 500
+        const val MAX_PENDING_REQUESTS = 500
         const val FIRST_SEQ_BOUND = 1L shl 61
         val EMPTY_BODY = ByteArray(0)
     }
--- a/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/RequestHandler.kt
@@ -14,9 +14,9 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Takes users' requests: the leader serves them from what is durable, others forward them to it. A request that cannot
- * be served now is responded to at once with 503 and when to repeat it. Called by the controller with every request,
- * forwarded request and response to one, and at every tick.
+ * Receives users' requests. The leader handles them, other controllers forward them to the leader. A request that
+ * cannot be handled now gets 503 at once, with the time after which to retry. Called by the controller with each user
+ * request, forwarded request and response to a forwarded request, and at every tick.
  */
 internal class RequestHandler(
     context: CoreContext,
@@ -32,16 +32,16 @@
     private val forwarder = RequestForwarder(context, leadership, responder)
     private val jobRequests = JobRequests(context, responder, writer, jobs, cancellation, quotas, fleet, names)
 
-    /** Whether the stored records are loaded; before that the leader does not know what was accepted. */
+    /** Whether the stored records are loaded; before that the leader does not know which jobs were accepted. */
     private var isOpen = false
 
-    /** A user's request came to this controller. */
+    /** A user sent [request] to this controller. */
     fun onRequest(call: Int, request: UserRequest) {
         if (!leadership.mayActAsLeader()) return forwarder.forward(call, request)
         serve(call, request)
     }
 
-    /** A user's request came to the controller [from], which takes this one for the leader. */
+    /** The peer [from] received a user's request and forwarded it, because it considers this controller the leader. */
     fun onForwardedRequest(from: Int, message: PeerMessage.ForwardedRequest) {
         val call = responder.registerForwarded(from, message.seq)
         val request =
@@ -50,13 +50,13 @@
                     UserRequest.ofSubmission(message.body) ?: return responder.respond(call, HttpStatus.BAD_REQUEST)
                 ForwardedKind.QUERY -> UserRequest.Query(message.jobId)
                 ForwardedKind.CANCEL -> UserRequest.Cancel(message.jobId)
-                // From a newer version: it must not be taken for anything else.
+                // A kind of a newer version, which must not be handled as another kind.
                 null -> return responder.respondUnavailable(call)
             }
         serve(call, request)
     }
 
-    /** The leader responds to a request that this controller forwarded. */
+    /** The leader responded to a request that this controller forwarded. */
     fun onForwardedResponse(message: PeerMessage.ForwardedResponse) = forwarder.onResponse(message)
 
     private fun serve(call: Int, request: UserRequest) {
@@ -70,7 +70,7 @@
     /** The completion of [job] is durable. */
     fun onJobDone(job: OpenJob) = jobRequests.onJobDone(job)
 
-    /** Responds to callers who have waited for too long. */
+    /** Responds with 503 to callers that have waited for too long. */
     fun tick() {
         forwarder.expire()
         jobRequests.expire()
@@ -81,7 +81,7 @@
         isOpen = true
     }
 
-    /** This controller leads no more. */
+    /** This controller no longer leads. */
     fun close() {
         isOpen = false
         jobRequests.close()
--- a/src/main/kotlin/org/chalkhollow/core/requests/Responder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/Responder.kt
@@ -9,18 +9,18 @@
 import org.chalkhollow.wire.Pack
 
 /**
- * Responds to requests, whether they came here or were forwarded by another controller. Owns where forwarded requests
- * came from: each has a negative call number, those that came here have the runtime's, which are not negative. Called
- * by the other classes of this package.
+ * Responds to requests, both those that users sent to this controller and those that a peer forwarded. Owns the origins
+ * of forwarded requests. A forwarded request gets a negative call number here; the runtime's call numbers are not
+ * negative. Called by the other classes of this package.
  */
 internal class Responder(private val context: CoreContext) {
-    /** The controller that forwarded a request, and its number for it. */
+    /** The peer that forwarded a request, and the sequence number that the peer gave it. */
     private class Origin(val peer: Int, val seq: Long)
 
     private val origins = Int2ObjectOpenHashMap<Origin>()
     private var nextForwardedCall = FIRST_FORWARDED_CALL
 
-    /** The call number of the request that [peer] forwarded as its number [seq]. */
+    /** Returns a new call number for the request that [peer] forwarded with its sequence number [seq]. */
     fun registerForwarded(peer: Int, seq: Long): Int {
         val call = nextForwardedCall--
         if (nextForwardedCall < LAST_FORWARDED_CALL) nextForwardedCall = FIRST_FORWARDED_CALL
@@ -35,14 +35,14 @@
         context.emit(Effect.Send(origin.peer, PeerMessage.ForwardedResponse(origin.seq, status, bytes, retryAfterS)))
     }
 
-    /** Nothing was decided; the user may repeat the request. */
+    /** Responds that nothing was decided and that the user may retry. */
     fun respondUnavailable(call: Int) =
         respond(call, HttpStatus.UNAVAILABLE, body = null, retryAfterS = UserRequest.RETRY_AFTER_S)
 
     private companion object {
         const val FIRST_FORWARDED_CALL = -1
 
-        /** Numbers are used again from here on; no request waits for nearly as long. */
+        /** After this number the numbering restarts; by then, requests with the first numbers have their response. */
         const val LAST_FORWARDED_CALL = -1_000_000_000
         val EMPTY_BODY = ByteArray(0)
     }
--- a/src/main/kotlin/org/chalkhollow/core/requests/WaitingCallers.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/WaitingCallers.kt
@@ -3,11 +3,11 @@
 import org.chalkhollow.core.common.CoreContext
 
 /**
- * Owns the calls that wait for one kind of durable write, by the job's id. A job stays in here until its write is over,
- * even when all of its callers have been responded to: what is under way may still be applied. Called by [JobRequests].
+ * Owns the callers that wait for one kind of write to become durable, by job id. A job stays here until its write ends,
+ * even after all of its callers got a response, because the write may still be applied. Called by [JobRequests].
  */
 internal class WaitingCallers(private val context: CoreContext, private val responder: Responder) {
-    private class Waiting(var since: Long) {
+    private class Waiting(var sinceMs: Long) {
         val calls = ArrayList<Int>()
     }
 
@@ -17,25 +17,25 @@
 
     operator fun contains(jobId: String): Boolean = jobId in byJob
 
-    /** [call] waits for the write of [jobId], with those that already do. */
+    /** Adds [call] to the callers that wait for the write of [jobId]. */
     fun add(jobId: String, call: Int) {
         byJob.getOrPut(jobId) { Waiting(context.steady) }.calls.add(call)
     }
 
-    /** The write of [jobId] is over: gives the calls that waited for it, in their order, and forgets them. */
+    /** The write of [jobId] has ended: removes the calls that waited for it and returns them in order of arrival. */
     fun remove(jobId: String): List<Int> = byJob.remove(jobId)?.calls.orEmpty()
 
-    /** Responds with 503 to callers who have waited for longer than [timeoutMs]; their writes stay under way. */
+    /** Responds with 503 to callers that have waited for longer than [timeoutMs]; their writes stay pending. */
     fun expire(timeoutMs: Long) {
         for (waiting in byJob.values) {
-            if (context.steady - waiting.since > timeoutMs) respondUnavailable(waiting)
+            if (context.steady - waiting.sinceMs > timeoutMs) respondUnavailable(waiting)
         }
     }
 
-    /** Responds with 503 to all callers; their writes stay under way. */
+    /** Responds with 503 to all callers; their writes stay pending. */
     fun respondUnavailable() = byJob.values.forEach(::respondUnavailable)
 
-    /** Responds with 503 to all callers and forgets the writes. */
+    /** Responds with 503 to all callers and removes the writes. */
     fun clear() {
         respondUnavailable()
         byJob.clear()
@@ -44,6 +44,6 @@
     private fun respondUnavailable(waiting: Waiting) {
         waiting.calls.forEach(responder::respondUnavailable)
         waiting.calls.clear()
-        waiting.since = context.steady
+        waiting.sinceMs = context.steady
     }
 }
