--- a/src/test/kotlin/org/chalkhollow/core/operations/ControllerVersionsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/operations/ControllerVersionsTest.kt
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The versions that the controllers tell each other. */
+/** The versions that the controllers send each other. */
 class ControllerVersionsTest {
     @Test
-    fun `an upgrade is over once every peer has told a version as new as ours`() {
+    fun `all controllers are up to date once every peer has sent this controller's version or a newer one`() {
         val versions = ControllerVersions("a", listOf("b", "c"))
         assertFalse(versions.allUpToDate)
         versions.onHello(0, PeerMessage.Hello("b", 1, PeerMessage.VERSION))
--- a/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
@@ -6,27 +6,30 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What operators are told by the leader and by the others. */
+/** The status that operators get from the leader and from followers. */
 class StatusReportTest {
     private val simulation = electedSimulation(1)
     private val leader = simulation.nodes.single { it.leads }
 
     @Test
-    fun `a follower tells who leads and which versions run, and nothing of the cluster`() {
+    fun `a follower reports the leader and the controllers' versions, but nothing about the cluster`() {
         val follower = simulation.nodes.first { !it.leads }
-        val status = checkNotNull(follower.status()) { "does not run" }
-        assertEquals(StatusView(follower.label, false, leader.label, status.fencingToken, false), status.bare())
+        val status = checkNotNull(follower.status()) { "follower is not running" }
+        assertEquals(
+            StatusView(follower.label, false, leader.label, status.fencingToken, false),
+            status.withoutControllers(),
+        )
         assertEquals(simulation.nodes.map { it.label }.toSet(), status.controllers.map { it.label }.toSet())
         assertEquals(checkNotNull(leader.status()).fencingToken, status.fencingToken)
     }
 
-    private fun StatusView.bare() = copy(controllers = emptyList(), allNew = false)
+    private fun StatusView.withoutControllers() = copy(controllers = emptyList(), allNew = false)
 
     @Test
-    fun `the leader tells of jobs, teams and machines`() {
+    fun `the leader reports jobs, teams and machines`() {
         val id = simulation.users.submit { it.copy(tasks = 3, types = null, zone = null, expectedS = 100.0) }
         simulation.clock.runUntil(simulation.clock.time + 60_000)
-        val status = checkNotNull(leader.status()) { "does not run" }
+        val status = checkNotNull(leader.status()) { "leader is not running" }
         assertTrue(status.leads && status.ready)
         assertEquals(leader.label, status.leader)
         assertEquals(1 to 1, status.jobsKnown to status.jobsOpen)
--- a/src/test/kotlin/org/chalkhollow/core/requests/NonLeaderRejectionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/NonLeaderRejectionTest.kt
@@ -19,42 +19,45 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** A leader that has not read everything, or is none any more, does not know what was never accepted. */
+/**
+ * Guards against a controller rejecting a request although the job was accepted. A candidate that has not loaded the
+ * stored records, a former leader and a follower do not know which jobs were accepted, so they must respond with 503.
+ */
 class NonLeaderRejectionTest {
-    private val bad = submission(malformed("j-000001").first())
+    private val malformedSubmission = submission(malformed("j-000001").first())
     private val requests =
         listOf(
-            bad,
+            malformedSubmission,
             submission(body("j-000001", "owner" to "nobody")),
             UserRequest.Query("j-000001"),
             UserRequest.Cancel("j-000001"),
         )
 
     /**
-     * A controller that nobody else stands against; [lists]: whether the state service tells it what was written,
-     * without which it does not lead.
+     * Runs the election of a controller without rivals. [canListRecords] says whether the state service replies to its
+     * calls that list the stored records; without the replies, it does not lead.
      */
-    private fun elected(lists: Boolean): Controller {
-        val c = Controller(Simulation(1).settings, OperatorSettings(), 1, Now(0, 0))
-        val pending = ArrayDeque(c.step(Now(0, 0), Input.Tick))
+    private fun startController(canListRecords: Boolean): Controller {
+        val controller = Controller(Simulation(1).settings, OperatorSettings(), 1, Now(0, 0))
+        val pending = ArrayDeque(controller.step(Now(0, 0), Input.Tick))
         var revision = 1L
         while (true) {
-            val e = pending.removeFirstOrNull() ?: break
-            if (e is Effect.Cloud && e.op == CloudOp.Catalog) {
+            val effect = pending.removeFirstOrNull() ?: break
+            if (effect is Effect.Cloud && effect.op == CloudOp.Catalog) {
                 val catalog = CloudReply.Catalog(Simulation(1).types)
-                pending.addAll(c.step(Now(10, 10), Input.Cloud(e.ticket, catalog)))
+                pending.addAll(controller.step(Now(10, 10), Input.Cloud(effect.ticket, catalog)))
             }
-            if (e !is Effect.State || e.op is StateOp.List && !lists) continue
+            if (effect !is Effect.State || effect.op is StateOp.List && !canListRecords) continue
             val reply =
-                when (e.op) {
+                when (effect.op) {
                     is StateOp.Read -> StateReply.Missing
                     is StateOp.List -> StateReply.Page(KeyValuePage(emptyList(), false))
                     is StateOp.Commit -> StateReply.Committed(++revision)
                 }
-            pending.addAll(c.step(Now(10, 10), Input.State(e.ticket, reply)))
+            pending.addAll(controller.step(Now(10, 10), Input.State(effect.ticket, reply)))
         }
-        assertEquals(lists, c.isLeader(Now(20, 20)))
-        return c
+        assertEquals(canListRecords, controller.isLeader(Now(20, 20)))
+        return controller
     }
 
     private fun forwarded(request: UserRequest) =
@@ -81,25 +84,33 @@
         }
 
     @Test
-    fun `a candidate that has not read everything does not lead and refuses nothing`() {
-        val c = elected(lists = false)
-        for (request in requests) assertEquals(listOf(503, 503), c.responses(request).map(::status), "$request")
+    fun `a candidate that has not loaded the stored records does not lead and rejects nothing`() {
+        val controller = startController(canListRecords = false)
+        for (request in requests) {
+            assertEquals(listOf(503, 503), controller.responses(request).map(::status), "$request")
+        }
     }
 
     @Test
-    fun `a refusal that was decided before standing still is not told by a leader that is none any more`() {
-        val c = elected(lists = true)
+    fun `a rejection that is sent only after the leases have expired becomes a 503`() {
+        val controller = startController(canListRecords = true)
         for (request in requests - requests[1]) {
-            val responses = c.responses(request)
-            assertEquals(listOf(if (request === bad) 400 else 404), responses.map(::status).distinct(), "$request")
-            assertEquals(responses.map(::status), responses.map { status(c.recheck(Now(300, 300), it)) })
-            assertEquals(listOf(503, 503), responses.map { status(c.recheck(Now(30_000, 30_000), it)) })
+            val responses = controller.responses(request)
+            assertEquals(
+                listOf(if (request === malformedSubmission) 400 else 404),
+                responses.map(::status).distinct(),
+                "$request",
+            )
+            assertEquals(responses.map(::status), responses.map { status(controller.recheck(Now(300, 300), it)) })
+            assertEquals(listOf(503, 503), responses.map { status(controller.recheck(Now(30_000, 30_000), it)) })
         }
     }
 
     @Test
-    fun `a follower without a leader refuses nothing that names a job`() {
-        val c = Controller(Simulation(1).settings, OperatorSettings(), 1, Now(0, 0))
-        for (request in requests) assertEquals(listOf(503, 503), c.responses(request).map(::status), "$request")
+    fun `a follower without a leader rejects no request that contains a job id`() {
+        val controller = Controller(Simulation(1).settings, OperatorSettings(), 1, Now(0, 0))
+        for (request in requests) {
+            assertEquals(listOf(503, 503), controller.responses(request).map(::status), "$request")
+        }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestForwarderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestForwarderTest.kt
@@ -29,8 +29,8 @@
     private val forwarder = RequestForwarder(context, leadership, Responder(context))
     private val query = UserRequest.Query("j-1")
 
-    /** The peer with index 1 tells that it leads. */
-    private fun hearFromLeader(ready: Boolean = true) {
+    /** The peer with index 1 sends a lease request as the leader. */
+    private fun receiveLeaseRequest(ready: Boolean = true) {
         leadership.onPeer(1, PeerMessage.FollowerLeaseRequest(5, 1, ready))
         context.drain()
     }
@@ -42,17 +42,17 @@
         context.drain().filterIsInstance<Effect.Response>().map { it.call to it.status }
 
     @Test
-    fun `without a leader that is ready, nothing is forwarded`() {
+    fun `requests get 503 while no ready leader is known`() {
         forwarder.forward(4, query)
         assertEquals(listOf(4 to 503), responses())
-        hearFromLeader(ready = false)
+        receiveLeaseRequest(ready = false)
         forwarder.forward(5, query)
         assertEquals(listOf(5 to 503), responses())
     }
 
     @Test
-    fun `the leader's response is given to the user once`() {
-        hearFromLeader()
+    fun `the leader's response reaches the user once, and duplicate or unknown responses are dropped`() {
+        receiveLeaseRequest()
         forwarder.forward(4, query)
         val request = forwarded().single()
         assertEquals(ForwardedKind.QUERY.wireNumber, request.kind)
@@ -66,8 +66,8 @@
     }
 
     @Test
-    fun `a request without a response in time is unavailable, and a response after that is dropped`() {
-        hearFromLeader()
+    fun `a request without a response within the time-out gets 503, and a later response is dropped`() {
+        receiveLeaseRequest()
         forwarder.forward(4, query)
         val request = forwarded().single()
         context.now = Now(1499, 1499)
@@ -80,8 +80,8 @@
     }
 
     @Test
-    fun `so many requests without a response and no more are forwarded`() {
-        hearFromLeader()
+    fun `at most 500 requests are forwarded without a response, and further requests get 503`() {
+        receiveLeaseRequest()
         repeat(501) { forwarder.forward(it, query) }
         val effects = context.drain()
         assertEquals(500, effects.count { it is Effect.Send })
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
@@ -23,11 +23,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What users are told of good and bad requests, from the leader and by way of a follower. */
+/** The responses to valid and invalid requests that users send to the leader or through a follower. */
 class RequestHandlerTest {
     private val Simulation.leader: SimulatedController get() = nodes.single { it.leads }
 
-    /** The leader, and a follower that forwards to it. */
+    /** The leader and a follower that forwards requests to it. */
     private val Simulation.entryPoints: List<SimulatedController> get() = listOf(leader, nodes.first { !it.leads })
 
     private fun Simulation.response(
@@ -41,19 +41,23 @@
         return checkNotNull(response) { "no response" }
     }
 
-    private fun state(a: Effect.Response): String =
-        Fields.of(Pack.decode(checkNotNull(a.body)), "answer").text("status")
+    private fun state(response: Effect.Response): String =
+        Fields.of(Pack.decode(checkNotNull(response.body)), "response").text("status")
 
     private fun Simulation.expectResponse(status: Int, state: String?, request: UserRequest) {
         for (node in entryPoints) {
-            val a = response(node, request)
-            assertEquals(status to state, a.status to a.body?.let { state(a) }, "${request.jobId} at ${node.label}")
-            if (status == 503) assertTrue(a.retryAfterS > 0, "503 without Retry-After")
+            val response = response(node, request)
+            assertEquals(
+                status to state,
+                response.status to response.body?.let { state(response) },
+                "${request.jobId} at ${node.label}",
+            )
+            if (status == 503) assertTrue(response.retryAfterS > 0, "503 without Retry-After")
         }
     }
 
-    /** A job that the workers know, carried out. */
-    private fun Simulation.done(): String {
+    /** Submits a job of one task, runs it to completion and returns its id. */
+    private fun Simulation.completeJob(): String {
         val id = users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 1.0) }
         clock.runUntil(clock.time + 40_000)
         return id
@@ -67,7 +71,7 @@
     }
 
     @Test
-    fun `a job whose record the state service refuses is answered 503 and not accepted, and others are`() {
+    fun `a job whose record the state service rejects gets 503 and is not accepted, while other jobs are`() {
         val simulation = electedSimulation(4)
         simulation.state.lowered = StateLimits(80.0, 20.0, 400, 12)
         val large = body("j-000004", "flavours" to List(12) { "type-$it-" + "x".repeat(40) } + "small")
@@ -78,12 +82,12 @@
         simulation.state.lowered = null
         assertEquals(201, simulation.response(simulation.leader, submission(large)).status)
         simulation.state.lowered = StateLimits(80.0, 20.0, 400, 12)
-        val gone = simulation.response(simulation.leader, UserRequest.Cancel("j-000004"))
-        assertEquals(200 to "aborted", gone.status to state(gone))
+        val cancellation = simulation.response(simulation.leader, UserRequest.Cancel("j-000004"))
+        assertEquals(200 to "aborted", cancellation.status to state(cancellation))
     }
 
     @Test
-    fun `tasks start although the state service refuses large markers, and hints it refuses are dropped`() {
+    fun `all tasks complete although the state service rejects large markers, and rejected hints are dropped`() {
         val simulation = electedSimulation(5)
         simulation.state.lowered = StateLimits(80.0, 20.0, 600, 3)
         repeat(6) {
@@ -108,25 +112,25 @@
     }
 
     @Test
-    fun `a repetition of an accepted job gets its state, whether it differs, can never run or is malformed`() {
+    fun `a repeated submission of an accepted job gets its state, even if it differs, can never run or is malformed`() {
         val simulation = electedSimulation(2)
         val id = "j-000002"
         assertEquals(201, simulation.response(simulation.leader, submission(body(id))).status)
         val different = listOf(body(id, "pieces" to 9), body(id, "owner" to "nobody"), body(id, "vcpus" to 1000.0))
         val repetitions = malformed(id) + listOf(body(id)) + different
-        for (again in repetitions) {
+        for (repetition in repetitions) {
             for (node in simulation.entryPoints) {
-                val a = simulation.response(node, submission(again))
-                assertEquals(200, a.status)
-                assertTrue(state(a) in setOf("queued", "running"), state(a))
+                val response = simulation.response(node, submission(repetition))
+                assertEquals(200, response.status)
+                assertTrue(state(response) in setOf("queued", "running"), state(response))
             }
         }
     }
 
     @Test
-    fun `a malformed repetition is looked up in what a new leader has read`() {
+    fun `a new leader responds to a malformed repetition with the stored state of the job`() {
         val simulation = electedSimulation(3)
-        val id = simulation.done()
+        val id = simulation.completeJob()
         simulation.leader.let {
             it.crash()
             simulation.clock.after(3000) { it.start() }
@@ -136,7 +140,7 @@
     }
 
     @Test
-    fun `while a job is being accepted, a malformed submission of it is neither refused nor held back`() {
+    fun `while a job's record is being written, a malformed submission of it gets 503 at once`() {
         val simulation = electedSimulation(4)
         simulation.state.outage(10_000)
         var accepted: Effect.Response? = null
@@ -149,24 +153,24 @@
     }
 
     @Test
-    fun `what can never run gets 422, also while nothing can be written`() {
+    fun `a job that can never run gets 422, even while the state service accepts no writes`() {
         val simulation = electedSimulation(5)
-        val never =
+        val infeasible =
             listOf(
                 body("j-000006", "owner" to "nobody"),
                 body("j-000006", "vcpus" to 17.0),
                 body("j-000006", "flavours" to listOf("huge")),
                 body("j-000006", "site" to "north"),
             )
-        for (bad in never) simulation.expectResponse(422, null, submission(bad))
+        for (bad in infeasible) simulation.expectResponse(422, null, submission(bad))
         simulation.state.outage(25_000)
         simulation.clock.runUntil(simulation.clock.time + 3000)
-        for (bad in never) simulation.expectResponse(422, null, submission(bad))
+        for (bad in infeasible) simulation.expectResponse(422, null, submission(bad))
         simulation.expectResponse(503, null, submission(body("j-000006")))
     }
 
     @Test
-    fun `while the machine types are unknown nothing is accepted or refused`() {
+    fun `while the machine types are unknown, well-formed submissions get 503`() {
         val simulation =
             electedSimulation(6) { before ->
                 before.nodes.forEach { before.network.cut(it.label, FakeCloud.NAME, 30_000, false) }
@@ -179,21 +183,21 @@
     }
 
     @Test
-    fun `withdrawing a job that is done tells so, a cancelled one stays cancelled, and nobody's is not found`() {
+    fun `cancelling a done job returns done, a cancelled job stays cancelled, and an unknown job gets 404`() {
         val simulation = electedSimulation(7)
-        simulation.expectResponse(200, "done", UserRequest.Cancel(simulation.done()))
+        simulation.expectResponse(200, "done", UserRequest.Cancel(simulation.completeJob()))
         assertEquals(201, simulation.response(simulation.leader, submission(body("j-000008"))).status)
         simulation.expectResponse(200, "aborted", UserRequest.Cancel("j-000008"))
         simulation.expectResponse(200, "aborted", UserRequest.Cancel("j-000008"))
-        for (again in malformed("j-000008") + body("j-000008")) {
-            simulation.expectResponse(200, "aborted", submission(again))
+        for (repetition in malformed("j-000008") + body("j-000008")) {
+            simulation.expectResponse(200, "aborted", submission(repetition))
         }
         simulation.expectResponse(404, null, UserRequest.Cancel("j-000009"))
         simulation.expectResponse(404, null, UserRequest.Query("j-000009"))
     }
 
     @Test
-    fun `a request of a kind that only a newer version knows is put off and does nothing`() {
+    fun `a forwarded request of an unknown kind changes nothing`() {
         val simulation = electedSimulation(8)
         assertEquals(201, simulation.response(simulation.leader, submission(body("j-000010"))).status)
         simulation.leader.peer(0, Frames.encode(PeerMessage.ForwardedRequest(1, 9, "j-000010", ByteArray(0))))
@@ -202,7 +206,7 @@
     }
 
     @Test
-    fun `a job that an earlier version took without an image is known to a new leader`() {
+    fun `a job that an earlier version accepted without an image is loaded by a new leader`() {
         val spec = Pack.decodeMap(body("j-000011", "shape" to "service")).map - "bundle" - "pullGb" - "expectedS"
         val jobs = JobTable(CoreContext(1), Interners(), StateLimits(80.0, 20.0, 8192, 12))
         jobs.loadJob(KeyValue("job/j-000011", mapOf("s" to "open", "at" to 1L, "j" to spec), 1))
--- a/src/test/kotlin/org/chalkhollow/core/requests/ResponderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/ResponderTest.kt
@@ -14,14 +14,14 @@
     private val responder = Responder(context)
 
     @Test
-    fun `a request that came here gets a response, with when to repeat it if nothing was decided`() {
+    fun `respondUnavailable sends 503 with a retry time to the user`() {
         responder.respondUnavailable(4)
         val response = context.drain().single() as Effect.Response
         assertEquals(listOf(4, 503, 1), listOf(response.call, response.status, response.retryAfterS))
     }
 
     @Test
-    fun `a forwarded request gets one response, by the controller that forwarded it`() {
+    fun `a forwarded request gets one response, sent to the peer that forwarded it`() {
         val first = responder.registerForwarded(peer = 1, seq = 70)
         val second = responder.registerForwarded(peer = 2, seq = 70)
         responder.respond(second, 200)
@@ -37,9 +37,9 @@
         )
     }
 
-    // The numbers are part of the peers' protocol, which older and newer versions speak with each other.
+    // Peers of other versions use these numbers, too.
     @Test
-    fun `the kinds of forwarded requests keep their numbers`() {
+    fun `the numbers of the kinds of forwarded requests do not change`() {
         assertEquals(
             listOf(1, 2, 3),
             listOf(ForwardedKind.SUBMIT, ForwardedKind.QUERY, ForwardedKind.CANCEL).map {
--- a/src/test/kotlin/org/chalkhollow/core/requests/Submissions.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/Submissions.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.core.common.UserRequest
 import org.chalkhollow.wire.Pack
 
-/** Bodies of submissions for tests. */
+/** Builds bodies of submissions for tests. */
 object Submissions {
     fun body(id: String, vararg changes: Pair<String, Any?>): ByteArray =
         Pack.encode(
@@ -28,7 +28,7 @@
             ) + changes,
         )
 
-    /** Malformed in different ways, while the id can be read. */
+    /** Bodies that are malformed in different ways, but whose job id can be read. */
     fun malformed(id: String): List<ByteArray> =
         listOf(
             body(id, "pieces" to 0),
@@ -39,5 +39,8 @@
             body(id).copyOf(20),
         )
 
-    fun submission(body: ByteArray): UserRequest = checkNotNull(UserRequest.ofSubmission(body)) { "no id" }
+    fun submission(body: ByteArray): UserRequest =
+        checkNotNull(UserRequest.ofSubmission(body)) {
+            "submission without a job id"
+        }
 }
--- a/src/test/kotlin/org/chalkhollow/core/requests/UserRequestTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/UserRequestTest.kt
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test
 import java.util.SplittableRandom
 
-/** What a body says as a submission. */
+/** Decoding of submissions. */
 class UserRequestTest {
     @Test
-    fun `a submission without an id that can be read is refused at once`() {
-        val all = body("j-000001")
-        val none =
+    fun `ofSubmission returns null only for submissions without a readable job id`() {
+        val valid = body("j-000001")
+        val withoutId =
             listOf(
                 byteArrayOf(),
                 byteArrayOf(1),
@@ -25,28 +25,28 @@
                 body("j-"),
                 body("j-1", "nameId" to 7),
                 body("j-1", "nameId" to null),
-                all.copyOf(8),
+                valid.copyOf(8),
                 byteArrayOf(0xc1.toByte()),
             )
-        for (bad in none) assertNull(UserRequest.ofSubmission(bad))
-        assertTrue(UserRequest.ofSubmission(all) is UserRequest.Submit)
+        for (bad in withoutId) assertNull(UserRequest.ofSubmission(bad))
+        assertTrue(UserRequest.ofSubmission(valid) is UserRequest.Submit)
         for (bad in malformed("j-000001")) {
             assertEquals("j-000001", (UserRequest.ofSubmission(bad) as UserRequest.Invalid).jobId)
         }
     }
 
     @Test
-    fun `bytes of any kind are a submission or none, and never an error`() {
+    fun `truncated and corrupted submissions decode without an exception`() {
         val random = SplittableRandom(3)
-        val good = body("j-000001")
-        var unreadable = 0
+        val valid = body("j-000001")
+        var invalid = 0
         repeat(20_000) {
-            val bytes = good.copyOf(random.nextInt(good.size + 1))
+            val bytes = valid.copyOf(random.nextInt(valid.size + 1))
             repeat(random.nextInt(4)) {
                 if (bytes.isNotEmpty()) bytes[random.nextInt(bytes.size)] = random.nextInt(256).toByte()
             }
-            if (UserRequest.ofSubmission(bytes) is UserRequest.Invalid) unreadable++
+            if (UserRequest.ofSubmission(bytes) is UserRequest.Invalid) invalid++
         }
-        assertTrue(unreadable > 5000, "only $unreadable named a job")
+        assertTrue(invalid > 5000, "only $invalid malformed submissions had a readable job id")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/requests/WaitingCallersTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/WaitingCallersTest.kt
@@ -15,7 +15,7 @@
     private fun responses(): List<Effect.Response> = context.drain().filterIsInstance<Effect.Response>()
 
     @Test
-    fun `the callers of a job are given in their order, once`() {
+    fun `remove returns the callers of a job once, in the order of arrival`() {
         listOf(7, 5, 6).forEach { waiting.add("j-1", it) }
         waiting.add("j-2", 8)
         assertEquals(listOf(7, 5, 6), waiting.remove("j-1"))
@@ -25,7 +25,7 @@
     }
 
     @Test
-    fun `a caller who waits too long gets 503, and the write stays under way`() {
+    fun `a caller that waits too long gets 503, and the write stays pending`() {
         waiting.add("j-1", 7)
         context.now = Now(100, 100)
         waiting.expire(timeoutMs = 100)
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `a controller that leads no more responds to all and forgets the writes`() {
+    fun `clear responds to all callers and removes the writes`() {
         waiting.add("j-1", 7)
         waiting.add("j-2", 8)
         waiting.clear()
