--- a/src/test/kotlin/org/chalkhollow/core/operations/ControllerVersionsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/operations/ControllerVersionsTest.kt
@@ -6,19 +6,19 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The versions that the controllers tell each other. */
+/** The versions that the controllers send each other. */
 class ControllerVersionsTest {
     @Test
-    fun `an upgrade is over once every peer has told a version as new as ours`() {
+    fun `all controllers are up to date once every peer has sent this controller's version or a newer one`() {
         val versions = ControllerVersions("a", listOf("b", "c"))
-        assertFalse(versions.allNew)
+        assertFalse(versions.allUpToDate)
         versions.onHello(0, PeerMessage.Hello("b", 1, PeerMessage.VERSION))
         versions.onHello(1, PeerMessage.Hello("c", 1))
-        assertFalse(versions.allNew)
-        assertEquals(mapOf("a" to PeerMessage.VERSION, "b" to PeerMessage.VERSION, "c" to 0), versions.all)
+        assertFalse(versions.allUpToDate)
+        assertEquals(mapOf("a" to PeerMessage.VERSION, "b" to PeerMessage.VERSION, "c" to 0), versions.byLabel)
         versions.onHello(1, PeerMessage.Hello("c", 2, PeerMessage.VERSION + 1))
-        assertTrue(versions.allNew)
+        assertTrue(versions.allUpToDate)
         versions.onHello(0, PeerMessage.Hello("b", 3))
-        assertFalse(versions.allNew)
+        assertFalse(versions.allUpToDate)
     }
 }
