--- a/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
@@ -16,9 +16,9 @@
 import java.net.ServerSocket
 
 /**
- * The training run of the class data archive: goes once through what a controller needs early, on loopback and with
- * made-up replies, so that the archive that the build makes of this run holds those classes. Starting costs processor
- * time, and a start is an outage to users.
+ * The training run for the class data sharing archive: runs the code that a starting controller needs, on loopback and
+ * with made-up messages, so that the archive that the build creates from this run contains its classes. This reduces
+ * the processor time of a start, which is an outage for users.
  */
 object ArchiveTrainingRun {
     private const val STEP_COUNT = 100
@@ -27,7 +27,7 @@
     private const val TIMEOUT_MS = 1000L
     private const val NODE_RUN_MS = 800L
 
-    /** Runs and ends the process. */
+    /** Runs the training and exits the process. */
     fun run() {
         val ports = List(2) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
         val settings = PlatformSettingsParser.parse(settings(ports[0], ports[1]), "warm-up")
@@ -42,7 +42,7 @@
 
     private val task = WarmUpMessages.task("j-000009/1", 1)
 
-    /** Runs a node on loopback that sends requests to itself for a moment. */
+    /** Runs a node on loopback for [NODE_RUN_MS] and sends requests to it. */
     private suspend fun runNode(settings: PlatformSettings) {
         val loop = EventLoop()
         val scope = CoroutineScope(SupervisorJob() + loop)
--- a/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
@@ -8,9 +8,9 @@
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.ServiceCodec
 
-/** The cloud, over [http]; the core spends its rate budget, see `Fleet`. */
+/** Calls the cloud over [http]. Does not limit the rate of calls: the core does, see `Fleet`. */
 class CloudClient(private val http: HttpClient, private val decoder: ResponseDecoder) {
-    /** Sends [op]; [onReply] is called once. */
+    /** Sends [op]. [onReply] is called once. */
     fun run(op: CloudOp, onReply: (CloudReply) -> Unit) {
         val onResult = { result: HttpResult -> onReply(reply(op, result)) }
         when (op) {
@@ -64,7 +64,7 @@
         try {
             ServiceCodec.errorOrNull(body)
         } catch (expected: MalformedMessageException) {
-            null // the status alone says that the cloud is unavailable; a proxy may have written the body
+            null // the status is enough: the cloud is unavailable, and the body may come from a proxy
         }
 
     private companion object {
@@ -72,10 +72,10 @@
         const val POST = "POST"
         const val TIMEOUT_MS = 4000L
 
-        /** Machines that a list is asked for at once. */
+        /** Machines in one page of the inventory. */
         const val PAGE_SIZE = 500
 
-        /** The error that a refused rental names when the cloud has no such machine to give. */
+        /** The error of a rejected rental when the cloud has no such machine available. */
         const val NO_CAPACITY = "no capacity"
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -40,13 +40,13 @@
             processStartNs / SystemClocks.NANOS_PER_MS,
         )
 
-    /** Bounds how often malformed messages are logged; the metrics count them all. */
-    @Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
+    /** Limits how often malformed messages are logged. The metrics count all of them. */
+    @Suppress("UnstableApiUsage") // Guava's RateLimiter is marked @Beta
     private val malformedLogLimiter = RateLimiter.create(MAX_MALFORMED_LOGS_PER_S)
     private val decoder =
         ResponseDecoder { e ->
             metrics.countMalformedReply()
-            if (malformedLogLimiter.tryAcquire()) log.warn("malformed response, taken for none: {}", e.message)
+            if (malformedLogLimiter.tryAcquire()) log.warn("malformed reply, treated as no reply: {}", e.message)
         }
     private val reservedSockets = minOf(MAX_RESERVED_SOCKETS, settings.maxConnections / RESERVED_SOCKETS_DIVISOR)
     private val workerClients: WorkerHttpClients =
@@ -92,7 +92,7 @@
         )
     }
 
-    /** Binds the ports and starts; throws [CannotListenException] when a port cannot be bound. */
+    /** Binds the ports and starts the controller. Throws [CannotListenException] when a port cannot be bound. */
     suspend fun start() {
         val peerSocket = bindPeerPort()
         bindClientPort()
@@ -106,17 +106,20 @@
         try {
             peerConnections.bind()
         } catch (expected: Exception) {
-            throw CannotListenException(settings.peerAddress, expected) // an address may also not resolve
+            throw CannotListenException(settings.peerAddress, expected) // also if the host does not resolve
         }
 
     private fun bindClientPort() =
         try {
             server.start()
         } catch (expected: Exception) {
-            throw CannotListenException(settings.clientListen, expected) // an address may also not resolve
+            throw CannotListenException(settings.clientListen, expected) // also if the host does not resolve
         }
 
-    /** Goes through a failover in memory while this controller follows a leader and has nothing else to do. */
+    /**
+     * Runs the [WarmUpSimulation] while this controller follows a leader and has nothing else to do, so that the code
+     * of a failover has run before it is needed.
+     */
     private suspend fun warmUpWhileIdle() {
         val warmUp = WarmUpSimulation(settings)
         var steps = 0
@@ -134,14 +137,16 @@
         const val MAX_IDLE_STATE_CONNECTIONS = 4
         const val MAX_IDLE_CLOUD_CONNECTIONS = 2
 
-        /** Of the requests that the state service takes, those that one controller may spend. */
+        /** The fraction of the state service's request limit that one controller may use. */
         const val STATE_RPS_FRACTION = 0.5
 
-        /** Sockets for the services, the other controllers, listening, and connections about to close. */
+        /**
+         * Sockets reserved for the services, other controllers, the listening sockets and connections that are closing.
+         */
         const val MAX_RESERVED_SOCKETS = 40
         const val RESERVED_SOCKETS_DIVISOR = 4
 
-        /** Of all sockets, those that clients may hold; the rest is for direct commands. */
+        /** The percentage of all sockets that clients may use. The rest is for direct commands to workers. */
         const val CLIENT_SOCKETS_PERCENT = 80
         const val PERCENT = 100
         const val MIN_CLIENT_CONNECTIONS = 8
--- a/src/main/kotlin/org/chalkhollow/runtime/DroppedFrameLogger.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/DroppedFrameLogger.kt
@@ -5,10 +5,10 @@
 import org.slf4j.Logger
 
 /**
- * Counts the frames of other controllers that were dropped, and logs some: malformed ones a few times a minute at most,
- * and each kind of a newer version once.
+ * Counts dropped frames of other controllers and logs some of them: malformed frames at a limited rate, each unknown
+ * kind of message, which a newer version sends, once.
  */
-@Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
+@Suppress("UnstableApiUsage") // Guava's RateLimiter is marked @Beta
 internal class DroppedFrameLogger(private val log: Logger, private val metrics: Metrics) : DroppedFrameListener {
     private val limiter = RateLimiter.create(MAX_WARNINGS_PER_S)
     private val loggedKinds = HashSet<String>()
@@ -24,11 +24,15 @@
         metrics.countUnknownFrame()
         val name = printable(kind)
         if (loggedKinds.size < MAX_LOGGED_KINDS && loggedKinds.add(name)) {
-            log.warn("skipping messages of the unknown kind \"{}\" from {}", name, peer ?: UNKNOWN_PEER)
+            log.warn(
+                "dropping messages of the unknown kind \"{}\" from {}; each kind is logged once",
+                name,
+                peer ?: UNKNOWN_PEER,
+            )
         }
     }
 
-    /** [text], which another process chose, on one line and short. */
+    /** Makes [text], which another process chose, a single line of limited length. */
     private fun printable(text: String): String =
         text.take(MAX_CHARS).map { if (it.isISOControl()) ' ' else it }.joinToString("")
 
--- a/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
@@ -10,10 +10,10 @@
 import org.chalkhollow.peer.PeerConnections
 import org.slf4j.Logger
 
-/** The clients of the services and of workers. */
+/** The clients of the state service, the cloud and the workers. */
 internal class OutboundClients(val state: StateServiceClient, val cloud: CloudClient, val workers: WorkerClient)
 
-/** Feeds inputs to [controller], one at a time on the thread of [loop], and executes the effects of each. */
+/** Passes inputs to [controller], one at a time on the thread of [loop], and executes the effects of each. */
 internal class EffectExecutor(
     private val loop: EventLoop,
     private val controller: Controller,
@@ -25,26 +25,26 @@
 ) {
     private var tickTimer: DisposableHandle? = null
 
-    /** Whether the effects of a step are being executed, during which no other step may begin. */
+    /** Whether the effects of a step are being executed. No other step may start meanwhile. */
     private var isExecuting = false
 
-    /** Steps [controller] with [input]; ends the process when that fails. */
-    @Suppress("TooGenericExceptionCaught") // any fault leaves the view of the controller half changed
+    /** Lets [controller] handle [input] and executes the effects. Ends the process if the controller throws. */
+    @Suppress("TooGenericExceptionCaught") // any exception may leave the controller's state inconsistent
     fun step(input: Input) {
         val decidedAt = SystemClocks.now()
         val effects =
             try {
                 controller.step(decidedAt, input)
             } catch (e: Exception) {
-                // Its view may be half changed. Ending is safe, since another takes over and fences it; going on is
-                // not.
-                log.error("internal error in the controller; the process ends", e)
+                // The controller's state may be inconsistent, so continuing is unsafe. Exiting is safe: another
+                // controller takes over and fences this one off.
+                log.error("internal error while the controller handled an input; the process exits", e)
                 Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR)
                 return
             }
         isExecuting = true
         for (effect in effects) {
-            // A process can be paused between deciding and executing, and another may lead by the time it goes on.
+            // The process can be paused between step() and here, and another controller may lead when it resumes.
             if (SystemClocks.monotonicMs() - decidedAt.steady < MAX_EFFECT_DELAY_MS) {
                 execute(effect)
             } else {
@@ -76,12 +76,14 @@
         tickTimer = loop.runAfter(effect.at - SystemClocks.monotonicMs()) { step(Input.Tick) }
     }
 
-    /** Takes a reply, steps the controller with its [input], and records how long the reply took from now on. */
+    /**
+     * Returns a callback that records the time from now to the reply and passes the reply to the controller as [input].
+     */
     private fun <R> timed(kind: String, input: (R) -> Input): (R) -> Unit {
         val sentAtNs = System.nanoTime()
         return { reply ->
             metrics.recordDuration(kind, SystemClocks.microsSince(sentAtNs))
-            // A request that is refused before it is sent is answered while the effects of a step are executed.
+            // A call that fails before it is sent gets its reply while the effects of a step are still being executed.
             if (isExecuting) loop.submit(TaskPriority.CONTROL) { step(input(reply)) } else step(input(reply))
         }
     }
@@ -95,7 +97,7 @@
         }
 
     private companion object {
-        /** An effect that is executed this long after it was decided is checked again. */
+        /** The leadership is checked again for an effect that is executed this long after it was decided. */
         const val MAX_EFFECT_DELAY_MS = 100L
         const val EXIT_INTERNAL_ERROR = 70
         const val MICROS_PER_MS = 1000L
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -16,10 +16,9 @@
 import kotlin.coroutines.resume
 
 /**
- * The one thread of a controller: it runs coroutines, their timers and the sockets of the HTTP side. ktor-network pumps
- * every socket through coroutines of its own on a pool of threads; with hundreds of workers that was half of the
- * processor time measured, most of it hand-overs between threads, so it carries only the few connections between
- * controllers.
+ * Runs coroutines, timers and the sockets of HTTP connections on the single thread of a controller. ktor-network serves
+ * only the few connections between controllers: it runs every socket in coroutines on a thread pool, and with hundreds
+ * of workers this took half of the processor time, mostly for switching between threads.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
@@ -27,14 +26,14 @@
     Delay {
     /** Called when a channel is ready. */
     interface ReadyListener {
-        /** Whether leadership depends on this channel, so that it goes before all others. */
+        /** Whether leadership depends on this channel. Such channels are served before all others. */
         val isControl: Boolean get() = false
 
         fun onReady(key: SelectionKey)
     }
 
     private class Registration(val listener: ReadyListener) {
-        /** Whether its key waits in [readyKeys]. */
+        /** Whether the key of this registration is in [readyKeys]. */
         var isQueued = false
     }
 
@@ -50,31 +49,31 @@
     private val selector = Selector.open()
     private val taskQueue = PriorityTaskQueue()
 
-    /** Channels that are ready and were not served yet, longest waiting first. */
+    /** Channels that are ready but not yet served, in the order in which they became ready. */
     private val readyKeys = ArrayDeque<SelectionKey>()
 
     /**
-     * Tasks from other threads, which are messages of other controllers. They go before all else, since an election
-     * must not wait behind hundreds of workers that look for the leader.
+     * Tasks submitted by other threads: messages of other controllers. They run before all other tasks, because an
+     * election must not wait behind hundreds of workers that look for the leader.
      */
     private val tasksFromOtherThreads = ConcurrentLinkedQueue<Runnable>()
     private val timers = PriorityQueue<Timer>()
     private var nextTimerSequence = 0L
     private var thread: Thread? = null
 
-    /** When the current pass ends, so that the state service is looked at again; in nanoseconds. */
+    /** When the current pass ends and the selector is polled again, as a value of `System.nanoTime()`. */
     private var passDeadlineNs = 0L
 
-    /** Scratch space for reads; only this thread's. */
+    /** Shared buffer for socket reads; used only on the loop's thread. */
     val readBuffer: ByteBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES)
 
-    /** Registers [channel]; must be called on the loop's thread. */
+    /** Registers [channel] for the operations [interest]. Must be called on the loop's thread. */
     fun register(channel: SelectableChannel, interest: Int, listener: ReadyListener): SelectionKey {
         channel.configureBlocking(false)
         return channel.register(selector, interest, Registration(listener))
     }
 
-    /** Queues [task] at [priority]; must be called on the loop's thread. */
+    /** Queues [task] at [priority]. Must be called on the loop's thread. */
     fun submit(priority: TaskPriority, task: Runnable) = taskQueue.add(priority, task)
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
@@ -89,7 +88,7 @@
     override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
         val resumeTask =
             if (continuation.context[TaskPriorityElement]?.priority == TaskPriority.IDLE) {
-                Runnable { continuation.resume(Unit) } // queued, since something else may be due by then
+                Runnable { continuation.resume(Unit) } // queued, because tasks of higher priority may be queued by then
             } else {
                 Runnable { with(continuation) { resumeUndispatched(Unit) } }
             }
@@ -97,7 +96,7 @@
         continuation.invokeOnCancellation { handle.dispose() }
     }
 
-    /** Runs [block] after [delayMs], before all that is queued; must be called on the loop's thread. */
+    /** Runs [block] after [delayMs], before all queued tasks. Must be called on the loop's thread. */
     fun runAfter(delayMs: Long, block: () -> Unit): DisposableHandle {
         val timer = newTimer(delayMs, block)
         timers.add(timer)
@@ -121,7 +120,7 @@
         return DisposableHandle { timer.isCancelled = true }
     }
 
-    /** Runs on the calling thread for as long as the process lives. */
+    /** Runs the loop on the calling thread; never returns. */
     fun run() {
         thread = Thread.currentThread()
         while (true) {
@@ -140,8 +139,9 @@
         !taskQueue.isEmpty() || !tasksFromOtherThreads.isEmpty() || readyKeys.isNotEmpty()
 
     /**
-     * Serves channels that are ready: those that leadership depends on at once, the others in the order in which they
-     * became ready and up to a bound, so that hundreds of heartbeats cannot delay a renewal of the leader lease.
+     * Serves ready channels. Those that leadership depends on are served first and always. At most
+     * [MAX_CHANNELS_PER_PASS] of the others are served, in the order in which they became ready, so that hundreds of
+     * heartbeats cannot delay a renewal of the leader lease.
      */
     private fun serveReadyChannels() {
         for (key in selector.selectedKeys()) {
@@ -176,8 +176,9 @@
     }
 
     /**
-     * Runs what is queued, most important first and up to a bound, so that sockets are served too. Timers, on which
-     * renewals of the leader lease depend, and other controllers' messages go between any two tasks.
+     * Runs queued tasks, those of the highest priority first. Runs at most [MAX_TASKS_PER_PASS], so that sockets are
+     * served too. Between any two tasks, due timers and other controllers' messages run, because renewals of the leader
+     * lease depend on the timers.
      */
     private fun runQueuedTasks() {
         repeat(MAX_TASKS_PER_PASS) {
@@ -206,17 +207,19 @@
         const val MAX_TASKS_PER_PASS = 16
 
         /**
-         * Whatever is counted, a pass ends when it has taken this long. A failover is a dozen messages one after the
-         * other; on a few hundredths of a core, with code that runs for the first time and all workers connecting,
-         * passes bounded by counts alone took half a second each and a failover ten seconds.
+         * Ends a pass after this time, whatever the counts allow. A failover consists of a dozen messages in sequence.
+         * On a few hundredths of a core, while code runs for the first time and all workers connect, passes limited
+         * only by counts took half a second each and a failover ten seconds.
          */
         const val MAX_PASS_MS = 25L
 
-        /** Channels that are read from in one pass; what they bring is queued by priority. */
+        /** Channels that are read in one pass. Requests read from them are queued by priority. */
         const val MAX_CHANNELS_PER_PASS = 16
 
-        /** The longest wait without anything to do. */
+        /** The longest wait for ready channels. */
         const val MAX_SELECT_MS = 10_000L
+
+        /** Keeps the conversion to nanoseconds from overflowing. */
         const val MAX_DELAY_MS = 1L shl 40
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
@@ -3,14 +3,14 @@
 import kotlinx.coroutines.DisposableHandle
 import org.chalkhollow.settings.Address
 
-/** How a request ended. */
+/** The outcome of an HTTP request. */
 sealed interface HttpResult {
     class Response(val status: Int, val body: ByteArray) : HttpResult
 
-    /** It certainly never left this process. */
+    /** The request was certainly not sent. */
     data object NotSent : HttpResult
 
-    /** It may or may not have been executed: nothing came back, or nothing that is HTTP. */
+    /** The request may or may not have been executed: there was no response, or none that is valid HTTP. */
     data object NoResponse : HttpResult
 }
 
@@ -32,7 +32,10 @@
     private var isClosed = false
     private val canKeepIdle: Boolean get() = !isClosed && idle.size < maxIdleConnections
 
-    /** Sends a request; [onResult] is called once, on the loop's thread, after [timeoutMs] at the latest. */
+    /**
+     * Sends a request. [onResult] is called once on the loop's thread. The result is [HttpResult.NoResponse] if there
+     * is no response [timeoutMs] after sending.
+     */
     fun request(method: String, path: String, body: ByteArray?, timeoutMs: Long, onResult: (HttpResult) -> Unit) {
         val exchange = Exchange(HttpWriter.request(method, host, path, body), timeoutMs, onResult)
         val connection = idleConnection()
@@ -43,7 +46,7 @@
         }
     }
 
-    /** Closes the idle connections, and each other as soon as its request has ended. */
+    /** Closes idle connections at once and every other connection when its request has ended. */
     fun close() {
         isClosed = true
         while (true) (idle.removeLastOrNull() ?: return).close()
@@ -66,7 +69,9 @@
         private var current: Exchange? = null
         private var timeout: DisposableHandle? = null
 
-        /** False when the peer has closed, or has sent something that no request asked for. */
+        /**
+         * Whether another request can be sent: the peer has neither closed the connection nor sent unrequested data.
+         */
         val isUsable: Boolean get() = !socket.hasEnded && messages.bufferedBytes == 0
 
         init {
@@ -90,7 +95,7 @@
                     keep = !message.head.framing.closesConnection,
                 )
             } catch (expected: Exception) {
-                // No HTTP, or too much of it. Not only IOException: the parser has exceptions of its own.
+                // Not valid HTTP, or too large. Not only IOException: the parser throws its own exceptions.
                 end(HttpResult.NoResponse, keep = false)
             }
         }
@@ -112,7 +117,7 @@
     private companion object {
         const val CONNECT_TIMEOUT_MS = 1000L
 
-        /** Shared by all clients: they run on one thread, and services repeat the heads of their responses. */
+        /** Shared by all clients: they run on one thread, and the heads of services' responses repeat. */
         val responseHeads = HeadReader.ofResponses()
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
@@ -3,9 +3,9 @@
 import org.chalkhollow.settings.Address
 
 /**
- * A small HTTP/1.1 server on an [EventLoop] with the parser of Ktor's CIO engine: persistent connections, no
- * pipelining, bodies bounded, connections bounded by [maxConnections], and slow or idle ones closed. [clock] is a
- * steady clock in milliseconds.
+ * A small HTTP/1.1 server on an [EventLoop] that uses the parser of Ktor's CIO engine. Connections are persistent and
+ * without pipelining. Body sizes and the number of connections ([maxConnections]) are limited. Idle connections and
+ * those of clients that read too slowly are closed. [clock] returns monotonic time in milliseconds.
  */
 class HttpServer(
     private val loop: EventLoop,
@@ -14,15 +14,15 @@
     private val clock: () -> Long,
     private val events: Events,
 ) {
-    /** Callbacks for what the server does. */
+    /** Callbacks of the server. */
     interface Events {
-        /** A connection is about to be accepted. */
+        /** Called before a connection is added. */
         fun beforeAccept()
 
-        /** Makes what handles the requests of a new connection. */
+        /** Creates the handler for the requests of a new connection. */
         fun newHandler(): HttpHandler
 
-        /** A request was dropped before it was handled, since its client had disconnected or timed out. */
+        /** A queued request was shed, because its client had disconnected or timed out. */
         fun onShed(priority: TaskPriority)
     }
 
@@ -37,14 +37,14 @@
             override fun onShed(priority: TaskPriority) = events.onShed(priority)
         }
 
-    /** How many connections are open. */
+    /** The number of open connections. */
     val connectionCount: Int get() = connections.size
     private val isFull: Boolean get() = connections.size >= maxConnections
 
-    /** When [closeIdle] last ran. */
+    /** When [closeIdle] last ran, by [clock]. */
     private var sweptAtMs = 0L
 
-    /** Binds the port and serves; throws `IOException` when the port is taken. */
+    /** Binds the port and accepts connections. Throws `IOException` when the port is in use. */
     fun start() {
         TcpConnection.listen(loop, address, BACKLOG, ::onAccepted)
         scheduleSweep()
@@ -78,7 +78,7 @@
         const val SWEEP_INTERVAL_MS = 5000L
         const val MAX_IDLE_MS = 90_000L
 
-        // With no connection to spare, idle ones are closed sooner, but not looked for at every attempt.
+        // At the connection limit, idle connections are closed sooner, but not searched for at every new connection.
         const val MIN_FULL_SWEEP_INTERVAL_MS = 500L
         const val MAX_IDLE_WHEN_FULL_MS = 15_000L
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
@@ -2,27 +2,27 @@
 
 import org.chalkhollow.model.HttpStatus
 
-/** Takes the answer to a request, now or later, and only once. */
+/** Receives the response to a request. Called exactly once, immediately or later. */
 fun interface HttpResponder {
     fun respond(response: HttpResponse)
 }
 
 /** Handles the requests of one connection, one at a time. */
 interface HttpHandler {
-    /** At which priority a request is queued. */
+    /** The priority at which a request is queued. */
     fun priorityOf(head: RequestHead): TaskPriority
 
-    /** How long the client waits for an answer, in milliseconds: later, an answer is of no use. */
+    /** How long the client waits for a response, in milliseconds. A later response is useless. */
     fun clientTimeoutMs(head: RequestHead): Long
 
-    /** Handles [request] and answers by [responder], now or later. */
+    /** Handles [request] and responds through [responder], now or later. */
     fun handle(request: HttpMessage<RequestHead>, responder: HttpResponder)
 }
 
 /**
- * One connection of the [HttpServer]: queues each request at its priority and sends the answer. Requests are not
- * pipelined; one that arrives before the answer to the last is kept. It costs no coroutine, since there are hundreds of
- * connections and the requests of workers are most of what a leader does.
+ * One connection of the [HttpServer]. Queues each request at its priority and sends the response. Requests are not
+ * pipelined: one that arrives early is buffered until the response to the previous one is sent. Uses callbacks instead
+ * of a coroutine, because there are hundreds of connections and workers' requests are most of a leader's load.
  */
 internal class HttpServerConnection(
     private val socket: TcpConnection,
@@ -33,7 +33,7 @@
 ) : TcpConnection.Receiver,
     HttpResponder,
     Runnable {
-    /** Callbacks for the end of the connection and of its requests. */
+    /** Callbacks for closed connections and shed requests. */
     interface Events {
         fun onClosed(connection: HttpServerConnection)
 
@@ -41,11 +41,11 @@
         fun onShed(priority: TaskPriority)
     }
 
-    /** When it last sent something or was answered, by the steady clock in milliseconds. */
+    /** When the client last sent data or was sent a response; monotonic. */
     var lastActiveMs = SystemClocks.monotonicMs()
         private set
 
-    /** Whether a request is queued or waits for its answer. */
+    /** Whether a request is queued or has no response yet. */
     val isHandling: Boolean get() = current != null
     private val messages = MessageAssembler(heads, MAX_BODY_BYTES)
     private var current: HttpMessage<RequestHead>? = null
@@ -65,7 +65,7 @@
 
     override fun onEnd() {
         events.onClosed(this)
-        socket.close() // the peer's end is only one side of it
+        socket.close() // the peer may have closed only its own direction
     }
 
     private fun takeRequest() {
@@ -78,12 +78,12 @@
             socket.send(HttpWriter.response(HttpResponse(HttpStatus.CONTENT_TOO_LARGE, null), closesConnection = true))
             socket.closeAfterSending()
         } catch (expected: Exception) {
-            // The peer does not speak HTTP. Not only IOException: the parser has exceptions of its own.
+            // Not valid HTTP. Not only IOException: the parser throws its own exceptions.
             socket.close()
         }
     }
 
-    /** Handles the current request, unless its client has disconnected or timed out. */
+    /** Handles the current request, or sheds it if its client has disconnected or timed out. */
     override fun run() {
         val request = current ?: return
         val timedOut = SystemClocks.monotonicMs() - arrivedAtMs > handler.clientTimeoutMs(request.head)
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
@@ -2,21 +2,24 @@
 
 import org.chalkhollow.model.HttpStatus
 
-/** The answer to a request; [retryAfterS] of 0 asks for nothing. */
+/** A response to a request. [retryAfterS] is the `Retry-After` header in seconds; 0 omits it. */
 class HttpResponse(
     val status: Int,
     val body: ByteArray?,
     val retryAfterS: Int = 0,
     val contentType: String = HttpWriter.MESSAGE_PACK,
 ) {
-    /** Whether [other] is encoded to the same bytes, as far as that shows without comparing bodies. */
+    /**
+     * Whether [other] has the same encoding. Compares bodies only by reference, so false is possible for equal ones.
+     */
     internal fun hasSameContent(other: HttpResponse): Boolean =
         body === other.body && status == other.status && retryAfterS == other.retryAfterS &&
             contentType == other.contentType
 }
 
 /**
- * Encodes requests and answers. Answers to heartbeats that carry no commands are all the same and encoded once.
+ * Encodes requests and responses. Keeps the last encoded response, because responses to heartbeats without commands are
+ * identical.
  */
 internal object HttpWriter {
     const val MESSAGE_PACK = "application/msgpack"
@@ -38,7 +41,7 @@
             HttpStatus.UNAVAILABLE to "Service Unavailable",
         )
 
-    /** A request with the [body], if there is one, as MessagePack. */
+    /** Encodes a request; [body] is MessagePack, or null for none. */
     fun request(method: String, host: String, path: String, body: ByteArray?): ByteArray {
         val head = StringBuilder()
         head.append("$method $path HTTP/1.1$CRLF")
@@ -47,7 +50,7 @@
         return join(head, body ?: EMPTY)
     }
 
-    /** [response] encoded; the array may be returned again and must not be changed. */
+    /** Encodes [response]. The array may be returned again, so callers must not change it. */
     fun response(response: HttpResponse, closesConnection: Boolean): ByteArray {
         if (closesConnection) return encode(response, closesConnection = true)
         lastEncoded?.let { if (response.hasSameContent(it.response)) return it.bytes }
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageAssembler.kt
@@ -8,32 +8,32 @@
 import java.io.IOException
 import java.util.Arrays
 
-/** A message that has arrived in full. */
+/** A complete HTTP message. */
 class HttpMessage<H : MessageHead>(val head: H, val body: ByteArray)
 
-/** A body is larger than the bound for bodies. */
-class BodyTooLargeException : IOException("a body is too large")
+/** The body of a message exceeds the size limit. */
+class BodyTooLargeException : IOException("HTTP message body exceeds the size limit")
 
-/** Puts the messages of one connection together from what arrives, in bodies of at most [maxBodyBytes] bytes. */
+/** Assembles the HTTP messages of one connection from the received bytes. A body has at most [maxBodyBytes] bytes. */
 internal class MessageAssembler<H : MessageHead>(private val heads: HeadReader<H>, private val maxBodyBytes: Int) {
     private var buffer = EMPTY
 
-    /** How much has arrived that no message was made of yet. */
+    /** The number of received bytes that were not yet returned as part of a message. */
     var bufferedBytes = 0
         private set
 
-    /** The head of the message that arrives, once it is complete. */
+    /** The head of the current message, once it is complete. */
     private var head: H? = null
 
-    /** The head of the message before, which is mostly repeated. */
+    /** The head of the previous message. Most messages on a connection repeat it. */
     private var lastHead: H? = null
+
+    /** Up to where the buffer holds no end of a head. */
     private var searchedTo = 0
 
-    /** Adds the first [count] of [bytes], which may change afterwards. */
+    /** Adds the first [count] bytes of [bytes]. The array may be reused afterwards. */
     fun add(bytes: ByteArray, count: Int) {
-        if (bufferedBytes + count >
-            buffer.size
-        ) {
+        if (bufferedBytes + count > buffer.size) {
             buffer = buffer.copyOf(maxOf(bufferedBytes + count, bufferedBytes * 2, MIN_BUFFER_BYTES))
         }
         bytes.copyInto(buffer, bufferedBytes, 0, count)
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The next message when all of it has arrived, or null. Throws [BodyTooLargeException], and `IOException` or the
-     * exceptions of the parser when it is not HTTP.
+     * Returns the next message, or null if it is not complete. Throws [BodyTooLargeException], and `IOException` or an
+     * exception of the parser if the bytes are not valid HTTP.
      */
     fun next(): HttpMessage<H>? {
         val head = head ?: readHead() ?: return null
@@ -56,7 +56,7 @@
         if (repeated != null && repeated.isPrefixOf(buffer, bufferedBytes)) return repeated.also { head = it }
         val end = endOfHead()
         if (end < 0) {
-            if (bufferedBytes > MAX_HEAD_BYTES) throw IOException("the head of a message is too long")
+            if (bufferedBytes > MAX_HEAD_BYTES) throw IOException("HTTP message head exceeds $MAX_HEAD_BYTES bytes")
             return null
         }
         return heads.read(buffer, end).also {
@@ -71,10 +71,10 @@
         return -1
     }
 
-    /** The body, when all of it is there; what follows it is kept for the next message. */
+    /** Returns the body, or null if it is not complete. Bytes after it stay in the buffer. */
     private fun readBody(head: H): ByteArray? {
         if (head.framing.isChunked) return readChunked(head)
-        val length = head.framing.bodyLength ?: throw IOException("the length of a body is invalid")
+        val length = head.framing.bodyLength ?: throw IOException("invalid Content-Length header")
         if (length > maxBodyBytes) throw BodyTooLargeException()
         val until = head.size + length.toInt()
         if (bufferedBytes < until) return null
@@ -83,14 +83,14 @@
 
     private fun readChunked(head: H): ByteArray? {
         val body = if (hasLastChunk(head.size)) decodeChunks(buffer.copyOfRange(head.size, bufferedBytes)) else null
-        // Chunks come with little beside what they carry.
+        // Twice the limit leaves room for the framing of the chunks, which is small.
         val tooLarge = if (body == null) bufferedBytes - head.size > 2 * maxBodyBytes else body.size > maxBodyBytes
         if (tooLarge) throw BodyTooLargeException()
         if (body != null) consume(bufferedBytes)
         return body
     }
 
-    /** Whether the chunk without content, which comes last, has arrived, with what may follow it. */
+    /** Whether the last chunk, which has length 0, and any trailer after it have arrived. */
     private fun hasLastChunk(from: Int): Boolean {
         if (!hasBytesBefore(bufferedBytes, CRLF)) return false
         var at = from
@@ -98,13 +98,13 @@
             val lineEnd = (at until bufferedBytes).firstOrNull { buffer[it] == CRLF[0] } ?: return false
             val length =
                 String(buffer, at, lineEnd - at).substringBefore(';').trim().toIntOrNull(HEX_RADIX) ?: return true
-            if (length <= 0) return true // the parser judges what is malformed
+            if (length <= 0) return true // the last chunk, or malformed, which the parser detects
             at = lineEnd + CRLF.size + length + CRLF.size
         }
         return false
     }
 
-    /** What the chunks in [raw] carry. */
+    /** Returns the content of the chunks in [raw]. */
     private fun decodeChunks(raw: ByteArray): ByteArray {
         val decoded = ByteChannel(autoFlush = true)
         return HeadReader.runWithoutSuspending {
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Whether the bytes right before index [until] of what has arrived are [end]. */
+    /** Whether the buffer has the bytes [end] right before index [until]. */
     private fun hasBytesBefore(until: Int, end: ByteArray): Boolean =
         until >= end.size && Arrays.equals(buffer, until - end.size, until, end, 0, end.size)
 
@@ -128,7 +128,7 @@
     private companion object {
         const val MAX_HEAD_BYTES = 16 * 1024
 
-        /** A larger buffer is not kept between messages. */
+        /** A larger buffer is released when it is empty. */
         const val MAX_KEPT_BUFFER_BYTES = 4 * 1024
         const val MIN_BUFFER_BYTES = 512
         const val HEX_RADIX = 16
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
@@ -11,12 +11,12 @@
 import kotlin.coroutines.EmptyCoroutineContext
 import kotlin.coroutines.startCoroutine
 
-/** Where the body of a message ends, and whether the connection ends with the message. */
+/** How the body of a message is delimited, and whether the connection ends after the message. */
 class Framing(
-    /** Whether the connection is to be closed after the exchange. */
+    /** Whether the connection must be closed after the response. */
     val closesConnection: Boolean,
     val isChunked: Boolean,
-    /** The length of the body in bytes; null when the header is invalid, or when the body is [isChunked]. */
+    /** In bytes; 0 without a `Content-Length` header, null if that header is invalid or the body is chunked. */
     val bodyLength: Long?,
 ) {
     internal companion object {
@@ -40,31 +40,32 @@
     }
 }
 
-/** The first line of a message and what its headers say of its body. */
+/** The start line of a message and what its headers say about its body. [bytes] is the encoded head. */
 sealed class MessageHead(val framing: Framing, private val bytes: ByteArray) {
-    /** How many bytes it has, with the empty line that ends it. */
+    /** The length of the head in bytes, including the empty line at its end. */
     val size: Int get() = bytes.size
 
-    /** Whether the first [count] of [buffer] begin with this head. */
+    /** Whether the first [count] bytes of [buffer] start with this head. */
     fun isPrefixOf(buffer: ByteArray, count: Int): Boolean =
         count >= bytes.size && Arrays.equals(buffer, 0, bytes.size, bytes, 0, bytes.size)
 }
 
-/** The head of a request. */
 class RequestHead(val method: String, val path: String, framing: Framing, bytes: ByteArray) :
     MessageHead(framing, bytes)
 
-/** The head of a response. */
 class ResponseHead(val status: Int, framing: Framing, bytes: ByteArray) : MessageHead(framing, bytes)
 
 /**
- * Reads the heads of messages by Ktor's parser. Workers and services repeat theirs, byte for byte, so those that were
- * read lately are kept and not read again: parsing was the largest part of what a heartbeat costs.
+ * Reads the heads of messages with Ktor's parser and caches them. Workers and services send the same heads again byte
+ * for byte, and parsing was the largest part of the cost of a heartbeat.
  */
 class HeadReader<H : MessageHead> private constructor(private val parse: suspend (ByteArray) -> H) {
     private val cached = HashMap<ByteBuffer, H>()
 
-    /** The head in the first [size] of [bytes], with the empty line that ends it; throws when it is malformed. */
+    /**
+     * Returns the head in the first [size] bytes of [bytes], which include the empty line at its end. Throws if it is
+     * malformed.
+     */
     fun read(bytes: ByteArray, size: Int): H {
         cached[ByteBuffer.wrap(bytes, 0, size)]?.let { return it }
         val copy = bytes.copyOf(size)
@@ -75,7 +76,10 @@
     }
 
     companion object {
-        /** A body's length is part of the head, so there are a few for each number of tasks on a machine. */
+        /**
+         * Heads contain the length of the body, so there are a few different heads for each number of tasks on a
+         * machine. The cache is cleared when it is full.
+         */
         private const val MAX_CACHED_HEADS = 1024
 
         fun ofRequests(): HeadReader<RequestHead> = HeadReader(::parseRequestHead)
@@ -83,22 +87,22 @@
         fun ofResponses(): HeadReader<ResponseHead> = HeadReader(::parseResponseHead)
 
         private suspend fun parseRequestHead(bytes: ByteArray): RequestHead {
-            val request = parseRequest(ByteReadChannel(bytes)) ?: throw IOException("no request")
+            val request = parseRequest(ByteReadChannel(bytes)) ?: throw IOException("HTTP request line is missing")
             val framing = Framing.of(request.headers)
             return RequestHead(request.method.value, request.uri.toString(), framing, bytes).also { request.release() }
         }
 
         private suspend fun parseResponseHead(bytes: ByteArray): ResponseHead {
-            val response = parseResponse(ByteReadChannel(bytes)) ?: throw IOException("no response")
+            val response = parseResponse(ByteReadChannel(bytes)) ?: throw IOException("HTTP status line is missing")
             val framing = Framing.of(response.headers)
             return ResponseHead(response.status, framing, bytes).also { response.release() }
         }
 
-        /** Runs [block], which must not have to wait for anything. */
+        /** Runs [block], which must not suspend, to its end. */
         internal fun <T> runWithoutSuspending(block: suspend () -> T): T {
             var result: Result<T>? = null
             block.startCoroutine(Continuation(EmptyCoroutineContext) { result = it })
-            return checkNotNull(result) { "suspended" }.getOrThrow()
+            return checkNotNull(result) { "parsing suspended although all bytes were available" }.getOrThrow()
         }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
@@ -7,8 +7,9 @@
 import org.chalkhollow.core.operations.ControllerGauges
 
 /**
- * Counts and times by plain numbers and HdrHistogram; Micrometer's registry is set up when metrics are first read,
- * since that costs processor time which a start does not have. The names of metrics are an interface to operators.
+ * Collects counts in plain fields and durations in HdrHistograms. Micrometer's registry is created when metrics are
+ * first read, because creating it takes processor time that a starting controller needs. Metric names are an interface
+ * to operators.
  */
 class Metrics {
     private val responses = Int2LongOpenHashMap()
@@ -20,41 +21,41 @@
     private val histograms = LinkedHashMap<String, Histogram>()
     private val registry by lazy { newRegistry() }
 
-    /** A request was answered with [status]. */
+    /** Counts a response with [status]. */
     fun countResponse(status: Int) {
         responses.addTo(status, 1)
     }
 
-    /** A heartbeat that could not be read. */
+    /** Counts a heartbeat that could not be decoded. */
     fun countMalformedHeartbeat() {
         malformedHeartbeats++
     }
 
-    /** A request was dropped before it was handled, since its client had disconnected or timed out. */
+    /** Counts a queued request that was shed, because its client had disconnected or timed out. */
     fun countShed(priority: TaskPriority) {
         shed[priority.ordinal]++
     }
 
-    /** A frame from another controller that could not be read. */
+    /** Counts a frame from another controller that could not be decoded. */
     fun countMalformedFrame() {
         malformedFrames++
     }
 
-    /** A frame from another controller of a kind that this version does not know. */
+    /** Counts a frame from another controller of a kind that this version does not know. */
     fun countUnknownFrame() {
         unknownFrames++
     }
 
-    /** A reply of the state service, the cloud or a worker that could not be read. */
+    /** Counts a reply of the state service, the cloud or a worker that could not be decoded. */
     fun countMalformedReply() {
         malformedReplies++
     }
 
-    /** How long something of this [kind] took, in microseconds. */
+    /** Records a duration of [kind] in microseconds. */
     fun recordDuration(kind: String, micros: Long) =
         histograms.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
 
-    /** All metrics, one a line. */
+    /** All metrics in the text format of Prometheus, one per line. */
     fun text(gauges: ControllerGauges): String =
         buildString {
             appendGauges(gauges)
--- a/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
@@ -6,19 +6,19 @@
 import org.chalkhollow.core.operations.StatusView
 import org.chalkhollow.model.HttpStatus
 
-/** What operators and their monitoring read: whether a controller is up, metrics, and status as JSON. */
+/** HTTP endpoints for operators and monitoring: health, metrics, and status as JSON. */
 internal class OperatorEndpoints(private val controller: Controller, private val metrics: Metrics) {
-    /** `/up`: whether this controller takes requests. */
+    /** `/up`: whether this controller accepts requests. */
     fun up(): HttpResponse =
         HttpResponse(if (controller.takesRequests(SystemClocks.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE, null)
 
-    /** `/metrics` in the text format of Prometheus. */
+    /** `/metrics`, in the text format of Prometheus. */
     fun metrics(): HttpResponse {
         val text = metrics.text(controller.gauges)
         return HttpResponse(HttpStatus.OK, text.encodeToByteArray(), contentType = "text/plain; version=0.0.4")
     }
 
-    /** What is under `/ops/`, in JSON; see `status` on the command line. */
+    /** Paths under `/ops/`, as JSON; used by the `status` command. */
     fun operations(path: String): HttpResponse {
         val json =
             when {
@@ -36,7 +36,7 @@
     private companion object {
         const val JOBS_PREFIX = "jobs/"
 
-        /** Scripts find every field, also those with nothing in them. */
+        /** Writes fields with default values too, so that scripts find every field. */
         val JSON = Json { encodeDefaults = true }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
@@ -3,22 +3,22 @@
 import kotlin.coroutines.AbstractCoroutineContextElement
 import kotlin.coroutines.CoroutineContext
 
-/** What a task on the [EventLoop] serves, most important first. */
+/** The priorities of tasks on the [EventLoop], highest first. */
 enum class TaskPriority {
-    /** Leadership: the state service, other controllers, timers. The priority of tasks that name none. */
+    /** Work that leadership depends on: the state service, other controllers, timers. The default. */
     CONTROL,
 
-    /** A worker, whose lease depends on an answer in time. */
+    /** Workers' requests. A worker must get its responses in time to keep its lease. */
     WORKER,
 
-    /** A user. */
+    /** Users' and operators' requests. */
     USER,
 
-    /** Only when there is nothing else to do. */
+    /** Runs only when nothing else is queued. */
     IDLE,
 }
 
-/** The priority of a coroutine's tasks. */
+/** Sets the priority of a coroutine's tasks. */
 class TaskPriorityElement(val priority: TaskPriority) : AbstractCoroutineContextElement(Key) {
     companion object Key : CoroutineContext.Key<TaskPriorityElement>
 }
@@ -45,13 +45,13 @@
         }.addLast(task)
     }
 
-    /** Whether work waits that is done only when there is nothing else to do. */
+    /** Whether an idle task is queued. */
     val hasIdle: Boolean get() = idle.isNotEmpty()
 
-    /** Whether nothing but idle work waits. */
+    /** Whether no task other than idle tasks is queued. */
     fun isEmpty(): Boolean = control.isEmpty() && workers.isEmpty() && users.isEmpty()
 
-    /** The next task, or null when nothing but idle work waits. */
+    /** Removes and returns the next task; null if only idle tasks or none are queued. */
     fun take(): Runnable? = control.removeFirstOrNull() ?: takeUser() ?: takeWorker() ?: users.removeFirstOrNull()
 
     fun takeIdle(): Runnable? = idle.removeFirstOrNull()
@@ -64,7 +64,7 @@
     private fun takeWorker(): Runnable? = workers.removeFirstOrNull()?.also { workerTasksSinceUserTask++ }
 
     companion object {
-        /** Heartbeats that go between two users' requests while both wait. */
+        /** Worker tasks that run between two user tasks while both are queued. */
         const val WORKER_TASKS_PER_USER_TASK = 2
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -9,21 +9,24 @@
 import org.chalkhollow.wire.MalformedMessageException
 import org.slf4j.Logger
 
-/** What the [RequestRouter]s of all connections share. */
+/** Shared by the [RequestRouter]s of all connections. */
 internal class RouterContext(
     val controller: Controller,
     val pendingRequests: PendingRequests,
     val metrics: Metrics,
     val log: Logger,
-    /** Bounds how often malformed messages are logged; the metrics count them all. */
+    /** Limits how often malformed messages are logged. The metrics count all of them. */
     @Suppress("UnstableApiUsage") val malformedLogLimiter: RateLimiter,
-    /** Steps the controller. */
+    /** Passes an input to the controller and executes the effects. */
     val step: (Input) -> Unit,
 ) {
     val endpoints = OperatorEndpoints(controller, metrics)
 }
 
-/** Turns the requests of a user, a worker or an operator on one connection into inputs of the controller. */
+/**
+ * Routes the requests on one connection of a user, a worker or an operator: turns them into inputs of the controller or
+ * responds directly.
+ */
 internal class RequestRouter(private val context: RouterContext) : HttpHandler {
     private val heartbeatReader = HeartbeatReader()
 
@@ -58,11 +61,7 @@
         val endpoints = context.endpoints
         when {
             path == HEARTBEAT_PATH ->
-                requireMethod(
-                    POST,
-                    method,
-                    responder,
-                ) { handleHeartbeat(request.body, responder) }
+                requireMethod(POST, method, responder) { handleHeartbeat(request.body, responder) }
             path == "/up" -> requireMethod(GET, method, responder) { responder.respond(endpoints.up()) }
             path == "/work" -> requireMethod(POST, method, responder) { handleSubmission(request.body, responder) }
             path.startsWith(JOB_PREFIX) -> handleJobRequest(method, path.substring(JOB_PREFIX.length), responder)
@@ -79,7 +78,10 @@
         if (method == allowed) then() else responder.respond(HttpResponse(HttpStatus.METHOD_NOT_ALLOWED, null))
     }
 
-    /** A controller that does not lead names the leader whatever a heartbeat says, so it need not decode it. */
+    /**
+     * Only the leader decodes heartbeats: a follower responds with the leader's address whatever the heartbeat
+     * contains.
+     */
     private fun handleHeartbeat(body: ByteArray, responder: HttpResponder) {
         if (!context.controller.isLeader(SystemClocks.now())) return step(responder) { Input.UnreadHeartbeat(it) }
         val heartbeat =
@@ -88,7 +90,7 @@
             } catch (e: MalformedMessageException) {
                 context.metrics.countMalformedHeartbeat()
                 if (context.malformedLogLimiter.tryAcquire()) {
-                    context.log.warn("malformed heartbeat from a worker: {}", e.message)
+                    context.log.warn("malformed heartbeat from a worker, rejected with 400: {}", e.message)
                 }
                 return responder.respond(HttpResponse(HttpStatus.BAD_REQUEST, null))
             }
@@ -98,7 +100,7 @@
     private fun handleSubmission(body: ByteArray, responder: HttpResponder) {
         val request = UserRequest.ofSubmission(body)
         if (request == null) {
-            context.log.debug("malformed submission without a job id")
+            context.log.debug("malformed submission without a readable job id, rejected with 400")
             return responder.respond(HttpResponse(HttpStatus.BAD_REQUEST, null))
         }
         if (request is UserRequest.Invalid) {
@@ -133,7 +135,7 @@
         const val POST = "POST"
         const val RETRY_AFTER_S = 1
 
-        // How long the clients of the protocol wait for an answer before they turn elsewhere.
+        // How long clients wait for a response before they try another controller.
         const val HEARTBEAT_TIMEOUT_MS = 4000L
         const val QUERY_TIMEOUT_MS = 2000L
         const val SUBMISSION_TIMEOUT_MS = 5000L
--- a/src/main/kotlin/org/chalkhollow/runtime/ResponseDecoder.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ResponseDecoder.kt
@@ -3,9 +3,11 @@
 import org.chalkhollow.wire.MalformedMessageException
 import org.chalkhollow.wire.Pack
 
-/** Decodes responses of the services and of workers; [onMalformed] is called for each that is malformed. */
+/** Decodes replies of the services and of workers. Calls [onMalformed] for each malformed one. */
 class ResponseDecoder(private val onMalformed: (MalformedMessageException) -> Unit) {
-    /** What [decode] makes of a response, or [ifMalformed], which should say that there was no response. */
+    /**
+     * Returns the result of [decode], or [ifMalformed] if the reply is malformed; it should stand for a missing reply.
+     */
     inline fun <T> decode(ifMalformed: T, decode: () -> T): T =
         try {
             decode()
@@ -14,15 +16,15 @@
             ifMalformed
         }
 
-    /** Passes [e] on; public only because [decode] is inlined. */
+    /** Reports [e] to the listener. Public only because [decode] is inline. */
     fun reportMalformed(e: MalformedMessageException) = onMalformed(e)
 
-    /** The text of an error response, for people. */
+    /** The content of an error reply as text for log lines. */
     fun errorText(body: ByteArray): String =
         try {
             Pack.decode(body).toString().take(MAX_ERROR_TEXT_CHARS)
         } catch (expected: MalformedMessageException) {
-            "no reason given" // the status has said what matters
+            "no reason given" // the status is enough to handle the reply
         }
 
     private companion object {
--- a/src/main/kotlin/org/chalkhollow/runtime/StateServiceClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/StateServiceClient.kt
@@ -13,10 +13,10 @@
  * gets [StateReply.Unavailable], which means that it was not executed.
  */
 class StateServiceClient(private val http: HttpClient, requestsPerS: Double, private val decoder: ResponseDecoder) {
-    @Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
+    @Suppress("UnstableApiUsage") // Guava's RateLimiter is marked @Beta
     private val rateLimiter = RateLimiter.create(requestsPerS)
 
-    /** Sends [op]; [onReply] is called once, possibly before this returns. */
+    /** Sends [op]. [onReply] is called once, possibly before this returns. */
     fun run(op: StateOp, onReply: (StateReply) -> Unit) {
         if (!rateLimiter.tryAcquire()) return onReply(StateReply.Unavailable)
         val onResult = { result: HttpResult -> onReply(reply(op, result)) }
@@ -70,7 +70,7 @@
         const val POST = "POST"
         const val TIMEOUT_MS = 1500L
 
-        /** Keys that a list is asked for at once. */
+        /** Keys in one page of a list. */
         const val PAGE_SIZE = 500
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/SystemClocks.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/SystemClocks.kt
@@ -2,15 +2,15 @@
 
 import org.chalkhollow.core.common.Now
 
-/** The clocks of this process. */
+/** The monotonic and the wall clock of this process. */
 internal object SystemClocks {
     const val NANOS_PER_MS = 1_000_000L
     const val NANOS_PER_MICRO = 1000L
 
-    /** The steady clock in milliseconds; only differences mean anything. */
+    /** Monotonic time in milliseconds from an arbitrary origin. */
     fun monotonicMs(): Long = System.nanoTime() / NANOS_PER_MS
 
-    /** Both clocks as the core takes them. */
+    /** Monotonic and wall-clock time, for inputs of the controller. */
     fun now(): Now = Now(monotonicMs(), System.currentTimeMillis())
 
     /** Microseconds since [sinceNs], which is a value of `System.nanoTime()`. */
--- a/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
@@ -10,26 +10,26 @@
 import java.nio.channels.SocketChannel
 
 /**
- * A TCP connection on an [EventLoop]. Both directions are bounded: a [Receiver] that cannot take more pauses reading,
- * and a peer that does not keep up with what is sent is cut off.
+ * A TCP connection on an [EventLoop]. Buffering is bounded in both directions: a [Receiver] pauses reading when it
+ * cannot take more, and the connection is closed when the peer does not read fast enough.
  */
 class TcpConnection private constructor(
     private val loop: EventLoop,
     private val channel: SocketChannel,
     override val isControl: Boolean = false,
 ) : EventLoop.ReadyListener {
-    /** Callbacks for what arrives on a connection. */
+    /** Callbacks for received data. */
     interface Receiver {
-        /** The first [size] of [bytes] have arrived; the array is used again after the call. */
+        /** The first [size] bytes of [bytes] were received. The array is reused after the call. */
         fun onBytes(bytes: ByteArray, size: Int)
 
-        /** Nothing more will arrive: the peer has closed, or the connection was closed or lost. */
+        /** No more data will arrive: the peer has closed its side, or the connection is closed or lost. */
         fun onEnd()
     }
 
     private var receiver: Receiver? = null
 
-    /** Called once when the attempt to connect has ended; [hasEnded] says whether it failed. */
+    /** Called once when connecting has succeeded or failed; [hasEnded] is true if it failed. */
     private var onConnectEnd: (() -> Unit)? = null
     private var unsent: ByteBuffer? = null
     private var isClosingAfterSending = false
@@ -40,23 +40,26 @@
     var hasEnded = false
         private set
 
-    /** Begins to hand what arrives to [receiver]. */
+    /** Starts reading; received data goes to [receiver]. */
     fun receive(receiver: Receiver) {
         this.receiver = receiver
         resumeReading()
     }
 
-    /** Reads no more until [resumeReading], so that the peer has to wait. */
+    /** Stops reading until [resumeReading], so that TCP flow control makes the peer wait. */
     fun pauseReading() = setInterest(SelectionKey.OP_READ, false)
 
     fun resumeReading() {
         if (!hasEnded) setInterest(SelectionKey.OP_READ, true)
     }
 
-    /** Sends all of [bytes], now or as soon as there is room. The array must not change afterwards. */
+    /**
+     * Sends all of [bytes], the rest later if the socket buffer is full. The array must not change afterwards. Closes
+     * the connection if bytes of an earlier call are still unsent.
+     */
     fun send(bytes: ByteArray) {
         if (isClosed) return
-        if (unsent != null) return close() // the peer does not keep up
+        if (unsent != null) return close() // the peer does not read fast enough
         val buffer = ByteBuffer.wrap(bytes)
         try {
             channel.write(buffer)
@@ -69,14 +72,14 @@
         }
     }
 
-    /** Closes the connection once what was sent has left. */
+    /** Closes the connection when all bytes are sent. */
     fun closeAfterSending() {
         if (unsent == null) close() else isClosingAfterSending = true
     }
 
-    /** Closes the connection at once; what was not sent yet is lost. */
+    /** Closes the connection at once; unsent bytes are lost. */
     fun close() {
-        // Not by whether the channel is open: one that cannot connect has closed itself, and its callback is still due.
+        // Not channel.isOpen: a channel that fails to connect closes itself, but onConnectEnd must still be called.
         if (isClosed) return
         isClosed = true
         key.cancel()
@@ -103,7 +106,7 @@
             if (key.isReadable) read()
             if (key.isValid && key.isWritable) flush()
         } catch (expected: Exception) {
-            close() // whatever the fault, it concerns this connection only, and must not end the loop
+            close() // a failure of one connection must not end the loop
         }
     }
 
@@ -143,7 +146,9 @@
     companion object {
         private const val MAX_ACCEPTED_PER_PASS = 4
 
-        /** Connects to [address]; [onResult] gets the connection, or null when there is none after [timeoutMs]. */
+        /**
+         * Connects to [address]. [onResult] gets the connection, or null if it fails or takes longer than [timeoutMs].
+         */
         fun connect(
             loop: EventLoop,
             address: Address,
@@ -170,7 +175,9 @@
             }
         }
 
-        /** Listens on [address] and hands every connection to [onAccepted]; throws `IOException` when it cannot. */
+        /**
+         * Listens on [address] and passes each connection to [onAccepted]. Throws `IOException` if it cannot listen.
+         */
         fun listen(loop: EventLoop, address: Address, backlog: Int, onAccepted: (TcpConnection) -> Unit) {
             val server = ServerSocketChannel.open()
             try {
@@ -183,7 +190,10 @@
             loop.register(server, SelectionKey.OP_ACCEPT, Acceptor(loop, server, onAccepted))
         }
 
-        /** The next connection; null when none waits, or when out of sockets, and the rest stays in the backlog. */
+        /**
+         * Returns the next connection. Returns null if none is pending or no socket is available; pending connections
+         * then stay in the backlog.
+         */
         private fun acceptFrom(server: ServerSocketChannel): SocketChannel? =
             try {
                 server.accept()
@@ -191,7 +201,6 @@
                 null
             }
 
-        /** Accepts connections to [server]. */
         private class Acceptor(
             private val loop: EventLoop,
             private val server: ServerSocketChannel,
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpMessages.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpMessages.kt
@@ -1,9 +1,9 @@
 package org.chalkhollow.runtime
 
-/** Made-up messages of users and workers for [ArchiveTrainingRun] and [WarmUpSimulation]; they stay in this process. */
+/** Made-up messages of users and workers for [ArchiveTrainingRun] and [WarmUpSimulation]. */
 internal object WarmUpMessages {
     const val TYPE = "warm-up"
-    private const val TASKS = 4
+    private const val TASK_COUNT = 4
     private const val DUE_S = 9.0
 
     fun job(id: String, team: String): Map<String, Any?> =
@@ -13,7 +13,7 @@
             "owner" to team,
             "shape" to "batch",
             "urgency" to "high",
-            "pieces" to TASKS,
+            "pieces" to TASK_COUNT,
             "vcpus" to 1.0,
             "cards" to 0.0,
             "memoryGb" to 1.0,
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
@@ -23,11 +23,11 @@
 import org.chalkhollow.wire.WorkerCodec
 
 /**
- * Simulates a small deployment for a controller of its own, in memory: election, heartbeats in their wire form, a job
- * from its submission to its end. Nothing of it leaves the process. It has two uses. The build's class data archive is
- * made of it; and a follower that has nothing else to do goes through it in small steps, because a failover is no time
- * to run code for the first time: every worker sends its heartbeat at once then, and code that had not run before took
- * over a second of processor time for that.
+ * Simulates a small deployment in memory, with a separate controller: an election, encoded heartbeats, and jobs from
+ * submission to end. Has no effect outside this object. Used in two places: [ArchiveTrainingRun], which builds the
+ * class data sharing archive, and followers, which run it in small steps while they have nothing else to do. During a
+ * failover all workers send their heartbeats at once, and code that had not run before took over a second of processor
+ * time for them.
  */
 internal class WarmUpSimulation(settings: PlatformSettings) {
     private val settings = settings.copy(peers = emptyList())
@@ -39,7 +39,7 @@
     private var nowMs = 0L
     private var nextStep = 0
 
-    /** One step: a tick, a few heartbeats and, now and then, a user's request. */
+    /** Runs one step: a tick, a few heartbeats and, in some steps, a user's request. */
     fun step() {
         nowMs += STEP_MS
         val step = nextStep++
@@ -114,7 +114,7 @@
     private companion object {
         const val STEP_MS = 100
 
-        // Call numbers of requests.
+        // Call numbers of the simulated requests.
         const val USER_CALL = 1
         const val WORKER_CALL = 2
         const val HEARTBEATS_PER_STEP = 3
@@ -125,7 +125,7 @@
         const val CANCEL_DELAY_STEPS = 35
         const val ID_DIGITS = 6
 
-        /** After so many heartbeats of a machine its tasks are of the next attempt. */
+        /** Heartbeats of a machine after which its tasks report the next attempt. */
         const val HEARTBEATS_PER_ATTEMPT = 8
 
         val MACHINE_TYPE =
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerClient.kt
@@ -6,9 +6,9 @@
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.WorkerCodec
 
-/** Direct commands to workers, over one kept connection each for as many workers as [clients] holds. */
+/** Sends direct commands to workers, over one persistent connection for each worker that [clients] has a client for. */
 class WorkerClient(private val clients: WorkerHttpClients, private val decoder: ResponseDecoder) {
-    /** Sends the commands of [effect]; [onReply] is called once, possibly before this returns. */
+    /** Sends the commands of [effect]. [onReply] is called once, possibly before this returns. */
     fun run(effect: Effect.WorkerCommand, onReply: (CommandReply) -> Unit) {
         val http = clients.clientOf(effect.address) ?: return onReply(CommandReply.NotSent)
         val body = Pack.encode(WorkerCodec.direct(effect.fencingToken, effect.epoch, effect.commands))
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
@@ -3,20 +3,20 @@
 import org.chalkhollow.settings.Address
 
 /**
- * One [HttpClient] with one kept connection for each worker that direct commands go to. At the largest sizes there are
- * fewer sockets than two a worker, so these are the ones to close: whenever the process holds more than [maxSockets],
- * the least recently used are closed. [otherSocketCount] counts the sockets held for everything else, which cannot be
- * closed.
+ * Keeps one [HttpClient] with one persistent connection for each worker that gets direct commands. The largest
+ * deployments have fewer than two sockets per worker, so these connections are closed when sockets run short: while the
+ * process uses more than [maxSockets], the least recently used ones are closed. [otherSocketCount] returns the number
+ * of sockets used for everything else, which cannot be closed.
  */
 class WorkerHttpClients(
     private val loop: EventLoop,
     private val maxSockets: Int,
     private val otherSocketCount: () -> Int,
 ) {
-    /** By address, least recently used first. */
+    /** By address; in access order, the least recently used first. */
     private val clients = LinkedHashMap<String, HttpClient>(INITIAL_CAPACITY, LOAD_FACTOR, true)
 
-    /** The client of the worker at [address], which is `host:port`; null for what is no address. */
+    /** The client of the worker at [address] (`host:port`); null if the address is malformed. */
     fun clientOf(address: String): HttpClient? {
         clients[address]?.let { return it }
         val port = address.substringAfterLast(':', "").toIntOrNull() ?: return null
@@ -25,7 +25,7 @@
             .also { clients[address] = it }
     }
 
-    /** Closes the least recently used until there is room for [sockets] more. */
+    /** Closes the least recently used clients until [count] more sockets can be opened. */
     fun freeSockets(count: Int) {
         val excess = clients.size + otherSocketCount() + count - maxSockets
         val leastRecentlyUsed = clients.values.iterator()
@@ -39,7 +39,7 @@
     private companion object {
         const val MAX_BODY_BYTES = 256 * 1024
 
-        // The defaults of LinkedHashMap, which has no constructor for access order without them.
+        // LinkedHashMap's defaults; its constructor for access order requires them.
         const val INITIAL_CAPACITY = 16
         const val LOAD_FACTOR = 0.75f
     }
--- a/src/test/kotlin/org/chalkhollow/runtime/HttpServerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/runtime/HttpServerTest.kt
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.CopyOnWriteArrayList
 
-/** The server and the links on loopback; nothing here depends on how long something takes, but a hang fails. */
+/** Runs the server and the client over loopback sockets. Assertions do not depend on timing; a hang fails the test. */
 @Timeout(60)
 class HttpServerTest {
     private val loop = EventLoop()
@@ -19,7 +19,7 @@
     private var clientTimeoutMs = 60_000L
     private val address = Address("127.0.0.1", freePort())
 
-    /** Requests that [handler] leaves unanswered, by path. */
+    /** Requests that [handler] does not respond to, by path. */
     private val unanswered = HashMap<String, HttpResponder>()
 
     private val handler =
@@ -56,7 +56,7 @@
 
     private fun freePort(): Int = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
 
-    /** Runs [block] on the loop's thread, which is made if there is none, and returns what it gives. */
+    /** Runs [block] on the loop's thread and returns its result. */
     private fun <T> onLoop(block: () -> T): T {
         val result = CompletableFuture<T>()
         loop.dispatch(kotlin.coroutines.EmptyCoroutineContext) { result.complete(block()) }
@@ -71,20 +71,20 @@
     private fun connect() = Socket().apply { connect(InetSocketAddress(address.host, address.port)) }
 
     @Test
-    fun `a connection whose peer has closed its side is closed on ours`() {
+    fun `the server closes a connection after the client has closed its side`() {
         startServer()
         connect().use { client ->
             client.getOutputStream().write("POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi".encodeToByteArray())
             val statusLine = client.getInputStream().readNBytes("HTTP/1.1 200 OK".length).decodeToString()
             assertEquals("HTTP/1.1 200 OK", statusLine)
             client.shutdownOutput()
-            client.getInputStream().readAllBytes() // returns only when the server has closed as well
+            client.getInputStream().readAllBytes() // returns only when the server has closed its side
             assertEquals(0, onLoop { server.connectionCount })
         }
     }
 
     @Test
-    fun `a request whose client has timed out is dropped and counted, not worked on`() {
+    fun `a request whose client has timed out is shed and counted, not handled`() {
         clientTimeoutMs = -1
         startServer()
         connect().use { client ->
@@ -95,7 +95,7 @@
     }
 
     @Test
-    fun `a client reuses its connection, and says when there is no response or no server`() {
+    fun `a client reuses its connection, and reports a missing response or server`() {
         startServer()
         val client = HttpClient(loop, address, 1000, 1, TaskPriority.USER)
         val results = List(2) { send(client, "/a", 10_000) }
--- a/src/test/kotlin/org/chalkhollow/runtime/MessageAssemblerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/runtime/MessageAssemblerTest.kt
@@ -7,18 +7,18 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Requests put together from bytes that arrive in any pieces. */
+/** Requests must be assembled correctly from bytes that arrive in pieces of any size. */
 class MessageAssemblerTest {
     private val headReader = HeadReader.ofRequests()
 
-    private fun newAssembler() = MessageAssembler(headReader, MAX_BODY)
+    private fun newAssembler() = MessageAssembler(headReader, MAX_BODY_BYTES)
 
     private fun MessageAssembler<RequestHead>.add(text: String) = text.encodeToByteArray().let { add(it, it.size) }
 
     private fun HttpMessage<RequestHead>.text() = "${head.method} ${head.path} ${body.decodeToString()}"
 
     @Test
-    fun `a request is there when its last byte is, and what follows is kept for the next`() {
+    fun `a request is complete at its last byte, and later bytes belong to the next request`() {
         val bytes = (HEARTBEAT_HEAD + "abc" + "GET /up HTTP/1.1\r\n\r\n").encodeToByteArray()
         val messages = newAssembler()
         val parsed = ArrayList<String>()
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `a head that is repeated is not read again, on this or another connection`() {
+    fun `a repeated head is not parsed again, on the same or another connection`() {
         val first = checkNotNull(newAssembler().apply { add(HEARTBEAT_HEAD + "abc") }.next())
         val messages = newAssembler()
         repeat(3) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `a head that only begins like the one before is read`() {
+    fun `a head that only starts like the previous one is parsed`() {
         val messages = newAssembler()
         messages.add(HEARTBEAT_HEAD + "abc")
         messages.next()
@@ -51,7 +51,7 @@
     }
 
     @Test
-    fun `chunks are taken when all of them are there`() {
+    fun `a chunked body is returned when all chunks have arrived`() {
         val messages = newAssembler()
         messages.add("POST /work HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
         assertNull(messages.next())
@@ -60,7 +60,7 @@
     }
 
     @Test
-    fun `what is too large, or no HTTP, is refused without being held`() {
+    fun `messages that are too large or not valid HTTP are rejected without buffering them whole`() {
         assertThrows(BodyTooLargeException::class.java) {
             newAssembler().apply { add("POST /work HTTP/1.1\r\nContent-Length: 101\r\n\r\n") }.next()
         }
@@ -85,7 +85,7 @@
     }
 
     private companion object {
-        const val MAX_BODY = 100
+        const val MAX_BODY_BYTES = 100
         const val HEARTBEAT_HEAD = "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\n"
     }
 }
--- a/src/test/kotlin/org/chalkhollow/runtime/PriorityTaskQueueTest.kt
+++ b/src/test/kotlin/org/chalkhollow/runtime/PriorityTaskQueueTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test
 import java.util.concurrent.CompletableFuture
 
-/** The order in which a controller with too little processor time does its work. */
+/** The order in which a controller that is short of processor time runs its tasks. */
 class PriorityTaskQueueTest {
     private val queue = PriorityTaskQueue()
     private val executed = StringBuilder()
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `leadership goes before all that waited longer`() {
+    fun `control tasks run before tasks queued earlier`() {
         repeat(5) { add(TaskPriority.WORKER, "w") }
         add(TaskPriority.USER, "u")
         add(TaskPriority.CONTROL, "c")
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `a user waits for no more than two of many heartbeats`() {
+    fun `a user task waits for at most two of many worker tasks`() {
         repeat(6) { add(TaskPriority.WORKER, "w") }
         queue.take()?.run()
         add(TaskPriority.USER, "u")
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `a flood of users leaves workers two turns of three`() {
+    fun `a flood of user tasks leaves two of three turns to worker tasks`() {
         repeat(9) { add(TaskPriority.USER, "u") }
         repeat(6) { add(TaskPriority.WORKER, "w") }
         runAll()
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `idle work is none of what waits`() {
+    fun `idle tasks do not count as queued tasks and are taken separately`() {
         add(TaskPriority.IDLE, "i")
         assertTrue(queue.isEmpty())
         assertTrue(queue.hasIdle)
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a loop runs what is queued by the priority of its coroutine`() {
+    fun `an event loop runs coroutines' tasks in the order of their priority`() {
         val loop = EventLoop()
         val scope = CoroutineScope(Job() + loop)
         val done = CompletableFuture<String>()
