--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
@@ -29,7 +29,7 @@
     /** The run time is known only if this leader observed the run from start to end. */
     private fun recordRunTime(attempt: Attempt) {
         if (attempt.phase != Attempt.Phase.RUNNING || attempt.inherited) return
-        attempt.job.runTimes.add((context.steady - attempt.progressAt) / MS_PER_S)
+        attempt.job.runTimes.add((context.steady - attempt.progressAtMs) / MS_PER_S)
     }
 
     /** Marks the task as done. The worker may forget the attempt only after the completion is durable. */
@@ -40,7 +40,7 @@
             job.backoff.taskCompleted()
             job.completeTask(attempt.index, context.steady)
         }
-        job.unrecorded.add(attempt)
+        job.unrecordedCompletions.add(attempt)
     }
 
     private fun applyBackoff(attempt: Attempt, cause: ExitCause) {
@@ -48,7 +48,7 @@
         when (cause) {
             ExitCause.ERROR -> onFailed(attempt)
             ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) onReplicaEnded(attempt)
-            ExitCause.FULL -> attempt.machine.fullUntil = context.steady + FULL_MACHINE_BACKOFF_MS
+            ExitCause.FULL -> attempt.machine.fullUntilMs = context.steady + FULL_MACHINE_BACKOFF_MS
             ExitCause.BUSY, ExitCause.NO_SUCH -> job.backoff.pauseUntil(context.steady + REJECTED_START_BACKOFF_MS)
             ExitCause.HALTED -> Unit
         }
@@ -56,7 +56,7 @@
 
     private fun onReplicaEnded(attempt: Attempt) {
         val job = attempt.job
-        val placedForMs = context.steady - attempt.placedAt
+        val placedForMs = context.steady - attempt.placedAtMs
         job.backoff.replicaEnded(attempt.machine.id, context.steady, placedForMs, job.spec.tasks)
     }
 
@@ -71,7 +71,7 @@
 
     /** The completions of the tasks [done] of [job] are durable: workers may forget their attempts. */
     fun onCompletionsRecorded(job: OpenJob, done: BitSet) {
-        val iterator = job.unrecorded.iterator()
+        val iterator = job.unrecordedCompletions.iterator()
         while (iterator.hasNext()) {
             val attempt = iterator.next()
             if (!done.get(attempt.index)) continue
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -113,7 +113,7 @@
             }
         }
         machine.orphans = unknown.filter { !adoptOrphan(machine, it) }
-        machine.reconciled = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
+        machine.lastReconciledTasks = heartbeat.tasks.takeIf { fromHeartbeat && unknown.isEmpty() }
     }
 
     /**
@@ -121,7 +121,7 @@
      * heartbeats, so the check is cheap.
      */
     private fun isUnchanged(machine: Machine, heartbeat: WorkerHeartbeat): Boolean =
-        heartbeat.tasks === machine.reconciled &&
+        heartbeat.tasks === machine.lastReconciledTasks &&
             heartbeat.tasks.size == machine.attempts.size &&
             machine.attempts.all { it.onMachine }
 
@@ -145,17 +145,17 @@
             Attempt.Phase.EXITED -> if (attempt.outcomeRecorded) reservations.resolve(attempt)
             Attempt.Phase.FETCHING, Attempt.Phase.RUNNING, Attempt.Phase.SAVING -> {
                 val provesAbsence = hasCurrentFencingToken || !attempt.inherited
-                if (!attempt.directStartUnresolved && provesAbsence) reservations.resolve(attempt)
+                if (!attempt.directStartOutcomeUnknown && provesAbsence) reservations.resolve(attempt)
             }
         }
     }
 
     private fun onStartMissing(attempt: Attempt, hasCurrentFencingToken: Boolean) {
         when {
-            attempt.directStartUnresolved -> Unit // the direct start may still be carried out
+            attempt.directStartOutcomeUnknown -> Unit // the direct start may still be carried out
             // A worker that has seen this leader's fencing token rejects starts of earlier leaders.
             attempt.inherited -> if (hasCurrentFencingToken) reservations.resolve(attempt)
-            else -> attempt.startDropped() // the worker has not handled the response and will not do so later
+            else -> attempt.startNotExecuted() // the worker has not handled the response and will not do so later
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Reachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Reachability.kt
@@ -1,37 +1,38 @@
 package org.chalkhollow.core.cluster
 
 /**
- * Holds whether our messages have lately reached one machine, and the proofs of that in its present epoch. Only
- * `MachineReachability`, which says what a proof is, and `WorkerCommandSender`, whose commands are probes, change it.
+ * Holds whether this controller's responses and commands reach one machine, and the last proof of that in its current
+ * epoch. Only `MachineReachability`, which defines what a proof is, and `WorkerCommandSender`, whose commands serve as
+ * probes, write it.
  */
 class Reachability {
     var reachable = false
         private set
 
-    /** The last proof in this epoch. */
-    var provedAt = Machine.NEVER
+    /** When the machine was last proved reachable in this epoch. */
+    var provedAtMs = Machine.NEVER
         private set
 
-    /** When a direct command, whose reply would be a proof, was last sent in this epoch. */
-    var probedAt = Machine.NEVER
+    /** When a direct command was last sent in this epoch; its reply would be a proof. */
+    var probedAtMs = Machine.NEVER
         private set
 
-    /** Since when the machine sends heartbeats and is not [reachable]; [Machine.NEVER] while it is. */
-    var unreachableSince = Machine.NEVER
+    /** Since when the machine sends heartbeats without being [reachable]; [Machine.NEVER] while it is reachable. */
+    var unreachableSinceMs = Machine.NEVER
         private set
 
-    /** Proofs and probes of an earlier epoch say nothing about this one. */
+    /** Discards proofs and probes of the previous epoch, since they say nothing about the new one. */
     fun beginEpoch() {
-        provedAt = Machine.NEVER
-        probedAt = Machine.NEVER
+        provedAtMs = Machine.NEVER
+        probedAtMs = Machine.NEVER
     }
 
     fun recordProof(now: Long) {
-        provedAt = now
+        provedAtMs = now
     }
 
     fun recordProbe(now: Long) {
-        probedAt = now
+        probedAtMs = now
     }
 
     /** Sets [reachable]; returns whether it changed. */
@@ -39,9 +40,9 @@
         val changed = isReachable != reachable
         reachable = isReachable
         if (isReachable) {
-            unreachableSince = Machine.NEVER
-        } else if (unreachableSince == Machine.NEVER) {
-            unreachableSince = now
+            unreachableSinceMs = Machine.NEVER
+        } else if (unreachableSinceMs == Machine.NEVER) {
+            unreachableSinceMs = now
         }
         return changed
     }
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -62,7 +62,7 @@
         if (job.service) return true
         if (!awaitsPromptStart(job)) return false
         val limits = startWithinMs[job.spec.workload] ?: return false
-        return wallMs < job.acceptedWall + limits.last()
+        return wallMs < job.acceptedWallMs + limits.last()
     }
 
     /**
@@ -71,12 +71,12 @@
      */
     fun isStartDeadlineNear(job: OpenJob, wallMs: Long): Boolean {
         val limits = startWithinMs[job.spec.workload] ?: return false
-        val waitedMs = wallMs - job.acceptedWall
+        val waitedMs = wallMs - job.acceptedWallMs
         return limits.any { it >= minBootMs() && waitedMs < it && waitedMs * NEAR_DENOMINATOR >= it * NEAR_NUMERATOR }
     }
 
     /** Whether a task within its team's guarantee meets the guarantee objective if it starts now. */
-    fun canMeetGuaranteeObjective(job: OpenJob, wallMs: Long): Boolean = wallMs < job.acceptedWall + guaranteeWithinMs
+    fun canMeetGuaranteeObjective(job: OpenJob, wallMs: Long): Boolean = wallMs < job.acceptedWallMs + guaranteeWithinMs
 
     /**
      * The wall-clock time at which the job should be finished, by its own deadline and the objectives of its class.
@@ -94,9 +94,9 @@
             if (wallMs + minRemainingMs <= dueMs) firstFeasibleMs = minOf(firstFeasibleMs, dueMs)
         }
         job.spec.dueS?.let { dueS ->
-            for (factor in deadlineFactorsOf(job)) consider(job.acceptedWall + millis(dueS * factor))
+            for (factor in deadlineFactorsOf(job)) consider(job.acceptedWallMs + millis(dueS * factor))
         }
-        finishWithinMs[job.spec.workload]?.let { for (withinMs in it) consider(job.acceptedWall + withinMs) }
+        finishWithinMs[job.spec.workload]?.let { for (withinMs in it) consider(job.acceptedWallMs + withinMs) }
         return if (firstFeasibleMs != Long.MAX_VALUE || lastMs == Long.MIN_VALUE) firstFeasibleMs else lastMs
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/MachineSelector.kt
@@ -12,8 +12,8 @@
 /**
  * Chooses machines for the tasks of one job (bin packing): best fit among a sample of the machines that fit, or among
  * all of them if the sample has too little free capacity. The tasks of a job have the same resource demand, so each
- * machine gets as many as fit. What it allocates is subtracted from [Machine.roundRoom]. Called by [PlacementRound] and
- * [Preemption].
+ * machine gets as many as fit. What it allocates is subtracted from [Machine.roundFreeCapacity]. Called by
+ * [PlacementRound] and [Preemption].
  */
 class MachineSelector(
     private val context: CoreContext,
@@ -39,10 +39,10 @@
 
     /** Places either all [wanted] tasks of a gang or none; returns how many it placed. */
     fun placeGang(job: OpenJob, wanted: Int, machines: List<Machine>, allocations: MutableList<Allocation>): Int {
-        val freeCapacityBefore = machines.map { it.roundRoom }
+        val freeCapacityBefore = machines.map { it.roundFreeCapacity }
         val allocationsBefore = allocations.size
         if (place(job, wanted, machines, allocations, skip = 0, cachedImageOnly = false) == wanted) return wanted
-        for ((index, machine) in machines.withIndex()) machine.roundRoom = freeCapacityBefore[index]
+        for ((index, machine) in machines.withIndex()) machine.roundFreeCapacity = freeCapacityBefore[index]
         while (allocations.size > allocationsBefore) allocations.removeLast()
         return 0
     }
@@ -60,7 +60,7 @@
         cachedImageOnly: Boolean,
     ): Int {
         val zones = ZoneConstraint(job, fleet)
-        if (zones.blocked) return 0
+        if (zones.isBlocked) return 0
         val fitting = fitting(job, machines, cachedImageOnly)
         if (fitting.isEmpty()) return 0
         val candidates = sample(fitting, wanted, job)
@@ -95,7 +95,8 @@
             var left = count
             for (machine in machines) {
                 if (left == 0) break
-                var tasks = minOf(left, job.taskResources.countIn(machine.roundRoom), zones.roomIn(machine.zone))
+                var tasks =
+                    minOf(left, job.taskResources.countIn(machine.roundFreeCapacity), zones.maxNewTasksIn(machine.zone))
                 if (spread) {
                     tasks = minOf(tasks, replicaPlacement.maxPerMachine(job) - replicaPlacement.countOn(machine, job))
                 }
@@ -109,7 +110,7 @@
         private fun assignTo(machine: Machine, count: Int) {
             allocations.add(Allocation(job, machine, nextTasks(count), starvation.isServedFirst(job)))
             zones.addTasks(machine.zone, count)
-            machine.roundRoom = machine.roundRoom.without(job.taskResources, count)
+            machine.roundFreeCapacity = machine.roundFreeCapacity.without(job.taskResources, count)
             if (job.image >= 0) machine.images.add(job.image)
         }
 
@@ -127,7 +128,7 @@
         val urgent = objectives.awaitsPromptStart(job)
         val fitting = ArrayList<Machine>()
         for (machine in machines) {
-            if (!job.taskResources.fitsIn(machine.roundRoom) || !isAllowed(job, machine)) continue
+            if (!job.taskResources.fitsIn(machine.roundFreeCapacity) || !isAllowed(job, machine)) continue
             val needsFetch = needsImageFetch(job, machine)
             if (cachedImageOnly && needsFetch) continue
             val neededByOthersRank = if (scarceTypes.isNeededByOthers(job, machine.type)) RANK_NEEDED_BY_OTHERS else 0
@@ -159,7 +160,7 @@
             var order = (first.roundRank shr 1).compareTo(second.roundRank shr 1)
             if (order == 0) order = fleet.cpusOf(first).compareTo(fleet.cpusOf(second))
             if (order == 0) order = first.roundRank.compareTo(second.roundRank)
-            if (order == 0) order = first.roundRoom.cpus.compareTo(second.roundRoom.cpus)
+            if (order == 0) order = first.roundFreeCapacity.cpus.compareTo(second.roundFreeCapacity.cpus)
             if (order == 0) order = first.id.compareTo(second.id)
             order
         }
@@ -176,7 +177,7 @@
         addSample(withImage, sample)
         addSample(withoutImage, sample)
         var fittingTasks = 0
-        for (machine in sample) fittingTasks += job.taskResources.countIn(machine.roundRoom)
+        for (machine in sample) fittingTasks += job.taskResources.countIn(machine.roundFreeCapacity)
         return if (fittingTasks >= wanted) sample else fitting
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -89,7 +89,7 @@
             val zones = zonesWithout(attempt)
             val target = selectTarget(attempt, zones, placeable)
             if (target == null && !isOutOfTime(attempt)) {
-                unplaced.add(UnplacedTasks(attempt.job, 1, pressing = true, zones))
+                unplaced.add(UnplacedTasks(attempt.job, 1, mayRentOnDemand = true, zones))
                 return
             }
             if (target != null) begin(Migration(attempt, target))
@@ -121,10 +121,10 @@
     private fun mayStart(migration: Migration, placeable: List<Machine>, allocated: List<Allocation>): Boolean {
         val job = migration.job
         val target = migration.target
-        if (!job.placeable || job.backoff.notBefore > context.steady || target !in placeable) return false
-        if (!job.taskResources.fitsIn(target.roundRoom) || !mayUse(job, target)) return false
+        if (!job.placeable || job.backoff.notBeforeMs > context.steady || target !in placeable) return false
+        if (!job.taskResources.fitsIn(target.roundFreeCapacity) || !mayUse(job, target)) return false
         val zones = ZoneConstraint(job, fleet)
-        if (zones.blocked || !zones.admits(target.zone)) return false
+        if (zones.isBlocked || !zones.admits(target.zone)) return false
         return withinQuota(job, allocated)
     }
 
@@ -138,7 +138,7 @@
 
     private fun reserveOnTarget(migration: Migration) {
         val target = migration.target
-        target.roundRoom = target.roundRoom.without(migration.job.taskResources, 1)
+        target.roundFreeCapacity = target.roundFreeCapacity.without(migration.job.taskResources, 1)
         // Keeps the target from being deleted as idle.
         target.availability.recordIdle(idle = false, context.steady)
     }
@@ -169,7 +169,7 @@
 
     /** When the cloud reclaims the machine, in monotonic time; [Long.MAX_VALUE] if it stays until it is empty. */
     private fun reclaimAtMs(machine: Machine): Long =
-        if (machine.availability.hasSpotNotice) machine.availability.reclaimAt else Long.MAX_VALUE
+        if (machine.availability.hasSpotNotice) machine.availability.reclaimAtMs else Long.MAX_VALUE
 
     /** The zone constraint as it will be once the current migrations are over and [attempt] has ended. */
     private fun zonesWithout(attempt: Attempt): ZoneConstraint {
@@ -186,14 +186,14 @@
     /** Prefers machines that have the image, then those with few replicas of the service, then the fullest. */
     private fun selectTarget(attempt: Attempt, zones: ZoneConstraint, placeable: List<Machine>): Machine? {
         val job = attempt.job
-        if (zones.blocked) return null
+        if (zones.isBlocked) return null
         return placeable
-            .filter { job.taskResources.fitsIn(it.roundRoom) && mayUse(job, it) && zones.admits(it.zone) }
+            .filter { job.taskResources.fitsIn(it.roundFreeCapacity) && mayUse(job, it) && zones.admits(it.zone) }
             .minWithOrNull(
                 compareBy(
                     { if (job.image < 0 || job.image in it.images) 0 else 1 },
                     { if (replicaPlacement.countOn(it, job) < replicaPlacement.maxPerMachine(job)) 0 else 1 },
-                    { it.roundRoom.cpus },
+                    { it.roundFreeCapacity.cpus },
                     { it.id },
                 ),
             )
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaPlacement.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaPlacement.kt
@@ -37,7 +37,7 @@
 
     /** Returns what [reserveHeadroom] reserved to the free capacity of the machines. */
     fun releaseHeadroom() {
-        for (reservation in reservations) reservation.machine.roundRoom += reservation.resources
+        for (reservation in reservations) reservation.machine.roundFreeCapacity += reservation.resources
         reservations.clear()
     }
 
@@ -60,17 +60,18 @@
     private fun reserve(serviceClass: ServiceClass, count: Int, machines: List<Machine>) {
         var left = count
         // A replica that starts where its image is cached does not wait for a fetch.
-        val cachedImagesFirst = compareBy<Machine>({ -serviceClass.countCachedImages(it) }, { it.roundRoom.cpus })
+        val cachedImagesFirst =
+            compareBy<Machine>({ -serviceClass.countCachedImages(it) }, { it.roundFreeCapacity.cpus })
         for (machine in machines.sortedWith(cachedImagesFirst)) {
             if (left == 0) break
             if (machine.spot && !serviceClass.spotAllowed) continue
-            val fitting = serviceClass.taskResources.countIn(machine.roundRoom)
+            val fitting = serviceClass.taskResources.countIn(machine.roundFreeCapacity)
             val replicas = minOf(left, fitting, MAX_RESERVED_PER_MACHINE)
             if (replicas <= 0) continue
             left -= replicas
             reservedCpus += replicas * serviceClass.taskResources.cpus
             reservations.add(Reservation(machine, serviceClass.taskResources * replicas))
-            machine.roundRoom = machine.roundRoom.without(serviceClass.taskResources, replicas)
+            machine.roundFreeCapacity = machine.roundFreeCapacity.without(serviceClass.taskResources, replicas)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -63,8 +63,8 @@
     fun isReservedForOthers(job: OpenJob, type: Int): Boolean {
         if (context.steady - lastSeenMs.get(type) > RESERVATION_MS || job.onlyType == type) return false
         if (objectives.awaitsPromptStart(job) || job.spec.priority < Priority.STANDARD) return false
-        if (job.credit.waitsLong(context.now.wall)) return false
-        return context.now.wall - job.acceptedWall < RECENT_WAIT_MS || hadPendingTasksRecently(type)
+        if (job.credit.hasWaitedLong(context.now.wall)) return false
+        return context.now.wall - job.acceptedWallMs < RECENT_WAIT_MS || hadPendingTasksRecently(type)
     }
 
     private fun hadPendingTasksRecently(type: Int): Boolean = context.steady - lastPendingMs.get(type) < RECENT_WAIT_MS
--- a/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -126,7 +126,7 @@
         delay(WARM_UP_DELAY_MS)
         while (steps < WARM_UP_STEP_COUNT) {
             delay(WARM_UP_STEP_INTERVAL_MS)
-            if (controller.gauges.leading || !controller.takesRequests(SystemClocks.now())) continue
+            if (controller.gauges.leading || !controller.acceptsRequests(SystemClocks.now())) continue
             warmUp.step()
             steps++
         }
--- a/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
@@ -48,7 +48,7 @@
             if (SystemClocks.monotonicMs() - decidedAt.steady < MAX_EFFECT_DELAY_MS) {
                 execute(effect)
             } else {
-                controller.whenLate(SystemClocks.now(), effect)?.let(::execute)
+                controller.recheck(SystemClocks.now(), effect)?.let(::execute)
             }
         }
         isExecuting = false
@@ -73,7 +73,7 @@
 
     private fun setTimer(effect: Effect.Timer) {
         tickTimer?.dispose()
-        tickTimer = loop.runAfter(effect.at - SystemClocks.monotonicMs()) { step(Input.Tick) }
+        tickTimer = loop.runAfter(effect.atMs - SystemClocks.monotonicMs()) { step(Input.Tick) }
     }
 
     /**
