--- a/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
@@ -10,7 +10,10 @@
 internal class OperatorEndpoints(private val controller: Controller, private val metrics: Metrics) {
     /** `/up`: whether this controller accepts requests. */
     fun up(): HttpResponse =
-        HttpResponse(if (controller.acceptsRequests(SystemClocks.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE, null)
+        HttpResponse(
+            if (controller.acceptsRequests(SystemClocks.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE,
+            null,
+        )
 
     /** `/metrics`, in the text format of Prometheus. */
     fun metrics(): HttpResponse {
