--- a/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
@@ -8,16 +8,16 @@
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.ServiceCodec
 
-/** The cloud, over [http]; the core spends its rate budget, see `Fleet`. */
+/** Calls the cloud over [http]. Does not limit the rate of calls: the core does, see `Fleet`. */
 class CloudClient(private val http: HttpClient, private val decoder: ResponseDecoder) {
-    /** Sends [op]; [onReply] is called once. */
+    /** Sends [op]. [onReply] is called once. */
     fun run(op: CloudOp, onReply: (CloudReply) -> Unit) {
         val onResult = { result: HttpResult -> onReply(reply(op, result)) }
         when (op) {
             CloudOp.Catalog -> http.request(GET, "/catalog", null, TIMEOUT_MS, onResult)
             is CloudOp.Machines -> {
                 val after = op.after?.let { "since=" + it.encodeURLParameter() + "&" } ?: ""
-                http.request(GET, "/machines?" + after + "page=$PAGE", null, TIMEOUT_MS, onResult)
+                http.request(GET, "/machines?" + after + "page=$PAGE_SIZE", null, TIMEOUT_MS, onResult)
             }
             is CloudOp.Rent -> {
                 val body = Pack.encode(ServiceCodec.rent(op.requestName, op.type, op.zone, op.spot, op.count))
@@ -34,7 +34,7 @@
         when (result) {
             HttpResult.NotSent -> CloudReply.Unavailable
             HttpResult.NoResponse -> CloudReply.NoResponse
-            is HttpResult.Answered ->
+            is HttpResult.Response ->
                 decoder.decode(ifMalformed = CloudReply.NoResponse) { decode(op, result.status, result.body) }
         }
 
@@ -48,7 +48,7 @@
                     CloudReply.Unavailable
                 }
             HttpStatus.TOO_MANY_REQUESTS -> CloudReply.Unavailable
-            HttpStatus.BAD_REQUEST -> CloudReply.Rejected(decoder.reason(body))
+            HttpStatus.BAD_REQUEST -> CloudReply.Rejected(decoder.errorText(body))
             else -> CloudReply.NoResponse
         }
 
@@ -64,7 +64,7 @@
         try {
             ServiceCodec.errorOrNull(body)
         } catch (expected: MalformedMessageException) {
-            null // the status alone says that the cloud is unavailable; a proxy may have written the body
+            null // the status is enough: the cloud is unavailable, and the body may come from a proxy
         }
 
     private companion object {
@@ -72,10 +72,10 @@
         const val POST = "POST"
         const val TIMEOUT_MS = 4000L
 
-        /** Machines that a list is asked for at once. */
-        const val PAGE = 500
+        /** Machines in one page of the inventory. */
+        const val PAGE_SIZE = 500
 
-        /** The error that a refused rental names when the cloud has no such machine to give. */
+        /** The error of a rejected rental when the cloud has no such machine available. */
         const val NO_CAPACITY = "no capacity"
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
@@ -2,29 +2,33 @@
 
 import org.chalkhollow.model.HttpStatus
 
-/** The answer to a request; [retryAfterS] of 0 asks for nothing. */
-class HttpReply(
+/** A response to a request. [retryAfterS] is the `Retry-After` header in seconds; 0 omits it. */
+class HttpResponse(
     val status: Int,
     val body: ByteArray?,
     val retryAfterS: Int = 0,
-    val type: String = HttpWriter.MESSAGE_PACK,
+    val contentType: String = HttpWriter.MESSAGE_PACK,
 ) {
-    /** Whether [other] is encoded to the same bytes, as far as that shows without comparing bodies. */
-    internal fun repeats(other: HttpReply): Boolean =
-        body === other.body && status == other.status && retryAfterS == other.retryAfterS && type == other.type
+    /**
+     * Whether [other] has the same encoding. Compares bodies only by reference, so false is possible for equal ones.
+     */
+    internal fun hasSameContent(other: HttpResponse): Boolean =
+        body === other.body && status == other.status && retryAfterS == other.retryAfterS &&
+            contentType == other.contentType
 }
 
 /**
- * Encodes requests and answers. Answers to heartbeats that carry no commands are all the same and encoded once.
+ * Encodes requests and responses. Keeps the last encoded response, because responses to heartbeats without commands are
+ * identical.
  */
 internal object HttpWriter {
     const val MESSAGE_PACK = "application/msgpack"
-    private val NOTHING = ByteArray(0)
-    private var last: Written? = null
+    private val EMPTY = ByteArray(0)
+    private var lastEncoded: EncodedResponse? = null
 
-    private class Written(val reply: HttpReply, val bytes: ByteArray)
+    private class EncodedResponse(val response: HttpResponse, val bytes: ByteArray)
 
-    private val reasons =
+    private val reasonPhrases =
         mapOf(
             HttpStatus.OK to "OK",
             HttpStatus.CREATED to "Created",
@@ -37,35 +41,35 @@
             HttpStatus.UNAVAILABLE to "Service Unavailable",
         )
 
-    /** A request with the [body], if there is one, as MessagePack. */
+    /** Encodes a request; [body] is MessagePack, or null for none. */
     fun request(method: String, host: String, path: String, body: ByteArray?): ByteArray {
         val head = StringBuilder()
-        head.append("$method $path HTTP/1.1$END")
-        head.append("Host: $host$END")
-        if (body != null) head.append("Content-Type: $MESSAGE_PACK${END}Content-Length: ${body.size}$END")
-        return message(head, body ?: NOTHING)
+        head.append("$method $path HTTP/1.1$CRLF")
+        head.append("Host: $host$CRLF")
+        if (body != null) head.append("Content-Type: $MESSAGE_PACK${CRLF}Content-Length: ${body.size}$CRLF")
+        return join(head, body ?: EMPTY)
     }
 
-    /** [reply] encoded; the array may be returned again and must not be changed. */
-    fun response(reply: HttpReply, closes: Boolean): ByteArray {
-        if (closes) return write(reply, closes = true)
-        last?.let { if (reply.repeats(it.reply)) return it.bytes }
-        return write(reply, closes = false).also { last = Written(reply, it) }
+    /** Encodes [response]. The array may be returned again, so callers must not change it. */
+    fun response(response: HttpResponse, closesConnection: Boolean): ByteArray {
+        if (closesConnection) return encode(response, closesConnection = true)
+        lastEncoded?.let { if (response.hasSameContent(it.response)) return it.bytes }
+        return encode(response, closesConnection = false).also { lastEncoded = EncodedResponse(response, it) }
     }
 
-    private fun write(reply: HttpReply, closes: Boolean): ByteArray {
-        val body = reply.body ?: NOTHING
+    private fun encode(response: HttpResponse, closesConnection: Boolean): ByteArray {
+        val body = response.body ?: EMPTY
         val head = StringBuilder()
-        head.append("HTTP/1.1 ${reply.status} ${reasons[reply.status] ?: "Status"}$END")
-        if (body.isNotEmpty()) head.append("Content-Type: ${reply.type}$END")
-        head.append("Content-Length: ${body.size}$END")
-        if (reply.retryAfterS > 0) head.append("Retry-After: ${reply.retryAfterS}$END")
-        if (closes) head.append("Connection: close$END")
-        return message(head, body)
+        head.append("HTTP/1.1 ${response.status} ${reasonPhrases[response.status] ?: "Status"}$CRLF")
+        if (body.isNotEmpty()) head.append("Content-Type: ${response.contentType}$CRLF")
+        head.append("Content-Length: ${body.size}$CRLF")
+        if (response.retryAfterS > 0) head.append("Retry-After: ${response.retryAfterS}$CRLF")
+        if (closesConnection) head.append("Connection: close$CRLF")
+        return join(head, body)
     }
 
-    private fun message(head: StringBuilder, body: ByteArray): ByteArray =
-        head.append(END).toString().encodeToByteArray() + body
+    private fun join(head: StringBuilder, body: ByteArray): ByteArray =
+        head.append(CRLF).toString().encodeToByteArray() + body
 
-    private const val END = "\r\n"
+    private const val CRLF = "\r\n"
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
@@ -3,38 +3,38 @@
 import kotlin.coroutines.AbstractCoroutineContextElement
 import kotlin.coroutines.CoroutineContext
 
-/** What a task on the [EventLoop] serves, most important first. */
+/** The priorities of tasks on the [EventLoop], highest first. */
 enum class TaskPriority {
-    /** Leadership: the state service, other controllers, timers. The priority of tasks that name none. */
+    /** Work that leadership depends on: the state service, other controllers, timers. The default. */
     CONTROL,
 
-    /** A worker, whose lease depends on an answer in time. */
+    /** Workers' requests. A worker must get its responses in time to keep its lease. */
     WORKER,
 
-    /** A user. */
+    /** Users' and operators' requests. */
     USER,
 
-    /** Only when there is nothing else to do. */
+    /** Runs only when nothing else is queued. */
     IDLE,
 }
 
-/** The priority of a coroutine's tasks. */
-class TaskPriorityElement(val level: TaskPriority) : AbstractCoroutineContextElement(Key) {
+/** Sets the priority of a coroutine's tasks. */
+class TaskPriorityElement(val priority: TaskPriority) : AbstractCoroutineContextElement(Key) {
     companion object Key : CoroutineContext.Key<TaskPriorityElement>
 }
 
 /**
- * The tasks that are queued on an [EventLoop]. Control goes before all else. Workers and users share what is
- * left: users are few and wait for their answers, so they need not queue behind hundreds of heartbeats, but
- * get at most one task in [WORKERS_PER_USER] + 1 while workers wait, so that a flood of requests costs no worker its
- * lease.
+ * The tasks that are queued on an [EventLoop]. Control tasks run first. Worker and user tasks share the remaining time:
+ * there are few users and they wait for their responses, so they do not queue behind hundreds of heartbeats. But while
+ * worker tasks are queued, at most one of [WORKER_TASKS_PER_USER_TASK] + 1 tasks is a user task, so that a flood of
+ * user requests does not make workers lose their leases.
  */
 class PriorityTaskQueue {
     private val control = ArrayDeque<Runnable>()
     private val workers = ArrayDeque<Runnable>()
     private val users = ArrayDeque<Runnable>()
     private val idle = ArrayDeque<Runnable>()
-    private var workersSinceUser = WORKERS_PER_USER
+    private var workerTasksSinceUserTask = WORKER_TASKS_PER_USER_TASK
 
     fun add(priority: TaskPriority, task: Runnable) {
         when (priority) {
@@ -45,26 +45,26 @@
         }.addLast(task)
     }
 
-    /** Whether work waits that is done only when there is nothing else to do. */
-    val holdsIdle: Boolean get() = idle.isNotEmpty()
+    /** Whether an idle task is queued. */
+    val hasIdle: Boolean get() = idle.isNotEmpty()
 
-    /** Whether nothing but idle work waits. */
+    /** Whether no task other than idle tasks is queued. */
     fun isEmpty(): Boolean = control.isEmpty() && workers.isEmpty() && users.isEmpty()
 
-    /** The next task, or null when nothing but idle work waits. */
+    /** Removes and returns the next task; null if only idle tasks or none are queued. */
     fun take(): Runnable? = control.removeFirstOrNull() ?: takeUser() ?: takeWorker() ?: users.removeFirstOrNull()
 
     fun takeIdle(): Runnable? = idle.removeFirstOrNull()
 
     private fun takeUser(): Runnable? {
-        if (workersSinceUser < WORKERS_PER_USER) return null
-        return users.removeFirstOrNull()?.also { workersSinceUser = 0 }
+        if (workerTasksSinceUserTask < WORKER_TASKS_PER_USER_TASK) return null
+        return users.removeFirstOrNull()?.also { workerTasksSinceUserTask = 0 }
     }
 
-    private fun takeWorker(): Runnable? = workers.removeFirstOrNull()?.also { workersSinceUser++ }
+    private fun takeWorker(): Runnable? = workers.removeFirstOrNull()?.also { workerTasksSinceUserTask++ }
 
     companion object {
-        /** Heartbeats that go between two users' requests while both wait. */
-        const val WORKERS_PER_USER = 2
+        /** Worker tasks that run between two user tasks while both are queued. */
+        const val WORKER_TASKS_PER_USER_TASK = 2
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
@@ -10,53 +10,56 @@
 import java.nio.channels.SocketChannel
 
 /**
- * A TCP connection on an [EventLoop]. Both directions are bounded: a [Receiver] that cannot take more pauses reading,
- * and a peer that does not keep up with what is sent is cut off.
+ * A TCP connection on an [EventLoop]. Buffering is bounded in both directions: a [Receiver] pauses reading when it
+ * cannot take more, and the connection is closed when the peer does not read fast enough.
  */
 class TcpConnection private constructor(
     private val loop: EventLoop,
     private val channel: SocketChannel,
     override val isControl: Boolean = false,
 ) : EventLoop.ReadyListener {
-    /** Callbacks for what arrives on a connection. */
+    /** Callbacks for received data. */
     interface Receiver {
-        /** The first [size] of [bytes] have arrived; the array is used again after the call. */
+        /** The first [size] bytes of [bytes] were received. The array is reused after the call. */
         fun onBytes(bytes: ByteArray, size: Int)
 
-        /** Nothing more will arrive: the peer has closed, or the connection was closed or lost. */
+        /** No more data will arrive: the peer has closed its side, or the connection is closed or lost. */
         fun onEnd()
     }
 
     private var receiver: Receiver? = null
 
-    /** Called once when the attempt to connect has ended; [ended] says whether it failed. */
+    /** Called once when connecting has succeeded or failed; [hasEnded] is true if it failed. */
     private var onConnectEnd: (() -> Unit)? = null
     private var unsent: ByteBuffer? = null
-    private var closesAfterSending = false
-    private var closed = false
+    private var isClosingAfterSending = false
+    private var isClosed = false
     private val key: SelectionKey = loop.register(channel, 0, this)
 
     /** Whether the peer has closed its side, or the connection is closed. */
-    var ended = false
+    var hasEnded = false
         private set
 
-    /** Begins to hand what arrives to [receiver]. */
+    /** Starts reading; received data goes to [receiver]. */
     fun receive(receiver: Receiver) {
         this.receiver = receiver
         resumeReading()
     }
 
-    /** Reads no more until [resumeReading], so that the peer has to wait. */
-    fun pauseReading() = want(SelectionKey.OP_READ, false)
+    /** Stops reading until [resumeReading], so that TCP flow control makes the peer wait. */
+    fun pauseReading() = setInterest(SelectionKey.OP_READ, false)
 
     fun resumeReading() {
-        if (!ended) want(SelectionKey.OP_READ, true)
+        if (!hasEnded) setInterest(SelectionKey.OP_READ, true)
     }
 
-    /** Sends all of [bytes], now or as soon as there is room. The array must not change afterwards. */
+    /**
+     * Sends all of [bytes], the rest later if the socket buffer is full. The array must not change afterwards. Closes
+     * the connection if bytes of an earlier call are still unsent.
+     */
     fun send(bytes: ByteArray) {
-        if (closed) return
-        if (unsent != null) return close() // the peer does not keep up
+        if (isClosed) return
+        if (unsent != null) return close() // the peer does not read fast enough
         val buffer = ByteBuffer.wrap(bytes)
         try {
             channel.write(buffer)
@@ -65,20 +68,20 @@
         }
         if (buffer.hasRemaining()) {
             unsent = buffer
-            want(SelectionKey.OP_WRITE, true)
+            setInterest(SelectionKey.OP_WRITE, true)
         }
     }
 
-    /** Closes the connection once what was sent has left. */
+    /** Closes the connection when all bytes are sent. */
     fun closeAfterSending() {
-        if (unsent == null) close() else closesAfterSending = true
+        if (unsent == null) close() else isClosingAfterSending = true
     }
 
-    /** Closes the connection at once; what was not sent yet is lost. */
+    /** Closes the connection at once; unsent bytes are lost. */
     fun close() {
-        // Not by whether the channel is open: one that cannot connect has closed itself, and its callback is still due.
-        if (closed) return
-        closed = true
+        // Not channel.isOpen: a channel that fails to connect closes itself, but onConnectEnd must still be called.
+        if (isClosed) return
+        isClosed = true
         key.cancel()
         channel.close()
         end()
@@ -86,12 +89,12 @@
     }
 
     private fun end() {
-        if (ended) return
-        ended = true
+        if (hasEnded) return
+        hasEnded = true
         receiver?.onEnd()
     }
 
-    private fun want(operation: Int, on: Boolean) {
+    private fun setInterest(operation: Int, on: Boolean) {
         if (!key.isValid) return
         val operations = if (on) key.interestOps() or operation else key.interestOps() and operation.inv()
         if (operations != key.interestOps()) key.interestOps(operations)
@@ -103,13 +106,13 @@
             if (key.isReadable) read()
             if (key.isValid && key.isWritable) flush()
         } catch (expected: Exception) {
-            close() // whatever the fault, it concerns this connection only, and must not end the loop
+            close() // a failure of one connection must not end the loop
         }
     }
 
     private fun onConnected() {
         channel.finishConnect()
-        want(SelectionKey.OP_CONNECT, false)
+        setInterest(SelectionKey.OP_CONNECT, false)
         endConnect()
     }
 
@@ -120,30 +123,32 @@
     }
 
     private fun read() {
-        val scratch = loop.scratch
-        scratch.clear()
-        val size = channel.read(scratch)
+        val readBuffer = loop.readBuffer
+        readBuffer.clear()
+        val size = channel.read(readBuffer)
         if (size < 0) {
             pauseReading()
             end()
         } else {
-            receiver?.onBytes(scratch.array(), size)
+            receiver?.onBytes(readBuffer.array(), size)
         }
     }
 
     private fun flush() {
-        val rest = unsent ?: return want(SelectionKey.OP_WRITE, false)
+        val rest = unsent ?: return setInterest(SelectionKey.OP_WRITE, false)
         channel.write(rest)
         if (rest.hasRemaining()) return
         unsent = null
-        want(SelectionKey.OP_WRITE, false)
-        if (closesAfterSending) close()
+        setInterest(SelectionKey.OP_WRITE, false)
+        if (isClosingAfterSending) close()
     }
 
     companion object {
-        private const val MAX_ACCEPTED_AT_ONCE = 4
+        private const val MAX_ACCEPTED_PER_PASS = 4
 
-        /** Connects to [address]; [onResult] gets the connection, or null when there is none after [timeoutMs]. */
+        /**
+         * Connects to [address]. [onResult] gets the connection, or null if it fails or takes longer than [timeoutMs].
+         */
         fun connect(
             loop: EventLoop,
             address: Address,
@@ -154,24 +159,26 @@
             val channel = SocketChannel.open()
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             val socket = TcpConnection(loop, channel, isControl)
-            val timeout = loop.after(timeoutMs) { socket.close() }
+            val timeout = loop.runAfter(timeoutMs) { socket.close() }
             socket.onConnectEnd = {
                 timeout.dispose()
-                onResult(socket.takeUnless { it.ended })
+                onResult(socket.takeUnless { it.hasEnded })
             }
             try {
                 if (channel.connect(InetSocketAddress(address.host, address.port))) {
                     socket.endConnect()
                 } else {
-                    socket.want(SelectionKey.OP_CONNECT, true)
+                    socket.setInterest(SelectionKey.OP_CONNECT, true)
                 }
             } catch (expected: IOException) {
                 socket.close()
             }
         }
 
-        /** Listens on [address] and hands every connection to [accepted]; throws `IOException` when it cannot. */
-        fun listen(loop: EventLoop, address: Address, backlog: Int, accepted: (TcpConnection) -> Unit) {
+        /**
+         * Listens on [address] and passes each connection to [onAccepted]. Throws `IOException` if it cannot listen.
+         */
+        fun listen(loop: EventLoop, address: Address, backlog: Int, onAccepted: (TcpConnection) -> Unit) {
             val server = ServerSocketChannel.open()
             try {
                 server.setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -180,10 +187,13 @@
                 server.close()
                 throw e
             }
-            loop.register(server, SelectionKey.OP_ACCEPT, Acceptor(loop, server, accepted))
+            loop.register(server, SelectionKey.OP_ACCEPT, Acceptor(loop, server, onAccepted))
         }
 
-        /** The next connection; null when none waits, or when out of sockets, and the rest stays in the backlog. */
+        /**
+         * Returns the next connection. Returns null if none is pending or no socket is available; pending connections
+         * then stay in the backlog.
+         */
         private fun acceptFrom(server: ServerSocketChannel): SocketChannel? =
             try {
                 server.accept()
@@ -191,17 +201,16 @@
                 null
             }
 
-        /** Accepts connections to [server]. */
         private class Acceptor(
             private val loop: EventLoop,
             private val server: ServerSocketChannel,
-            private val accepted: (TcpConnection) -> Unit,
+            private val onAccepted: (TcpConnection) -> Unit,
         ) : EventLoop.ReadyListener {
             override fun onReady(key: SelectionKey) {
-                repeat(MAX_ACCEPTED_AT_ONCE) {
+                repeat(MAX_ACCEPTED_PER_PASS) {
                     val channel = acceptFrom(server) ?: return
                     channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-                    accepted(TcpConnection(loop, channel))
+                    onAccepted(TcpConnection(loop, channel))
                 }
             }
         }
