--- a/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
+++ b/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
@@ -22,9 +22,10 @@
 import java.nio.file.Path
 
 /**
- * The command line. [begunAtNs] is when this process began, by the steady clock in nanoseconds; see [ControllerNode].
+ * The command line. [processStartedAtNs] is the monotonic time in nanoseconds at which this process started; see
+ * [ControllerNode].
  */
-class Chalkhollow(private val begunAtNs: Long = System.nanoTime()) : CoreCliktCommand(name = "chalkhollow") {
+class Chalkhollow(private val processStartedAtNs: Long = System.nanoTime()) : CoreCliktCommand(name = "chalkhollow") {
     private val config by option("--config", metavar = "FILE", help = "the platform's settings, JSON")
     private val operator by option(
         "--operator-settings",
@@ -69,7 +70,14 @@
         val scope = CoroutineScope(SupervisorJob() + loop)
         scope.launch {
             try {
-                ControllerNode(scope, loop, platformSettings, operatorSettings, newIncarnation(), begunAtNs).start()
+                ControllerNode(
+                    scope,
+                    loop,
+                    platformSettings,
+                    operatorSettings,
+                    newIncarnation(),
+                    processStartedAtNs,
+                ).start()
             } catch (e: IOException) {
                 System.err.println("chalkhollow: ${e.message ?: "cannot start"}")
                 System.err.flush()
--- a/src/main/kotlin/org/chalkhollow/Main.kt
+++ b/src/main/kotlin/org/chalkhollow/Main.kt
@@ -14,9 +14,9 @@
 fun main(args: Array<String>) {
     // On a slow machine the virtual machine takes a second to come here, and leases that an earlier incarnation granted
     // expire meanwhile.
-    val begunAtNs = System.nanoTime() - ManagementFactory.getRuntimeMXBean().uptime * NANOS_PER_MS
+    val processStartedAtNs = System.nanoTime() - ManagementFactory.getRuntimeMXBean().uptime * NANOS_PER_MS
     setUpLogging()
-    val command = Chalkhollow(begunAtNs)
+    val command = Chalkhollow(processStartedAtNs)
     try {
         command.parse(args)
     } catch (e: CliktError) {
--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -42,5 +42,5 @@
         Effect.Response(effect.call, HttpStatus.UNAVAILABLE, null, UserRequest.RETRY_AFTER_S)
 
     /** A server error says that nothing was decided. Every other response depends on the state of the leader. */
-    private fun isDecided(status: Int): Boolean = status < HttpStatus.SERVER_ERRORS
+    private fun isDecided(status: Int): Boolean = status < HttpStatus.MIN_SERVER_ERROR
 }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptOutcomes.kt
@@ -48,9 +48,10 @@
         when (cause) {
             ExitCause.ERROR -> onFailed(attempt)
             ExitCause.DONE -> if (job.service && job.entry.state == JobState.OPEN) onReplicaEnded(attempt)
-            ExitCause.FULL -> attempt.machine.fullUntilMs = context.steady + FULL_MACHINE_BACKOFF_MS
-            ExitCause.BUSY, ExitCause.NO_SUCH -> job.backoff.pauseUntil(context.steady + REJECTED_START_BACKOFF_MS)
-            ExitCause.HALTED -> Unit
+            ExitCause.NO_FREE_CAPACITY -> attempt.machine.fullUntilMs = context.steady + FULL_MACHINE_BACKOFF_MS
+            ExitCause.OTHER_ATTEMPT_PRESENT, ExitCause.UNKNOWN_TASK ->
+                job.backoff.pauseUntil(context.steady + REJECTED_START_BACKOFF_MS)
+            ExitCause.STOPPED -> Unit
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/Machine.kt
@@ -102,7 +102,7 @@
 
     /** The capacity that is not allocated; none while the type is unknown or missing in [types]. */
     fun freeCapacity(types: List<MachineType?>): Resources {
-        val capacity = types.getOrNull(type)?.room ?: return NO_RESOURCES
+        val capacity = types.getOrNull(type)?.capacity ?: return NO_RESOURCES
         return usage.freeOf(capacity)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/OpenJob.kt
@@ -59,7 +59,7 @@
 
     /** Whether an idle machine of this type could run one of its tasks. */
     fun fitsType(index: Int, type: MachineType): Boolean =
-        (types == null || index in types) && taskResources.fitsIn(type.room)
+        (types == null || index in types) && taskResources.fitsIn(type.capacity)
 
     fun updateOnlyType(type: Int) {
         onlyType = type
--- a/src/main/kotlin/org/chalkhollow/core/common/Units.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Units.kt
@@ -21,4 +21,4 @@
 internal fun plusClockDrift(ms: Long): Long = ms + ms / CLOCK_DRIFT_DIVISOR + ROUNDING_MS
 
 /** How long a worker may run tasks without a response to its heartbeats, in milliseconds. */
-internal val PlatformSettings.leaseMs: Long get() = (leaseS * MS_PER_S).toLong()
+internal val PlatformSettings.leaseMs: Long get() = (workerLeaseS * MS_PER_S).toLong()
--- a/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/UserRequest.kt
@@ -34,7 +34,7 @@
             try {
                 Submit(UserCodec.job(body), body)
             } catch (e: MalformedMessageException) {
-                UserCodec.idIn(body)?.let { Invalid(it, body, e.message) }
+                UserCodec.findJobId(body)?.let { Invalid(it, body, e.message) }
             }
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -29,7 +29,7 @@
     private val leaseMs = settings.leaseMs
     private val table = MachineTable(context, names, leaseMs, events)
     private val cloud = CloudRequests(context, settings.cloudRps)
-    private val reachability = MachineReachability(context, settings.heartbeatIntervalS, settings.leaseS)
+    private val reachability = MachineReachability(context, settings.heartbeatIntervalS, settings.workerLeaseS)
     private val leaseExpiry = LeaseExpiry(context, table, events, leaseMs)
     private val terminationNotices = SpotTerminationNotices(context)
     private val inventory = CloudInventory(context, names, table, cloud, staticMachines, settings.listLagS)
@@ -110,7 +110,7 @@
         if (machine.state != Machine.State.UP || isFirstWithToken) context.changed()
         machine.markUp()
         machine.lease.recordHeartbeat(heartbeat.fencingToken, context.steady)
-        terminationNotices.onHeartbeat(machine, heartbeat.noticeS)
+        terminationNotices.onHeartbeat(machine, heartbeat.spotNoticeS)
     }
 
     private fun hasShownCurrentToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
--- a/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/IdleMachines.kt
@@ -7,8 +7,8 @@
 
 /**
  * Owns which machines have been idle for too long. The operator's own machines stay. Rented machines may stay idle as a
- * standby while together they cost less than [OperatorSettings.standbyShare] of what the operator's own machines cost.
- * Called by [ScaleIn].
+ * standby while together they cost less than [OperatorSettings.standbyCostFraction] of what the operator's own machines
+ * cost. Called by [ScaleIn].
  */
 class IdleMachines(
     private val context: CoreContext,
@@ -32,7 +32,7 @@
 
     /** Keeps the cheapest machines as a standby, up to the price that is allowed for it; returns the others. */
     private fun exceedingStandby(machines: List<Machine>, withoutStandby: Boolean): List<Machine> {
-        var remainingStandbyPrice = if (withoutStandby) 0.0 else options.standbyShare * staticMachinesPrice()
+        var remainingStandbyPrice = if (withoutStandby) 0.0 else options.standbyCostFraction * staticMachinesPrice()
         val exceeding = ArrayList<Machine>()
         for (machine in machines.sortedByDescending(::priceOf).reversed()) {
             remainingStandbyPrice -= priceOf(machine)
@@ -47,7 +47,7 @@
 
     /** How long a machine may idle: the more it costs compared with the cheapest offer of its type, the shorter. */
     private fun maxIdleMs(machine: Machine): Double {
-        val baseMaxIdleMs = options.idleReturnS * MS_PER_S
+        val baseMaxIdleMs = options.maxIdleS * MS_PER_S
         val type = table.types.getOrNull(machine.type) ?: return baseMaxIdleMs
         val price = priceOf(machine)
         if (price <= 0) return baseMaxIdleMs
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -67,7 +67,7 @@
 
     private val Machine.isUpOrBooting: Boolean get() = state == Machine.State.UP || state == Machine.State.BOOTING
 
-    fun cpusOf(machine: Machine): Double = types.getOrNull(machine.type)?.room?.cpus ?: 0.0
+    fun cpusOf(machine: Machine): Double = types.getOrNull(machine.type)?.capacity?.cpus ?: 0.0
 
     fun priceOf(type: Int, spot: Boolean): Double =
         types.getOrNull(type)?.let { if (spot) it.spotPrice else it.price } ?: 0.0
--- a/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/OfferSelector.kt
@@ -81,7 +81,7 @@
         var remaining = countUnplaced(tasks, fleet.machines)
         while (remaining > 0 && !fleet.isFull) {
             val offer = cheapestOffer(tasks, fleet.machinesByZone) ?: return
-            val capacity = table.types[offer.type]?.room ?: return
+            val capacity = table.types[offer.type]?.capacity ?: return
             val machine = ExpectedMachine(offer.type, offer.zone, offer.spot, capacity)
             wanted.merge(offer, 1, Int::plus)
             fleet.add(machine)
@@ -98,7 +98,7 @@
                     it.type,
                     it.zone,
                     it.spot,
-                    table.types.getOrNull(it.type)?.room ?: Machine.NO_RESOURCES,
+                    table.types.getOrNull(it.type)?.capacity ?: Machine.NO_RESOURCES,
                 )
             }.toMutableList()
 
@@ -143,7 +143,7 @@
         zone: Int,
         machinesInZone: Int,
     ): PricedOffer? {
-        val tasksPerMachine = tasks.job.taskResources.countIn(type.room)
+        val tasksPerMachine = tasks.job.taskResources.countIn(type.capacity)
         if (tasksPerMachine <= 0) return best
         var better = best
         for (spot in SPOT_FIRST) {
--- a/src/main/kotlin/org/chalkhollow/core/jobs/JobRecord.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/JobRecord.kt
@@ -55,7 +55,7 @@
         }
 
         fun encodeOpen(spec: JobSpec, acceptedWallMs: Long): Map<String, Any?> =
-            mapOf(STATE to OPEN, ACCEPTED_AT to acceptedWallMs, SPEC to UserCodec.map(spec))
+            mapOf(STATE to OPEN, ACCEPTED_AT to acceptedWallMs, SPEC to UserCodec.toMap(spec))
 
         fun encodeDone(spec: JobSpec): Map<String, Any?> = encodeEnd(DONE, spec)
 
@@ -66,7 +66,7 @@
          */
         fun encodeCancelled(spec: JobSpec, maxBytes: Int): List<Map<String, Any?>> {
             val smallest = encodeEnd(CANCELLED, spec)
-            val full = UserCodec.map(spec)
+            val full = UserCodec.toMap(spec)
             val withoutTypes = full - MACHINE_TYPES
             val forms =
                 listOf(
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -30,7 +30,7 @@
             startWithinMs[workload] = limitsMs(ofClass, KIND_START)
             finishWithinMs[workload] = limitsMs(ofClass, KIND_FINISH)
             val deadlines = ofClass.filter { it.kind == KIND_DEADLINE }
-            deadlineFactors[workload] = deadlines.map { it.times }.sorted().toDoubleArray()
+            deadlineFactors[workload] = deadlines.map { it.deadlineFactor }.sorted().toDoubleArray()
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ScarceMachineTypes.kt
@@ -41,7 +41,7 @@
         var hasTooSmallType = false
         for ((index, type) in fleet.types.withIndex()) {
             if (type == null || (job.types != null && index !in job.types)) continue
-            if (!job.taskResources.fitsIn(type.room)) {
+            if (!job.taskResources.fitsIn(type.capacity)) {
                 hasTooSmallType = true
             } else if (only >= 0) {
                 return Machine.UNKNOWN
--- a/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/StarvationPrevention.kt
@@ -9,10 +9,10 @@
 
 /**
  * Owns the credit of jobs that would starve: no job is deferred for ever because of its priority, its lateness or its
- * size. A job that was passed over for longer than [OperatorSettings.patienceS] gets credit, and is served before jobs
- * without credit until it has used the credit up. Among jobs with credit, the kind served longest ago comes first. All
- * of them together get [OperatorSettings.patienceShare] of the fleet's CPUs. Called by [Placement] and the parts of its
- * rounds.
+ * size. A job that was passed over for longer than [OperatorSettings.maxPassedOverS] gets credit, and is served before
+ * jobs without credit until it has used the credit up. Among jobs with credit, the kind served longest ago comes first.
+ * All of them together get [OperatorSettings.creditCpuFraction] of the fleet's CPUs. Called by [Placement] and the
+ * parts of its rounds.
  */
 class StarvationPrevention(
     private val context: CoreContext,
@@ -39,8 +39,8 @@
 
     /** Grants credit to jobs that were passed over for too long, in a fleet of [fleetCpus] CPUs. */
     fun begin(fleetCpus: Double) {
-        val maxPassedOverMs = (options.patienceS * MS_PER_S).toLong()
-        val fairShareCpus = options.patienceShare * fleetCpus
+        val maxPassedOverMs = (options.maxPassedOverS * MS_PER_S).toLong()
+        val fairShareCpus = options.creditCpuFraction * fleetCpus
         for (job in jobs.open) {
             if (!isStarving(job, maxPassedOverMs)) continue
             job.credit.grant(fairShareCpus, job.credit.lastPlacedWallMs + maxPassedOverMs)
--- a/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/UrgentHeadroom.kt
@@ -31,7 +31,7 @@
         newestSeenIndex = newestIndex
     }
 
-    fun cpus(): Double = if (jobCpus.isEmpty()) 0.0 else options.urgentReserve * jobCpus.average()
+    fun cpus(): Double = if (jobCpus.isEmpty()) 0.0 else options.urgentHeadroomFactor * jobCpus.average()
 
     private companion object {
         const val MAX_RECORDED_JOBS = 50
--- a/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
+++ b/src/main/kotlin/org/chalkhollow/core/requests/JobRequests.kt
@@ -93,7 +93,7 @@
         return fleet.types.filterNotNull().any { type ->
             val typeAllowed = spec.types == null || type.name in spec.types
             val zoneAllowed = spec.zone == null || spec.zone in type.zones
-            typeAllowed && zoneAllowed && spec.taskResources.fitsIn(type.room)
+            typeAllowed && zoneAllowed && spec.taskResources.fitsIn(type.capacity)
         }
     }
 
--- a/src/main/kotlin/org/chalkhollow/model/Heartbeats.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Heartbeats.kt
@@ -6,19 +6,19 @@
     DONE,
 
     /** It was stopped, or other tasks that it needs were. */
-    HALTED,
+    STOPPED,
 
     /** It failed. */
     ERROR,
 
     /** The worker refused the start: it has no room. */
-    FULL,
+    NO_FREE_CAPACITY,
 
     /** The worker refused the start: it has another attempt of the same task. */
-    BUSY,
+    OTHER_ATTEMPT_PRESENT,
 
     /** The worker refused the start: it knows no such task. */
-    NO_SUCH,
+    UNKNOWN_TASK,
 }
 
 /** The status of one attempt of a task in a heartbeat; [cause] is there only when it has exited. */
@@ -28,9 +28,9 @@
 }
 
 /**
- * A worker's heartbeat with the status of all its tasks. [epoch] is the worker's, [seq] counts the heartbeats of that
- * epoch, [fencingToken] is the highest that the worker has seen. [noticeS] is how many seconds the cloud leaves a spot
- * machine that it takes back, null while it does not.
+ * A worker's heartbeat with the status of all its tasks. [seq] counts the heartbeats of the worker epoch [epoch].
+ * [fencingToken] is the highest that the worker has seen. [spotNoticeS] is in how many seconds the cloud reclaims this
+ * spot machine; null without a spot termination notice.
  */
 data class WorkerHeartbeat(
     val machine: String,
@@ -41,6 +41,6 @@
     val epoch: Long,
     val seq: Long,
     val fencingToken: Long,
-    val noticeS: Double?,
+    val spotNoticeS: Double?,
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/org/chalkhollow/model/HttpStatus.kt
+++ b/src/main/kotlin/org/chalkhollow/model/HttpStatus.kt
@@ -16,6 +16,6 @@
     const val TOO_MANY_REQUESTS = 429
 
     /** All statuses from here on say that nothing was decided. */
-    const val SERVER_ERRORS = 500
+    const val MIN_SERVER_ERROR = 500
     const val UNAVAILABLE = 503
 }
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -5,16 +5,16 @@
 
 /** What one task takes of its machine, or what a machine has room for. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    /** Whether one task of this size fits into [room]. */
-    fun fitsIn(room: Resources): Boolean =
-        cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON
+    /** Whether one task of this size fits into [capacity]. */
+    fun fitsIn(capacity: Resources): Boolean =
+        cpus <= capacity.cpus + EPSILON && gpus <= capacity.gpus + EPSILON && memoryGb <= capacity.memoryGb + EPSILON
 
-    /** How many tasks of this size fit into [room]. */
-    fun countIn(room: Resources): Int {
+    /** How many tasks of this size fit into [capacity]. */
+    fun countIn(capacity: Resources): Int {
         var n = Int.MAX_VALUE.toDouble()
-        if (cpus > 0) n = minOf(n, (room.cpus + EPSILON) / cpus)
-        if (gpus > 0) n = minOf(n, (room.gpus + EPSILON) / gpus)
-        if (memoryGb > 0) n = minOf(n, (room.memoryGb + EPSILON) / memoryGb)
+        if (cpus > 0) n = minOf(n, (capacity.cpus + EPSILON) / cpus)
+        if (gpus > 0) n = minOf(n, (capacity.gpus + EPSILON) / gpus)
+        if (memoryGb > 0) n = minOf(n, (capacity.memoryGb + EPSILON) / memoryGb)
         return maxOf(0, n.toInt())
     }
 
@@ -66,7 +66,7 @@
 /** A machine type of the cloud's catalog; [bootS] is how many seconds a machine takes until it can be used. */
 data class MachineType(
     val name: String,
-    val room: Resources,
+    val capacity: Resources,
     val imageGbPerS: Double,
     val cacheGb: Double,
     val price: Double,
--- a/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
@@ -37,7 +37,7 @@
     private val receive: (Int, PeerMessage) -> Unit,
 ) {
     private val listener =
-        PeerListener(
+        PeerFrameReader(
             peers.map { it.label },
             dropped,
             object : PeerMessageListener {
--- a/src/main/kotlin/org/chalkhollow/peer/PeerListener.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerFrameReader.kt
@@ -26,7 +26,7 @@
 }
 
 /** Reads the frames of connections that controllers with these [labels] have opened. */
-class PeerListener(
+class PeerFrameReader(
     private val labels: List<String>,
     private val dropped: DroppedFrameListener,
     private val listener: PeerMessageListener,
--- a/src/main/kotlin/org/chalkhollow/runtime/StateServiceClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/StateServiceClient.kt
@@ -61,7 +61,7 @@
     private fun decodeSuccess(op: StateOp, body: ByteArray): StateReply =
         when (op) {
             is StateOp.Read -> StateReply.Found(ServiceCodec.keyValue(op.key, body))
-            is StateOp.List -> StateReply.Page(ServiceCodec.rows(body))
+            is StateOp.List -> StateReply.Page(ServiceCodec.page(body))
             is StateOp.Commit -> StateReply.Committed(ServiceCodec.revision(body))
         }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
@@ -131,7 +131,7 @@
         val MACHINE_TYPE =
             MachineType(
                 name = WarmUpMessages.TYPE,
-                room = Resources(cpus = 8.0, gpus = 0.0, memoryGb = 64.0),
+                capacity = Resources(cpus = 8.0, gpus = 0.0, memoryGb = 64.0),
                 imageGbPerS = 1.0,
                 cacheGb = 10.0,
                 price = 1.0,
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
@@ -16,15 +16,15 @@
     /** How long a leader may go on through an outage of the state service on follower leases alone. */
     val outageLimitMs: Long = 120_000,
     /** How long a rented machine may idle before it is scaled in; dearer ones go sooner. */
-    val idleReturnS: Double = 35.0,
+    val maxIdleS: Double = 35.0,
     /** What idle rented machines may cost, as a share of what the operator's own machines cost. */
-    val standbyShare: Double = 1.0,
+    val standbyCostFraction: Double = 1.0,
     /** Headroom left free for classes whose users wait for starts, in multiples of the mean size of their jobs. */
-    val urgentReserve: Double = 1.0,
+    val urgentHeadroomFactor: Double = 1.0,
     /** How long a job may be passed over for others before starvation prevention gives it credit. */
-    val patienceS: Double = 200.0,
+    val maxPassedOverS: Double = 200.0,
     /** What that credit gives it, as a share of all CPUs. */
-    val patienceShare: Double = 0.15,
+    val creditCpuFraction: Double = 0.15,
     /** Idle rented machines that are kept for jobs to come. */
     val spareMachines: Int = 0,
     /** Most machines at once; 0: as many as the teams' limits can use. */
--- a/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
@@ -21,7 +21,7 @@
  */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val txnOps: Int) {
     /** The smaller of each limit of this and of [other]. */
-    fun within(other: StateLimits) =
+    fun coerceAtMost(other: StateLimits) =
         StateLimits(
             minOf(rps, other.rps),
             minOf(writeRps, other.writeRps),
@@ -32,14 +32,14 @@
 
 /**
  * A service-level objective on how soon a class of jobs should start or finish: a [share] of the jobs of [workload],
- * or of all jobs when that is null, within [withinS] seconds or [times] their expected duration.
+ * or of all jobs when that is null, within [withinS] seconds or [deadlineFactor] their expected duration.
  */
 data class Objective(
     val kind: String,
     val workload: String?,
     val withinS: Double?,
     val share: Double,
-    val times: Double = 1.0,
+    val deadlineFactor: Double = 1.0,
 )
 
 /**
@@ -57,7 +57,7 @@
     val teams: List<Team>,
     val objectives: List<Objective>,
     val heartbeatIntervalS: Double,
-    val leaseS: Double,
+    val workerLeaseS: Double,
     val cancelS: Double,
     /** What this controller keeps within: the smaller of the limits that hold now and those that will. */
     val stateLimits: StateLimits,
@@ -66,5 +66,5 @@
     val maxConnections: Int,
     val skewMs: Double,
     /** What the state service takes now, and what versions before `next` keep within. */
-    val stateLimitsNow: StateLimits = stateLimits,
+    val currentStateLimits: StateLimits = stateLimits,
 )
--- a/src/main/kotlin/org/chalkhollow/settings/PlatformSettingsParser.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/PlatformSettingsParser.kt
@@ -49,10 +49,10 @@
                 teams = facts.required("teams").items().map(::team),
                 objectives = facts.optional("objectives")?.items()?.map(::objective) ?: emptyList(),
                 heartbeatIntervalS = workers.required("report_s").number(MIN_INTERVAL_S, MAX_INTERVAL_S),
-                leaseS = workers.required("lease_s").number(MIN_LEASE_S, MAX_LEASE_S),
+                workerLeaseS = workers.required("lease_s").number(MIN_LEASE_S, MAX_LEASE_S),
                 cancelS = workers.required("cancel_s").number(1.0, MAX_CANCEL_S),
-                stateLimits = state.optional("next")?.let { stateLimits(it, limits).within(limits) } ?: limits,
-                stateLimitsNow = limits,
+                stateLimits = state.optional("next")?.let { stateLimits(it, limits).coerceAtMost(limits) } ?: limits,
+                currentStateLimits = limits,
                 cloudRps = cloud.required("rps").number(MIN_CLOUD_RPS, MAX_CLOUD_RPS),
                 listLagS = cloud.required("list_lag_s").number(0.0, MAX_LIST_LAG_S),
                 maxConnections = maxConnections(facts),
@@ -109,7 +109,7 @@
             workload = field.optional("class")?.text(),
             withinS = field.optional("within_s")?.number(0.0, MAX_AMOUNT),
             share = field.optional("share")?.number(0.0, 1.0) ?: 1.0,
-            times = field.optional("times")?.number(0.0, MAX_TIMES) ?: 1.0,
+            deadlineFactor = field.optional("times")?.number(0.0, MAX_TIMES) ?: 1.0,
         )
 
     private const val MIN_INTERVAL_S = 0.05
--- a/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
@@ -39,7 +39,7 @@
         return KeyValue(key, fields.map["value"], fields.long("stamp"))
     }
 
-    fun rows(body: ByteArray): KeyValuePage {
+    fun page(body: ByteArray): KeyValuePage {
         val fields = Pack.decodeMap(body)
         val rows = fields.maps("rows").map { KeyValue(it.text("key"), it.map["value"], it.long("stamp")) }
         return KeyValuePage(rows, fields.flag("more"))
@@ -49,7 +49,7 @@
         Pack.decodeMap(body).maps("flavours").map { fields ->
             MachineType(
                 name = fields.text("sku"),
-                room =
+                capacity =
                     Resources(
                         fields.amount("vcpus"),
                         fields.numberOrNull("cards") ?: 0.0,
--- a/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
@@ -33,7 +33,7 @@
     private val priorityNames = priorities.entries.associate { (name, value) -> value to name }
 
     /** Whether [id] has the form that users' job ids always have. */
-    fun validId(id: String): Boolean =
+    fun isValidId(id: String): Boolean =
         id.length in MIN_ID..MAX_ID && id.startsWith(ID_PREFIX) &&
             (ID_PREFIX.length until id.length).all { id[it] in '0'..'9' }
 
@@ -41,8 +41,8 @@
     fun job(bytes: ByteArray): JobSpec = read(Pack.decodeMap(bytes), stored = false)
 
     /**
-     * Reads a job that was stored in the form of [map], also by earlier versions that took jobs without an image or an
-     * estimate.
+     * Reads a job that was stored in the form of [toMap]. Earlier versions accepted and stored jobs without an image,
+     * and services without an estimated run time.
      */
     fun storedJob(fields: Fields): JobSpec = read(fields, stored = true)
 
@@ -50,7 +50,7 @@
      * The job id in a submission that [job] cannot read, if it can still be read and has the right form: the body may
      * be cut short or malformed after it.
      */
-    fun idIn(bytes: ByteArray): String? {
+    fun findJobId(bytes: ByteArray): String? {
         var id: String? = null
         try {
             val unpacker = MessagePack.newDefaultUnpacker(bytes)
@@ -58,7 +58,7 @@
             repeat(unpacker.unpackMapHeader()) {
                 val isId = unpacker.textOrSkip() == "nameId"
                 val value = unpacker.textOrSkip()
-                if (isId && value != null && validId(value)) id = value
+                if (isId && value != null && isValidId(value)) id = value
             }
         } catch (expected: MessagePackException) {
             // The body is known to be malformed; an id that was read before that place stands.
@@ -76,7 +76,7 @@
 
     private fun read(fields: Fields, stored: Boolean): JobSpec {
         val id = fields.text("nameId")
-        if (!validId(id)) Fields.invalid("nameId")
+        if (!isValidId(id)) Fields.invalid("nameId")
         val shape = shapes[fields.text("shape")] ?: Fields.invalid("shape")
         val tasks = tasks(fields)
         val types = types(fields)
@@ -122,7 +122,7 @@
         if (optional && !fields.has("expectedS")) 0.0 else fields.amount("expectedS")
 
     /** The same job as a map, in the form in which jobs are stored: fields that are null are left out. */
-    fun map(spec: JobSpec): Map<String, Any?> =
+    fun toMap(spec: JobSpec): Map<String, Any?> =
         mapOf(
             "nameId" to spec.id,
             "workload" to spec.workload,
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -21,13 +21,13 @@
     private val causes =
         mapOf(
             "done" to ExitCause.DONE,
-            "halted" to ExitCause.HALTED,
+            "halted" to ExitCause.STOPPED,
             "error" to ExitCause.ERROR,
-            "full" to ExitCause.FULL,
-            "busy" to ExitCause.BUSY,
-            "peers" to ExitCause.HALTED,
-            "incomplete" to ExitCause.HALTED,
-            "no_such" to ExitCause.NO_SUCH,
+            "full" to ExitCause.NO_FREE_CAPACITY,
+            "busy" to ExitCause.OTHER_ATTEMPT_PRESENT,
+            "peers" to ExitCause.STOPPED,
+            "incomplete" to ExitCause.STOPPED,
+            "no_such" to ExitCause.UNKNOWN_TASK,
         )
 
     fun heartbeat(bytes: ByteArray): WorkerHeartbeat {
@@ -45,7 +45,7 @@
             epoch = fields.long("tenure"),
             seq = fields.long("tally"),
             fencingToken = fields.long("mandate"),
-            noticeS = fields.numberOrNull("warningS"),
+            spotNoticeS = fields.numberOrNull("warningS"),
             tasks = tasks,
         )
 
--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
@@ -25,7 +25,7 @@
     fun `work that waits though there is room is noticed`() {
         fun played(factor: Double): Set<String> {
             val simulation =
-                Simulation(3, OperatorSettings(idleReturnS = 900.0), sabotage = Sabotage(toldLimitFactor = factor))
+                Simulation(3, OperatorSettings(maxIdleS = 900.0), sabotage = Sabotage(toldLimitFactor = factor))
             quiet(simulation)
             simulation.begin(0, 1)
             simulation.clock.after(8000) {
--- a/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
@@ -19,7 +19,7 @@
     /** A service on spot machines, of which there are no more to be rented. */
     private class Day(seed: Long, machines: Int, tasks: Int, taskResources: Resources, spread: Boolean = true) {
         val simulation =
-            Simulation(seed, OperatorSettings(idleReturnS = 900.0), size = SimulationSize(capacity = machines))
+            Simulation(seed, OperatorSettings(maxIdleS = 900.0), size = SimulationSize(capacity = machines))
         val id: String
 
         init {
--- a/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
@@ -34,7 +34,7 @@
                 answer(
                     simulation,
                     node,
-                    UserCodec.map(
+                    UserCodec.toMap(
                         change(service).copy(
                             id =
                                 "j-" + (100 * nr + simulation.nodes.indexOf(node)),
@@ -69,7 +69,7 @@
     @Test
     fun `a service that lacks a field or has an invalid one is malformed, also for a follower`() {
         val simulation = quietSimulation(6)
-        val whole = UserCodec.map(simulation.users.drawService())
+        val whole = UserCodec.toMap(simulation.users.drawService())
         val lacking =
             listOf(
                 "nameId",
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -27,7 +27,7 @@
     private fun played(untilMs: Long, sentAs: (JobSpec) -> JobSpec) = played(untilMs, sentAs) { it }
 
     private fun played(untilMs: Long, sentAs: (JobSpec) -> JobSpec, change: (JobSpec) -> JobSpec): Played {
-        val simulation = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
+        val simulation = started(Simulation(4, OperatorSettings(maxIdleS = 900.0)))
         val id = simulation.users.submitService(sentAs) { change(it.copy(tasks = 4)) }
         simulation.rules.calmFrom = 20_000
         simulation.clock.runUntil(untilMs)
@@ -90,7 +90,7 @@
                     started(
                         Simulation(
                             4,
-                            OperatorSettings(idleReturnS = 900.0),
+                            OperatorSettings(maxIdleS = 900.0),
                             sabotage = Sabotage(toldLimitFactor = factor),
                         ),
                     )
@@ -108,7 +108,7 @@
                 started(
                     Simulation(
                         4,
-                        OperatorSettings(idleReturnS = 900.0),
+                        OperatorSettings(maxIdleS = 900.0),
                         leaseMs = 100_000,
                         sabotage = Sabotage(toldLeaseS = 8.0),
                     ),
@@ -173,7 +173,7 @@
 
     @Test
     fun `a service of a team at its limit is not missed`() {
-        val simulation = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
+        val simulation = started(Simulation(4, OperatorSettings(maxIdleS = 900.0)))
         for (tasks in listOf(40, 4)) {
             simulation.users.submitService { it.copy(team = "red", tasks = tasks, spread = false) }
             simulation.clock.runUntil(simulation.clock.time + 10_000)
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -22,7 +22,7 @@
      */
     private class Running(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
         val simulation =
-            Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, size = SimulationSize(capacity = 20))
+            Simulation(seed, OperatorSettings(maxIdleS = 900.0), leaseMs, size = SimulationSize(capacity = 20))
         val id: String
 
         init {
--- a/src/test/kotlin/org/chalkhollow/StarvationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/StarvationTest.kt
@@ -13,7 +13,7 @@
 class StarvationTest {
     /** Urgent work takes every machine for as long as it comes, while a few wide jobs of no urgency wait. */
     private fun overload(patienceS: Double): Simulation {
-        val simulation = Simulation(6, OperatorSettings(patienceS = patienceS, idleReturnS = 900.0))
+        val simulation = Simulation(6, OperatorSettings(maxPassedOverS = patienceS, maxIdleS = 900.0))
         simulation.begin(0, 1)
         for (i in 0 until 800) {
             simulation.clock.after(1000 + i * 800L) {
--- a/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
@@ -16,7 +16,7 @@
 class UnreachableMachinesTest {
     /** Jobs, commands and rules of a run in which one machine hears nothing, after a crash of the leader or not. */
     private fun checkDeafMachine(seed: Long, crash: Boolean, heartbeatMs: Long) {
-        val options = OperatorSettings(idleReturnS = 900.0)
+        val options = OperatorSettings(maxIdleS = 900.0)
         val simulation = Simulation(seed, options, leaseMs = 22_000, heartbeatMs = heartbeatMs).withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
         simulation.addSpotMachines(4, listOf("east"))
@@ -57,7 +57,7 @@
     // start.
     @Test
     fun `a machine that hears nothing is given no work, and is returned`() {
-        val simulation = Simulation(3, OperatorSettings(idleReturnS = 900.0))
+        val simulation = Simulation(3, OperatorSettings(maxIdleS = 900.0))
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
         simulation.addSpotMachines(4, listOf("east"))
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -113,7 +113,7 @@
             if (expected != JobState.OPEN) assertEquals(f.long("n").toInt(), entry.tasks)
             val described = f.map["j"] ?: continue
             val spec = checkNotNull(jobs.findForMarker(line.name.removePrefix(JobRecord.KEY_PREFIX))).spec
-            assertArrayEquals(Pack.encode(described), Pack.encode(UserCodec.map(spec)), line.name)
+            assertArrayEquals(Pack.encode(described), Pack.encode(UserCodec.toMap(spec)), line.name)
             if (expected == JobState.OPEN) assertEquals(f.long("at"), entry.open?.acceptedWallMs)
         }
     }
--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -18,7 +18,7 @@
         val simulation =
             Simulation(
                 17,
-                OperatorSettings(idleReturnS = 900.0),
+                OperatorSettings(maxIdleS = 900.0),
                 size = SimulationSize(capacity = capacity),
                 objectives = objectives,
             ).withReliableNetwork()
--- a/src/test/kotlin/org/chalkhollow/peer/PeerListenerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/peer/PeerFrameReaderTest.kt
@@ -13,7 +13,7 @@
 import java.nio.ByteBuffer
 import java.util.SplittableRandom
 
-class PeerListenerTest {
+class PeerFrameReaderTest {
     /** What a version after this one might say. */
     @Serializable
     private sealed interface Later {
@@ -60,7 +60,7 @@
         val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(sizes(f)).array() + f }
         runBlocking {
             try {
-                PeerListener(listOf("a", "b"), dropped, listener).readFrames(ByteReadChannel(bytes))
+                PeerFrameReader(listOf("a", "b"), dropped, listener).readFrames(ByteReadChannel(bytes))
             } catch (expected: EOFException) {
                 // The connection ended.
             }
--- a/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/settings/SettingsTest.kt
@@ -51,7 +51,7 @@
             PlatformSettingsParser
                 .parse(next(json), "s.json")
                 .also {
-                    assertEquals(now, it.stateLimitsNow)
+                    assertEquals(now, it.currentStateLimits)
                 }.stateLimits
         assertEquals(StateLimits(40.0, 10.0, 4096, 6), limits("""{"rps":40,"write_rps":10,"value_kb":4,"txn_ops":6}"""))
         assertEquals(
@@ -94,7 +94,7 @@
     @Test
     fun `operators' settings are protobuf text, and an unknown field is an error with its place`() {
         assertEquals(OperatorSettings(), OperatorSettingsParser.parse("# nothing\n", "o"))
-        assertEquals(30.0, OperatorSettingsParser.parse("idle_return_s: 30\nsample_size: 4", "o").idleReturnS)
+        assertEquals(30.0, OperatorSettingsParser.parse("idle_return_s: 30\nsample_size: 4", "o").maxIdleS)
         val unknown =
             assertThrows(
                 InvalidSettingsException::class.java,
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
@@ -38,12 +38,12 @@
     private fun stop(task: FakeTask, graceS: Double, key: String) {
         val spec = simulation.users.spec(task.job)
         when {
-            task.phase == TaskStatus.Phase.SAVING -> if (graceS <= 0.0) exit(task, ExitCause.HALTED)
+            task.phase == TaskStatus.Phase.SAVING -> if (graceS <= 0.0) exit(task, ExitCause.STOPPED)
             task.phase == TaskStatus.Phase.RUNNING && spec != null && spec.checkpointS > 0 && graceS >= spec.saveS -> {
                 task.phase = TaskStatus.Phase.SAVING
-                at(task, (spec.saveS * 1000).toLong(), key) { exit(task, ExitCause.HALTED) }
+                at(task, (spec.saveS * 1000).toLong(), key) { exit(task, ExitCause.STOPPED) }
             }
-            else -> exit(task, ExitCause.HALTED)
+            else -> exit(task, ExitCause.STOPPED)
         }
     }
 
@@ -53,9 +53,9 @@
         val spec = simulation.users.spec(command.jobId)
         byAttempt[key] = task
         when {
-            spec == null -> exit(task, ExitCause.NO_SUCH)
-            same -> exit(task, ExitCause.BUSY)
-            usedCpus() > worker.type.room.cpus + ROUNDING -> exit(task, ExitCause.FULL)
+            spec == null -> exit(task, ExitCause.UNKNOWN_TASK)
+            same -> exit(task, ExitCause.OTHER_ATTEMPT_PRESENT)
+            usedCpus() > worker.type.capacity.cpus + ROUNDING -> exit(task, ExitCause.NO_FREE_CAPACITY)
             else -> at(task, clock.between(200, 3000), key) { begin(task, spec, key) }
         }
     }
@@ -65,7 +65,7 @@
      * priority do not count.
      */
     fun hasRoomFor(spec: JobSpec, stopsLower: Boolean = false): Boolean {
-        val room = worker.type.room
+        val room = worker.type.capacity
         val here =
             all
                 .filter { !it.exited }
--- a/src/test/kotlin/org/chalkhollow/simulation/QuietSimulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/QuietSimulation.kt
@@ -17,7 +17,7 @@
 
 /** A simulation without chance faults at 12 s: its [machines] are up, it has a leader and no job yet. */
 fun quietSimulation(seed: Long, patienceS: Double = 200.0, machines: Int = 6, capacity: Int = 14): Simulation {
-    val options = OperatorSettings(idleReturnS = 900.0, patienceS = patienceS)
+    val options = OperatorSettings(maxIdleS = 900.0, maxPassedOverS = patienceS)
     val simulation = Simulation(seed, options, size = SimulationSize(capacity = capacity)).withReliableNetwork()
     simulation.begin(0, 1, machines, firstMs = 4000)
     simulation.clock.runUntil(12_000)
--- a/src/test/kotlin/org/chalkhollow/simulation/RandomDay.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RandomDay.kt
@@ -18,7 +18,7 @@
 fun largeFleet(seed: Long, controllers: Int, machines: Int) =
     Simulation(
         seed,
-        OperatorSettings(idleReturnS = 300.0),
+        OperatorSettings(maxIdleS = 300.0),
         22_000,
         heartbeatMs = 4000,
         size = SimulationSize(controllers, capacity = machines + 50, scale = machines / 12),
--- a/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -38,7 +38,7 @@
 /** Controllers, fakes and rules on one virtual clock; [FaultInjection] adds faults. */
 class Simulation(
     seed: Long,
-    val options: OperatorSettings = OperatorSettings(idleReturnS = 20.0),
+    val options: OperatorSettings = OperatorSettings(maxIdleS = 20.0),
     val leaseMs: Long = 8000,
     /** How often workers send heartbeats. */
     val heartbeatMs: Long = 2000,
@@ -95,8 +95,8 @@
 
     /** The settings of [label] when the state service is to have the limits [next]. */
     fun settingsWith(label: String, next: StateLimits): PlatformSettings =
-        settingsOf(label, settings.leaseS, 1.0).let {
-            it.copy(stateLimits = stateLimits.within(next), stateLimitsNow = stateLimits)
+        settingsOf(label, settings.workerLeaseS, 1.0).let {
+            it.copy(stateLimits = stateLimits.coerceAtMost(next), currentStateLimits = stateLimits)
         }
 
     private fun settingsOf(label: String, leaseS: Double, factor: Double) =
@@ -111,7 +111,7 @@
             teams = limits.map { it.copy(cpusMax = it.cpusMax * factor) },
             objectives = objectives,
             heartbeatIntervalS = heartbeatMs / 1000.0,
-            leaseS = leaseS,
+            workerLeaseS = leaseS,
             cancelS = 25.0,
             stateLimits = stateLimits,
             cloudRps = 3.0,
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -99,7 +99,7 @@
     private fun submit(spec: JobSpec, tries: Int) {
         val askedAt = clock.time
         // Through the wire's form, so that the controller gets what a process would.
-        val raw = Pack.encode(UserCodec.map(spec))
+        val raw = Pack.encode(UserCodec.toMap(spec))
         call(UserRequest.Submit(UserCodec.job(raw), raw), 5000) { response ->
             when (response?.status) {
                 200, 201 -> {
@@ -220,7 +220,7 @@
                 types = null,
                 zone = null,
             )
-        val raw = Pack.encode(UserCodec.map(spec))
+        val raw = Pack.encode(UserCodec.toMap(spec))
         call(
             UserRequest.Submit(UserCodec.job(raw), raw),
             5000,
@@ -230,7 +230,7 @@
     /** A job without one of its fields; it must be refused. */
     private fun submitLacking() {
         val spec = jobs.draw()
-        val map = UserCodec.map(spec)
+        val map = UserCodec.toMap(spec)
         val needed =
             listOf(
                 "workload",
--- a/src/test/kotlin/org/chalkhollow/simulation/WorkerForm.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/WorkerForm.kt
@@ -20,7 +20,7 @@
                 "tenure" to heartbeat.epoch,
                 "tally" to heartbeat.seq,
                 "mandate" to heartbeat.fencingToken,
-                "warningS" to heartbeat.noticeS,
+                "warningS" to heartbeat.spotNoticeS,
                 "pieces" to
                     heartbeat.tasks.map { task ->
                         mapOf(
@@ -54,10 +54,10 @@
     private val CAUSES =
         mapOf(
             ExitCause.DONE to "done",
-            ExitCause.HALTED to "halted",
+            ExitCause.STOPPED to "halted",
             ExitCause.ERROR to "error",
-            ExitCause.FULL to "full",
-            ExitCause.BUSY to "busy",
-            ExitCause.NO_SUCH to "no_such",
+            ExitCause.NO_FREE_CAPACITY to "full",
+            ExitCause.OTHER_ATTEMPT_PRESENT to "busy",
+            ExitCause.UNKNOWN_TASK to "no_such",
         )
 }
--- a/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
@@ -41,7 +41,7 @@
         val spec = read(good + ("surprise" to listOf(1)))
         assertEquals("j-000412" to Priority.HIGH, spec.id to spec.priority)
         assertEquals(16, spec.tasks)
-        assertEquals(spec, read(UserCodec.map(spec)))
+        assertEquals(spec, read(UserCodec.toMap(spec)))
     }
 
     @Test
@@ -111,7 +111,7 @@
         val stored = good + ("shape" to "service") - "bundle" - "pullGb" - "expectedS" - "site" - "dueS"
         val spec = stored(stored)
         assertEquals(listOf<Any?>(null, 0.0, 0.0), listOf(spec.image, spec.imageGb, spec.expectedS))
-        assertEquals(spec, stored(UserCodec.map(spec)))
+        assertEquals(spec, stored(UserCodec.toMap(spec)))
         assertThrows(MalformedMessageException::class.java) { stored(stored + ("shape" to "batch")) }
     }
 
