--- a/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
+++ b/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
@@ -26,13 +26,13 @@
  * [ControllerNode].
  */
 class Chalkhollow(private val processStartedAtNs: Long = System.nanoTime()) : CoreCliktCommand(name = "chalkhollow") {
-    private val config by option("--config", metavar = "FILE", help = "the platform's settings, JSON")
-    private val operator by option(
+    private val configFile by option("--config", metavar = "FILE", help = "the platform's settings, JSON")
+    private val operatorSettingsFile by option(
         "--operator-settings",
         metavar = "FILE",
         help = "operators' own settings, protobuf text format",
     )
-    private val check by option("--check", help = "check the settings and exit").flag()
+    private val checkOnly by option("--check", help = "check the settings and exit").flag()
     private val warmUp by option(
         "--warm-up",
         help = "load what a start needs and exit; used by the build",
@@ -51,16 +51,17 @@
     override fun run() {
         if (currentContext.invokedSubcommand != null) return
         if (warmUp) return ArchiveTrainingRun.run()
-        val path = config ?: throw CliktError("missing option --config", statusCode = INVALID_SETTINGS)
+        val path = configFile ?: throw CliktError("missing option --config", statusCode = EXIT_INVALID_SETTINGS)
         val platformSettings: PlatformSettings
         val operatorSettings: OperatorSettings
         try {
             platformSettings = PlatformSettingsParser.load(Path.of(path))
-            operatorSettings = operator?.let { OperatorSettingsParser.load(Path.of(it)) } ?: OperatorSettings()
+            operatorSettings =
+                operatorSettingsFile?.let { OperatorSettingsParser.load(Path.of(it)) } ?: OperatorSettings()
         } catch (e: InvalidSettingsException) {
-            throw CliktError(e.message, e, statusCode = INVALID_SETTINGS)
+            throw CliktError(e.message, e, statusCode = EXIT_INVALID_SETTINGS)
         }
-        if (check) return echo("$path: good")
+        if (checkOnly) return echo("$path: good")
         serve(platformSettings, operatorSettings)
     }
 
@@ -81,21 +82,26 @@
             } catch (e: IOException) {
                 System.err.println("chalkhollow: ${e.message ?: "cannot start"}")
                 System.err.flush()
-                Runtime.getRuntime().halt(START_FAILED)
+                Runtime.getRuntime().halt(EXIT_START_FAILED)
             }
         }
         loop.run()
     }
 
-    /** A number above those of earlier processes: the time, with bits that differ within one millisecond. */
+    /**
+     * A number above those of earlier processes: the wall-clock time in milliseconds, followed by low bits of the
+     * monotonic time, which differ between starts within one millisecond.
+     */
     private fun newIncarnation(): Long {
         val nanos = System.nanoTime() and ((1L shl NANO_BITS) - 1)
         return (System.currentTimeMillis() shl NANO_BITS or nanos) and Long.MAX_VALUE
     }
 
     private companion object {
-        const val START_FAILED = 1
-        const val INVALID_SETTINGS = 2
+        // Exit codes.
+        const val EXIT_START_FAILED = 1
+        const val EXIT_INVALID_SETTINGS = 2
+
         const val NANO_BITS = 20
     }
 }
--- a/src/main/kotlin/org/chalkhollow/StatusCommand.kt
+++ b/src/main/kotlin/org/chalkhollow/StatusCommand.kt
@@ -33,20 +33,20 @@
         val id = job
         val text =
             fetch(if (id == null) "/ops/status" else "/ops/jobs/$id")
-                ?: throw CliktError("$address does not know ${id ?: "of this"}", statusCode = UNKNOWN)
+                ?: throw CliktError("$address does not know ${id ?: "the status path"}", statusCode = EXIT_NOT_FOUND)
         if (json) return echo(text)
         try {
             if (id == null) {
-                show(LENIENT.decodeFromString(StatusView.serializer(), text))
+                show(LENIENT_JSON.decodeFromString(StatusView.serializer(), text))
             } else {
-                show(LENIENT.decodeFromString(JobView.serializer(), text))
+                show(LENIENT_JSON.decodeFromString(JobView.serializer(), text))
             }
         } catch (e: SerializationException) {
-            throw CliktError("$address is no controller of this version", e, statusCode = UNREACHABLE)
+            throw CliktError("$address sent no status that this version can read", e, statusCode = EXIT_UNREACHABLE)
         }
     }
 
-    /** The body at [path]; null when the controller knows of no such thing. */
+    /** The response body for [path]; null if the response has status 404. */
     private fun fetch(path: String): String? {
         val uri = uri(path)
         try {
@@ -56,9 +56,9 @@
             if (connection.responseCode == HttpURLConnection.HTTP_NOT_FOUND) return null
             return connection.inputStream.use { it.readBytes().decodeToString() }
         } catch (e: UnknownHostException) {
-            throw CliktError("$address cannot be reached: no such host", e, statusCode = UNREACHABLE)
+            throw CliktError("$address cannot be reached: no such host", e, statusCode = EXIT_UNREACHABLE)
         } catch (e: IOException) {
-            throw CliktError("$address cannot be reached: ${e.message}", e, statusCode = UNREACHABLE)
+            throw CliktError("$address cannot be reached: ${e.message}", e, statusCode = EXIT_UNREACHABLE)
         }
     }
 
@@ -67,14 +67,14 @@
             try {
                 URI("http://$address$path")
             } catch (e: URISyntaxException) {
-                throw notAnAddress(e)
+                throw invalidAddress(e)
             }
-        if (uri.host == null || uri.port !in Address.PORTS) throw notAnAddress()
+        if (uri.host == null || uri.port !in Address.PORTS) throw invalidAddress()
         return uri
     }
 
-    private fun notAnAddress(cause: Exception? = null) =
-        CliktError("$address is not host:port", cause, statusCode = UNREACHABLE)
+    private fun invalidAddress(cause: Exception? = null) =
+        CliktError("$address is not host:port", cause, statusCode = EXIT_UNREACHABLE)
 
     private fun show(status: StatusView) {
         val role = if (status.leads) "leads" else "follows ${status.leader ?: "nobody it has heard of lately"}"
@@ -130,12 +130,12 @@
     }
 
     private companion object {
-        /** A controller of a newer version may send more. */
-        val LENIENT = Json { ignoreUnknownKeys = true }
+        /** Controllers of newer versions may send additional fields. */
+        val LENIENT_JSON = Json { ignoreUnknownKeys = true }
         const val TIMEOUT_MS = 3000
 
         // Exit codes.
-        const val UNREACHABLE = 1
-        const val UNKNOWN = 3
+        const val EXIT_UNREACHABLE = 1
+        const val EXIT_NOT_FOUND = 3
     }
 }
--- a/src/main/kotlin/org/chalkhollow/model/Command.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Command.kt
@@ -9,7 +9,7 @@
     /** Starts the attempt. */
     data class Start(override val jobId: String, override val index: Int, override val attempt: Long) : Command
 
-    /** Stops the attempt, which has [graceS] seconds to save a checkpoint. */
+    /** Stops the attempt, with a grace period of [graceS] seconds to save a checkpoint. */
     data class Stop(
         override val jobId: String,
         override val index: Int,
@@ -17,6 +17,6 @@
         val graceS: Double,
     ) : Command
 
-    /** Drops an attempt that has exited from the worker's heartbeats. */
+    /** Makes the worker forget an exited attempt, so that its heartbeats do not list it any more. */
     data class Forget(override val jobId: String, override val index: Int, override val attempt: Long) : Command
 }
--- a/src/main/kotlin/org/chalkhollow/model/Heartbeats.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Heartbeats.kt
@@ -2,28 +2,28 @@
 
 /** Why a task exited. */
 enum class ExitCause {
-    /** It has done its work. */
+    /** The task completed. */
     DONE,
 
-    /** It was stopped, or other tasks that it needs were. */
+    /** The task was stopped, or other tasks that it needs were stopped or missing. */
     STOPPED,
 
-    /** It failed. */
+    /** The task failed. */
     ERROR,
 
-    /** The worker refused the start: it has no room. */
+    /** The worker rejected the start because its machine lacks free capacity. */
     NO_FREE_CAPACITY,
 
-    /** The worker refused the start: it has another attempt of the same task. */
+    /** The worker rejected the start because it has another attempt of the same task. */
     OTHER_ATTEMPT_PRESENT,
 
-    /** The worker refused the start: it knows no such task. */
+    /** The worker rejected the start because it does not know the task. */
     UNKNOWN_TASK,
 }
 
-/** The status of one attempt of a task in a heartbeat; [cause] is there only when it has exited. */
+/** The status of an attempt in a heartbeat; [cause] is null unless the attempt has exited. */
 data class TaskStatus(val jobId: String, val index: Int, val attempt: Long, val phase: Phase, val cause: ExitCause?) {
-    /** Fetching its image, running, saving a checkpoint, or ended. */
+    /** Fetching the image, running, saving a checkpoint, or exited. */
     enum class Phase { FETCHING, RUNNING, SAVING, EXITED }
 }
 
--- a/src/main/kotlin/org/chalkhollow/model/HttpStatus.kt
+++ b/src/main/kotlin/org/chalkhollow/model/HttpStatus.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.model
 
-/** HTTP statuses of the responses that this process sends or receives. */
+/** Status codes of HTTP responses that this process sends or receives. */
 internal object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -10,12 +10,12 @@
     const val CONFLICT = 409
     const val CONTENT_TOO_LARGE = 413
 
-    /** The caller should send its request to the controller that the body names. */
+    /** The body names the controller to which the request should be sent. */
     const val MISDIRECTED = 421
     const val UNPROCESSABLE = 422
     const val TOO_MANY_REQUESTS = 429
 
-    /** All statuses from here on say that nothing was decided. */
+    /** The lowest status of a server error, which says that nothing was decided about the request. */
     const val MIN_SERVER_ERROR = 500
     const val UNAVAILABLE = 503
 }
--- a/src/main/kotlin/org/chalkhollow/model/Jobs.kt
+++ b/src/main/kotlin/org/chalkhollow/model/Jobs.kt
@@ -3,13 +3,13 @@
 /** Priority classes, most urgent first; the ordinal is the rank. */
 enum class Priority { PRODUCTION, HIGH, STANDARD, BEST_EFFORT }
 
-/** What one task takes of its machine, or what a machine has room for. */
+/** The resource demand of a task, or the capacity or free capacity of a machine. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    /** Whether one task of this size fits into [capacity]. */
+    /** Whether a task with this resource demand fits into [capacity]. */
     fun fitsIn(capacity: Resources): Boolean =
         cpus <= capacity.cpus + EPSILON && gpus <= capacity.gpus + EPSILON && memoryGb <= capacity.memoryGb + EPSILON
 
-    /** How many tasks of this size fit into [capacity]. */
+    /** How many tasks with this resource demand fit into [capacity]. */
     fun countIn(capacity: Resources): Int {
         var n = Int.MAX_VALUE.toDouble()
         if (cpus > 0) n = minOf(n, (capacity.cpus + EPSILON) / cpus)
@@ -20,7 +20,7 @@
 
     operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
-    /** What is left of this room beside [n] tasks of size [taskResources]. */
+    /** This capacity less the demand of [n] tasks that need [taskResources] each. */
     fun without(taskResources: Resources, n: Int) =
         Resources(cpus - n * taskResources.cpus, gpus - n * taskResources.gpus, memoryGb - n * taskResources.memoryGb)
 
@@ -29,12 +29,15 @@
     }
 }
 
-/** How the tasks of a job relate: each on its own, all at the same time, or replicas that run until cancelled. */
+/** How the tasks of a job run: independently, all at the same time, or as replicas until the job is cancelled. */
 enum class Shape { ARRAY, GANG, SERVICE }
 
 /**
- * A job as its user described it; names that the core compares are text only here and where they enter the core. Names
- * that end in `S` are seconds, in `Gb` gigabytes; a null list of [types], [zone] or [dueS] sets no bound.
+ * A job as its user submitted it. The core interns the names in it and compares their indices instead. Values are in
+ * seconds if their name ends in `S`, and in gigabytes if it ends in `Gb`. Null for [types], [zone] or [dueS] means no
+ * restriction. With [together] all tasks run in one zone; with [spread] at most half of them, rounded up, run in the
+ * same zone. [checkpointS] is 0 if tasks do not save checkpoints; [saveS] estimates how long saving one takes. [dueS]
+ * is the deadline, counted from when the job was accepted.
  */
 data class JobSpec(
     val id: String,
@@ -57,13 +60,13 @@
     val dueS: Double?,
 )
 
-/** The state of a job as it is stored; responses to users state only what is stored. */
+/** The stored state of a job. Responses to users report only what is stored. */
 enum class JobState { OPEN, DONE, CANCELLED }
 
-/** A team's quota: the CPUs and GPUs that it is guaranteed, and the most that it may use. */
+/** A team's quota: guaranteed CPUs and GPUs, and the limits [cpusMax] and [gpusMax] on what it may use. */
 data class Team(val name: String, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double)
 
-/** A machine type of the cloud's catalog; [bootS] is how many seconds a machine takes until it can be used. */
+/** A machine type in the cloud's catalog; a rented machine can be used after about [bootS] seconds. */
 data class MachineType(
     val name: String,
     val capacity: Resources,
--- a/src/main/kotlin/org/chalkhollow/model/ListedMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/model/ListedMachines.kt
@@ -1,6 +1,6 @@
 package org.chalkhollow.model
 
-/** A machine as the cloud lists it; [ageS] is how many seconds ago it was rented. */
+/** A machine in the cloud inventory, rented [ageS] seconds ago. */
 data class ListedMachine(
     val name: String,
     val address: String,
@@ -13,5 +13,5 @@
     enum class Status { STARTING, RUNNING, FAILED }
 }
 
-/** A page of the cloud's machine list; [more] says whether others follow. */
+/** A page of the cloud inventory; [more] says whether more machines follow. */
 data class ListedPage(val machines: List<ListedMachine>, val more: Boolean)
--- a/src/main/kotlin/org/chalkhollow/peer/Frames.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/Frames.kt
@@ -6,21 +6,21 @@
 import kotlinx.serialization.modules.SerializersModule
 import kotlinx.serialization.modules.polymorphic
 
-/** What a frame from another controller turned out to be. */
+/** The result of decoding a frame from another controller. */
 sealed interface Frame {
     data class Known(val message: PeerMessage) : Frame
 
     /** A message of a [kind] that this version does not know. */
     data class UnknownKind(val kind: String) : Frame
 
-    /** No message; [reason] is for people. */
+    /** A frame that cannot be decoded; [reason] is for the log. */
     data class Malformed(val reason: String) : Frame
 }
 
-/** CBOR form of the messages between controllers. */
+/** Encodes and decodes the messages between controllers as CBOR. */
 @OptIn(ExperimentalSerializationApi::class)
 object Frames {
-    /** The largest frame that is read; a longer one is not from a controller. */
+    /** The maximum size of a frame that is read. Controllers send no larger frames. */
     const val MAX_BYTES = 256 * 1024
 
     private class UnknownKindException(val kind: String) : SerializationException("unknown kind $kind")
@@ -38,8 +38,8 @@
 
     fun encode(message: PeerMessage): ByteArray = cbor.encodeToByteArray(PeerMessage.serializer(), message)
 
-    /** Reads one frame; whatever is wrong with it is in the result and never thrown. */
-    @Suppress("TooGenericExceptionCaught") // the decoder throws others than SerializationException for some junk
+    /** Decodes one frame. Never throws: an error is part of the result. */
+    @Suppress("TooGenericExceptionCaught") // the decoder throws other exceptions, too, on some malformed input
     fun read(bytes: ByteArray): Frame =
         try {
             Frame.Known(cbor.decodeFromByteArray(PeerMessage.serializer(), bytes))
@@ -49,6 +49,6 @@
             Frame.Malformed(e.message ?: e::class.java.simpleName)
         }
 
-    /** The message in a frame; null when it is not [Frame.Known]. */
+    /** The message in a frame; null if the frame is malformed or of an unknown kind. */
     fun decode(bytes: ByteArray): PeerMessage? = (read(bytes) as? Frame.Known)?.message
 }
--- a/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerConnections.kt
@@ -23,9 +23,9 @@
 import org.chalkhollow.settings.Peer
 
 /**
- * Connections to the other controllers: each sends on the one it opened and receives on those it accepted. Peers are
- * named by their index in [peers]. All of it runs in [scope], which must be one thread; [receive] is called there with
- * every message, hellos included.
+ * Connections to the other controllers. A controller sends on connections that it opened and receives on connections
+ * that it accepted. Peers are identified by their index in [peers]. Everything runs in [scope], which must be
+ * single-threaded; [receive] is called there with every message, including hellos.
  */
 class PeerConnections(
     private val scope: CoroutineScope,
@@ -33,49 +33,55 @@
     private val listen: Address,
     private val peers: List<Peer>,
     private val hello: PeerMessage.Hello,
-    dropped: DroppedFrameListener,
+    droppedFrames: DroppedFrameListener,
     private val receive: (Int, PeerMessage) -> Unit,
 ) {
-    private val listener =
+    private val frameReader =
         PeerFrameReader(
             peers.map { it.label },
-            dropped,
+            droppedFrames,
             object : PeerMessageListener {
-                override fun onHello(peer: Int, hello: PeerMessage.Hello) = greeted(peer, hello)
+                override fun onHello(peer: Int, hello: PeerMessage.Hello) = handleHello(peer, hello)
 
                 override fun onMessage(peer: Int, message: PeerMessage) = receive(peer, message)
             },
         )
 
-    /** The last incarnation that each peer has named; 0 before the first. */
+    /** By peer: the incarnation in its last hello; 0 before the first hello. */
     private val incarnations = LongArray(peers.size)
 
-    /** Whether the connection that we opened to each peer is open. */
-    private val connected = BooleanArray(peers.size)
+    /** By peer: whether this controller's connection to it is open. */
+    private val isConnected = BooleanArray(peers.size)
 
-    /** Signals that a peer listens and should be called now: it restarted, or called while we were not connected. */
-    private val wakeUps = peers.map { Channel<Unit>(Channel.CONFLATED) }
-    private val queues = peers.map { Channel<PeerMessage>(MAX_QUEUED, BufferOverflow.DROP_OLDEST) }
+    /**
+     * By peer: signals that this controller should connect now, because a hello shows that the peer listens. Sent when
+     * the peer has restarted, or when it connects while this controller is not connected to it.
+     */
+    private val reconnectSignals = peers.map { Channel<Unit>(Channel.CONFLATED) }
+    private val queues = peers.map { Channel<PeerMessage>(MAX_QUEUED_MESSAGES, BufferOverflow.DROP_OLDEST) }
 
-    /** Queues [message]; the oldest are dropped while a peer does not take any, and all when it reconnects. */
+    /**
+     * Queues [message] for [peer]. When the queue is full, the oldest message is dropped. When a new connection to the
+     * peer is open, all messages that were queued before are dropped.
+     */
     fun send(peer: Int, message: PeerMessage) {
         queues[peer].trySend(message)
     }
 
-    /** Binds the port; throws what the socket throws when that is not possible. */
+    /** Binds the port; throws the socket's exception if that fails. */
     suspend fun bind(): ServerSocket = aSocket(selector).tcp().bind(listen.host, listen.port) { reuseAddress = true }
 
-    /** Serves connections to [server] and keeps one open to each peer, for as long as the scope lives. */
+    /** Accepts connections on [server] and keeps a connection to each peer open until the scope is cancelled. */
     fun run(server: ServerSocket) {
         scope.launch { acceptAll(server) }
         for (peer in peers.indices) scope.launch { keepConnected(peer) }
     }
 
-    private fun greeted(peer: Int, hello: PeerMessage.Hello) {
-        val before = incarnations[peer]
+    private fun handleHello(peer: Int, hello: PeerMessage.Hello) {
+        val previous = incarnations[peer]
         incarnations[peer] = hello.incarnation
-        val restarted = before != 0L && before != hello.incarnation
-        if (!connected[peer] || restarted) wakeUps[peer].trySend(Unit)
+        val restarted = previous != 0L && previous != hello.incarnation
+        if (!isConnected[peer] || restarted) reconnectSignals[peer].trySend(Unit)
         receive(peer, hello)
     }
 
@@ -87,8 +93,9 @@
                 } catch (e: CancellationException) {
                     throw e
                 } catch (expected: Exception) {
-                    // Out of sockets, for one. Not only IOException, and a loop that ends would leave us unreachable.
-                    delay(RETRY_MS)
+                    // For example, no file descriptors are left. No type of exception may end the loop, because then no
+                    // peer could connect any more.
+                    delay(RETRY_DELAY_MS)
                     continue
                 }
             scope.launch { receiveFrom(socket) }
@@ -97,11 +104,11 @@
 
     private suspend fun receiveFrom(socket: Socket) {
         try {
-            listener.readFrames(socket.openReadChannel())
+            frameReader.readFrames(socket.openReadChannel())
         } catch (e: CancellationException) {
             throw e
         } catch (expected: Exception) {
-            // The peer went away; it connects again when it is back.
+            // The connection failed; the peer opens a new one when it can.
         } finally {
             socket.close()
         }
@@ -114,26 +121,26 @@
             } catch (e: CancellationException) {
                 throw e
             } catch (expected: Exception) {
-                // Refused, reset or not resolved: try again shortly.
+                // The connection was refused or reset, or the host name was not resolved; it is retried below.
             } finally {
-                connected[peer] = false
+                isConnected[peer] = false
             }
-            withTimeoutOrNull(RETRY_MS) { wakeUps[peer].receive() }
+            withTimeoutOrNull(RETRY_DELAY_MS) { reconnectSignals[peer].receive() }
         }
     }
 
-    /** Sends what is queued for [peer] until the process at the other end of [socket] has ended. */
+    /** Sends messages queued for [peer] on [socket] until a write fails or the peer signals a restart. */
     private suspend fun sendAll(peer: Int, socket: Socket) {
         val queue = queues[peer]
-        connected[peer] = true
-        while (queue.tryReceive().isSuccess) Unit // meant for another incarnation, or too old
+        isConnected[peer] = true
+        while (queue.tryReceive().isSuccess) Unit // outdated, or for an earlier incarnation
         val output = socket.openWriteChannel(autoFlush = false)
         write(output, hello)
         while (true) {
             val message: PeerMessage? =
                 select {
                     queue.onReceive { it }
-                    wakeUps[peer].onReceive { null }
+                    reconnectSignals[peer].onReceive { null }
                 }
             write(output, message ?: return)
         }
@@ -146,17 +153,20 @@
         output.flush()
     }
 
-    /** Null when nothing answers in time, or as soon as the peer itself has called, which it does once it listens. */
+    /**
+     * Connects to [peer]. Returns null after [CONNECT_TIMEOUT_MS], or at once when a hello of the peer shows that it
+     * listens by now; then the caller retries.
+     */
     private suspend fun connect(peer: Int): Socket? =
-        withTimeoutOrNull(CONNECT_MS) {
+        withTimeoutOrNull(CONNECT_TIMEOUT_MS) {
             coroutineScope {
                 val address = peers[peer].address
-                val attempt = async { aSocket(selector).tcp().connect(address.host, address.port) { noDelay = true } }
+                val opening = async { aSocket(selector).tcp().connect(address.host, address.port) { noDelay = true } }
                 select {
-                    attempt.onAwait { it }
-                    wakeUps[peer].onReceive {
-                        attempt.cancel()
-                        wakeUps[peer].trySend(Unit) // so that the next attempt is made at once
+                    opening.onAwait { it }
+                    reconnectSignals[peer].onReceive {
+                        opening.cancel()
+                        reconnectSignals[peer].trySend(Unit) // the caller retries at once
                         null
                     }
                 }
@@ -164,8 +174,8 @@
         }
 
     private companion object {
-        const val MAX_QUEUED = 256
-        const val CONNECT_MS = 1000L
-        const val RETRY_MS = 300L
+        const val MAX_QUEUED_MESSAGES = 256
+        const val CONNECT_TIMEOUT_MS = 1000L
+        const val RETRY_DELAY_MS = 300L
     }
 }
--- a/src/main/kotlin/org/chalkhollow/peer/PeerFrameReader.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerFrameReader.kt
@@ -5,63 +5,68 @@
 import io.ktor.utils.io.readInt
 
 /**
- * Callbacks for frames of other controllers that were dropped; `peer` is the label, or null before the connection has
- * said whose it is.
+ * Callbacks for dropped frames from other controllers; `peer` is the sender's label, or null if the connection has not
+ * sent a valid hello.
  */
 interface DroppedFrameListener {
-    /** A frame that could not be read, and why. */
+    /** A frame that cannot be decoded or is not allowed, for [reason]. */
     fun onMalformed(peer: String?, reason: String)
 
     /** A frame of a [kind] that this version does not know. */
     fun onUnknownKind(peer: String?, kind: String)
 }
 
-/** Callbacks for the messages of other controllers, which are named by their index in the settings. */
+/** Callbacks for messages from other controllers; `peer` is the sender's index in the settings. */
 interface PeerMessageListener {
-    /** The first message on a connection. */
+    /** The message that opens a connection. */
     fun onHello(peer: Int, hello: PeerMessage.Hello)
 
-    /** Any later message. */
+    /** Any other message. */
     fun onMessage(peer: Int, message: PeerMessage)
 }
 
-/** Reads the frames of connections that controllers with these [labels] have opened. */
+/** Reads frames from connections that the controllers with these [labels] opened to this controller. */
 class PeerFrameReader(
     private val labels: List<String>,
-    private val dropped: DroppedFrameListener,
+    private val droppedFrames: DroppedFrameListener,
     private val listener: PeerMessageListener,
 ) {
     /**
-     * Reads frames until the connection ends or cannot be read any further: where a frame's end is not known, or the
-     * caller is not known. A frame that is malformed or of a newer version's kind is dropped, and the next one is read.
-     * Throws what the channel throws, `EOFException` at its end.
+     * Reads frames until the connection ends. Returns early if a frame's size is invalid, because the next frame cannot
+     * be found then, and if a message comes from a controller that is unknown or has sent no hello. Drops frames that
+     * are malformed or of an unknown kind, and reads on. Throws the channel's exceptions, `EOFException` at its end.
      */
     suspend fun readFrames(input: ByteReadChannel) {
-        var peer = UNKNOWN
+        var peer = UNKNOWN_PEER
         while (true) {
             val size = input.readInt()
-            if (size !in 1..Frames.MAX_BYTES) return dropped.onMalformed(label(peer), "a frame of $size bytes")
+            if (size !in 1..Frames.MAX_BYTES) {
+                return droppedFrames.onMalformed(
+                    label(peer),
+                    "frame size of $size bytes is not from 1 to ${Frames.MAX_BYTES}",
+                )
+            }
             val frame = Frames.read(input.readByteArray(size))
             when {
-                frame is Frame.Malformed -> dropped.onMalformed(label(peer), frame.reason)
-                frame is Frame.UnknownKind -> dropped.onUnknownKind(label(peer), frame.kind)
-                frame is Frame.Known && frame.message is PeerMessage.Hello -> peer = greet(frame.message)
-                frame is Frame.Known && peer != UNKNOWN -> listener.onMessage(peer, frame.message)
-                else -> return dropped.onMalformed(null, "a message of an unknown controller")
+                frame is Frame.Malformed -> droppedFrames.onMalformed(label(peer), frame.reason)
+                frame is Frame.UnknownKind -> droppedFrames.onUnknownKind(label(peer), frame.kind)
+                frame is Frame.Known && frame.message is PeerMessage.Hello -> peer = identify(frame.message)
+                frame is Frame.Known && peer != UNKNOWN_PEER -> listener.onMessage(peer, frame.message)
+                else -> return droppedFrames.onMalformed(null, "message from a controller without a valid hello")
             }
         }
     }
 
-    /** The index of the caller; [UNKNOWN] when the settings do not name it. */
-    private fun greet(hello: PeerMessage.Hello): Int {
+    /** The index of the sender of [hello]; [UNKNOWN_PEER] if its label is not in the settings. */
+    private fun identify(hello: PeerMessage.Hello): Int {
         val peer = labels.indexOf(hello.label)
-        if (peer != UNKNOWN) listener.onHello(peer, hello)
+        if (peer != UNKNOWN_PEER) listener.onHello(peer, hello)
         return peer
     }
 
     private fun label(peer: Int): String? = labels.getOrNull(peer)
 
     private companion object {
-        const val UNKNOWN = -1
+        const val UNKNOWN_PEER = -1
     }
 }
--- a/src/main/kotlin/org/chalkhollow/peer/PeerMessage.kt
+++ b/src/main/kotlin/org/chalkhollow/peer/PeerMessage.kt
@@ -4,20 +4,23 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The messages between controllers; each is one CBOR frame. The serial names are those of the first version and stay,
- * since controllers of different versions talk to each other; see docs/compatibility.md.
+ * The messages between controllers; each is one CBOR frame. The serial names must not change, because controllers of
+ * different versions exchange messages; see docs/compatibility.md.
  */
 @Serializable
 sealed interface PeerMessage {
     /**
-     * The first frame on a connection: the caller's label, its incarnation and its [VERSION], which is 0 for versions
-     * that did not send one.
+     * The first frame on a connection: the sender's label, incarnation and [VERSION]. Versions that did not send their
+     * version count as 0.
      */
     @Serializable
     @SerialName("hello")
     data class Hello(val label: String, val incarnation: Long, val version: Int = 0) : PeerMessage
 
-    /** The leader of [fencingToken] asks for a follower lease; also its heartbeat. */
+    /**
+     * The leader of [fencingToken] requests a follower lease. Followers take the request as a sign that the leader is
+     * alive; [ready] says whether it has loaded the stored records.
+     */
     @Serializable
     @SerialName("promise?")
     data class FollowerLeaseRequest(
@@ -27,9 +30,10 @@
     ) : PeerMessage
 
     /**
-     * The answer to [FollowerLeaseRequest]; [stateServed] says whether the state service has lately served this peer,
-     * [heartbeats] how many workers' heartbeats have lately come to it, [prepared] whether it has read all that a new
-     * leader has to know.
+     * The response to the [FollowerLeaseRequest] numbered [seq]. [stateServed] says whether the state service replied
+     * to this follower within about two renewal intervals of the leader lease. [heartbeats] counts the workers'
+     * heartbeats that the follower received within the last 6 s. [prepared] says whether the follower has a complete
+     * snapshot and could lead at once.
      */
     @Serializable
     @SerialName("promise")
@@ -42,14 +46,17 @@
         val prepared: Boolean = false,
     ) : PeerMessage
 
-    /** The leader of [fencingToken] steps down: follower leases granted to it end. */
+    /** The leader of [fencingToken] steps down; follower leases granted to it end. */
     @Serializable
     @SerialName("release")
     data class LeadershipRelease(
         @SerialName("generation") val fencingToken: Long,
     ) : PeerMessage
 
-    /** A candidate that saw leadership record [revision] go stale asks for a vote for [fencingToken]. */
+    /**
+     * A candidate requests a vote to become the leader of [fencingToken], because the leadership record was not renewed
+     * since [revision].
+     */
     @Serializable
     @SerialName("vote?")
     data class VoteRequest(
@@ -58,7 +65,7 @@
         val seq: Long,
     ) : PeerMessage
 
-    /** The answer to the [VoteRequest] numbered [seq]. */
+    /** The response to the [VoteRequest] numbered [seq]. */
     @Serializable
     @SerialName("vote")
     data class VoteResponse(
@@ -67,18 +74,18 @@
         val granted: Boolean,
     ) : PeerMessage
 
-    /** A user's request that a follower passes on to the leader. */
+    /** A user's request that a follower forwards to the leader. */
     @Serializable
     @SerialName("forward")
     class ForwardedRequest(val seq: Long, val kind: Int, val jobId: String, val body: ByteArray) : PeerMessage
 
-    /** The leader's answer to a [ForwardedRequest]. */
+    /** The leader's response to the [ForwardedRequest] numbered [seq]. */
     @Serializable
     @SerialName("forwarded")
     class ForwardedResponse(val seq: Long, val status: Int, val body: ByteArray, val retryAfterS: Int) : PeerMessage
 
     companion object {
-        /** Raised when stored records or messages between controllers change; see docs/compatibility.md. */
+        /** Increased when stored records or messages between controllers change; see docs/compatibility.md. */
         const val VERSION = 1
     }
 }
--- a/src/main/kotlin/org/chalkhollow/settings/JsonField.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/JsonField.kt
@@ -8,15 +8,15 @@
 import kotlinx.serialization.json.doubleOrNull
 
 /**
- * A JSON element of the file [source] that knows its [path], so that an error can name the field. Every function throws
- * [InvalidSettingsException] when the element is not of the form asked for.
+ * A JSON element of the file [source] and its [path] in it, which error messages contain. Every function throws
+ * [InvalidSettingsException] if the element does not have the requested form.
  */
 internal class JsonField(private val element: JsonElement, private val path: String, private val source: String) {
-    /** The field [name] of this object, which must be there and not null. */
+    /** The field [name] of this object, which must be present and not null. */
     fun required(name: String): JsonField =
         optional(name) ?: throw InvalidSettingsException("$source: field ${join(name)} is missing")
 
-    /** The field [name] of this object; null when it is missing or null. */
+    /** The field [name] of this object; null if it is missing or null. */
     fun optional(name: String): JsonField? {
         val map = element as? JsonObject ?: fail("is not an object")
         val child = map[name]?.takeIf { it !is JsonNull } ?: return null
@@ -29,7 +29,7 @@
         return items.mapIndexed { i, item -> JsonField(item, "$path[$i]", source) }
     }
 
-    /** Text that is not empty. */
+    /** A non-empty string. */
     fun text(): String {
         val primitive = element as? JsonPrimitive
         if (primitive == null || !primitive.isString || primitive.content.isEmpty()) fail("is not text")
@@ -54,8 +54,9 @@
         return Address(text.substring(0, colon), port)
     }
 
-    /** Throws an error that says [why] this field cannot be used. */
-    fun fail(why: String): Nothing = throw InvalidSettingsException("$source: field ${path.ifEmpty { "(root)" }} $why")
+    /** Throws the error that this field is invalid, for [reason]. */
+    fun fail(reason: String): Nothing =
+        throw InvalidSettingsException("$source: field ${path.ifEmpty { "(root)" }} $reason")
 
     private fun join(name: String) = if (path.isEmpty()) name else "$path.$name"
 }
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorSettings.kt
@@ -1,32 +1,32 @@
 package org.chalkhollow.settings
 
 /**
- * What operators may tune beyond the platform's file; every field has a default, and docs/settings.md lists them.
- * The defaults are what every measurement in docs/ was taken with unless it says otherwise.
+ * Optional settings for operators, in addition to the platform's settings; see docs/settings.md. Measurements in docs/
+ * use the defaults unless they state otherwise.
  */
 data class OperatorSettings(
-    /** Machines that a placement looks at first. */
+    /** Placement first considers up to this many machines that have a task's image, and up to as many others. */
     val sampleSize: Int = 64,
-    /** How long a renewal of the leader lease is good for. */
+    /** How long a renewal of the leader lease is valid. */
     val leaderLeaseMs: Long = 1500,
-    /** How often the leader lease is renewed. */
+    /** Interval between renewals of the leader lease. */
     val leaderRenewMs: Long = 350,
-    /** How long a follower lease lasts, for which a peer does not campaign. */
+    /** How long a follower lease lasts. The follower that granted it does not campaign or vote during that time. */
     val followerLeaseMs: Long = 1400,
-    /** How long a leader may go on through an outage of the state service on follower leases alone. */
+    /** How long a leader may continue on follower leases alone while the state service is unavailable. */
     val outageLimitMs: Long = 120_000,
-    /** How long a rented machine may idle before it is scaled in; dearer ones go sooner. */
+    /** How long a rented machine may be idle before it is scaled in; shorter for expensive machines. */
     val maxIdleS: Double = 35.0,
-    /** What idle rented machines may cost, as a share of what the operator's own machines cost. */
+    /** Maximum cost of rented machines kept idle as a standby, as a fraction of the cost of the operator's machines. */
     val standbyCostFraction: Double = 1.0,
-    /** Headroom left free for classes whose users wait for starts, in multiples of the mean size of their jobs. */
+    /** Headroom for job classes that need prompt starts, in multiples of the mean CPU demand of their jobs. */
     val urgentHeadroomFactor: Double = 1.0,
-    /** How long a job may be passed over for others before starvation prevention gives it credit. */
+    /** How long a job may be passed over for others before starvation prevention grants it credit. */
     val maxPassedOverS: Double = 200.0,
-    /** What that credit gives it, as a share of all CPUs. */
+    /** CPUs that a credit covers, and that all jobs with credit may use together, as a fraction of all CPUs. */
     val creditCpuFraction: Double = 0.15,
-    /** Idle rented machines that are kept for jobs to come. */
+    /** Number of idle rented machines that are kept for future jobs. */
     val spareMachines: Int = 0,
-    /** Most machines at once; 0: as many as the teams' limits can use. */
+    /** Maximum number of machines; with 0, only the teams' limits bound the fleet. */
     val maxMachines: Int = 0,
 )
--- a/src/main/kotlin/org/chalkhollow/settings/OperatorSettingsParser.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/OperatorSettingsParser.kt
@@ -12,7 +12,7 @@
 
 /**
  * Reads [OperatorSettings] from protobuf text format. The schema is built here instead of being generated, so that the
- * build needs no protoc; a field unknown to it is an error with its line and column.
+ * build needs no protoc. An unknown field is an error that names its line and column.
  */
 object OperatorSettingsParser {
     private const val MESSAGE = "OperatorSettings"
@@ -21,14 +21,14 @@
     private const val MIN_RENEWAL_MS = 100.0
     private const val MAX_RENEWAL_MS = 100_000.0
     private const val MAX_OUTAGE_MS = 3_600_000.0
-    private const val MAX_SAMPLE = 100_000.0
+    private const val MAX_SAMPLE_SIZE = 100_000.0
     private const val MAX_IDLE_S = 86_400.0
-    private const val MAX_MULTIPLE = 100.0
-    private const val MAX_PATIENCE_S = 1e6
-    private const val MAX_SPARE = 10_000.0
+    private const val MAX_FACTOR = 100.0
+    private const val MAX_PASSED_OVER_S = 1e6
+    private const val MAX_SPARE_MACHINES = 10_000.0
     private const val MAX_MACHINES = 1e6
 
-    /** A field of the schema, whose number is its position, and the values that it may have. */
+    /** A field of the schema and the range of its values. Its field number is its position in [fields], from 1. */
     private class Field(val name: String, val type: FieldDescriptorProto.Type, val min: Double, val max: Double)
 
     private val INT = FieldDescriptorProto.Type.TYPE_INT64
@@ -36,17 +36,17 @@
 
     private val fields =
         listOf(
-            Field("sample_size", INT, 1.0, MAX_SAMPLE),
+            Field("sample_size", INT, 1.0, MAX_SAMPLE_SIZE),
             Field("leader_lease_ms", INT, MIN_LEASE_MS, MAX_LEASE_MS),
             Field("leader_renew_ms", INT, MIN_RENEWAL_MS, MAX_RENEWAL_MS),
             Field("promise_ms", INT, MIN_LEASE_MS, MAX_LEASE_MS),
             Field("outage_limit_ms", INT, 0.0, MAX_OUTAGE_MS),
             Field("idle_return_s", NUMBER, 1.0, MAX_IDLE_S),
-            Field("standby_share", NUMBER, 0.0, MAX_MULTIPLE),
-            Field("urgent_reserve", NUMBER, 0.0, MAX_MULTIPLE),
-            Field("patience_s", NUMBER, 1.0, MAX_PATIENCE_S),
+            Field("standby_share", NUMBER, 0.0, MAX_FACTOR),
+            Field("urgent_reserve", NUMBER, 0.0, MAX_FACTOR),
+            Field("patience_s", NUMBER, 1.0, MAX_PASSED_OVER_S),
             Field("patience_share", NUMBER, 0.0, 1.0),
-            Field("spare_machines", INT, 0.0, MAX_SPARE),
+            Field("spare_machines", INT, 0.0, MAX_SPARE_MACHINES),
             Field("max_machines", INT, 0.0, MAX_MACHINES),
         )
 
@@ -61,7 +61,7 @@
         return parse(text, path.toString())
     }
 
-    /** Parses and checks [text], which errors call [source]; throws [InvalidSettingsException]. */
+    /** Parses and checks [text]. Throws an [InvalidSettingsException] that names [source]. */
     fun parse(text: String, source: String): OperatorSettings {
         val message = Message(DynamicMessage.newBuilder(schema()), source)
         try {
@@ -94,7 +94,7 @@
         )
     }
 
-    /** The fields of a message that was read from [source], each within its range. */
+    /** A message that was parsed from [source]. Functions that read a field check its range. */
     private class Message(val builder: DynamicMessage.Builder, private val source: String) {
         fun int(name: String, default: Int): Int = value(name)?.toInt() ?: default
 
@@ -114,6 +114,7 @@
         }
     }
 
+    /** The parser's message on one line, without the position that it begins with. */
     private fun oneLine(e: TextFormat.ParseException): String =
         e.message
             .orEmpty()
--- a/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/PlatformSettings.kt
@@ -7,7 +7,7 @@
     override fun toString() = "$host:$port"
 
     companion object {
-        /** The ports that can be connected to. */
+        /** Valid port numbers; port 0 cannot be connected to. */
         val PORTS = 1..65_535
     }
 }
@@ -16,11 +16,11 @@
 data class Peer(val label: String, val address: Address)
 
 /**
- * Budget and limits of the state service: requests and writes a second, bytes of a value, and conditions and changes of
- * one compare-and-swap.
+ * Limits of the state service: requests per second, writes per second, the size of a value, and the number of
+ * conditions and changes in one compare-and-swap.
  */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val txnOps: Int) {
-    /** The smaller of each limit of this and of [other]. */
+    /** For each limit, the smaller of this and [other]. */
     fun coerceAtMost(other: StateLimits) =
         StateLimits(
             minOf(rps, other.rps),
@@ -31,8 +31,9 @@
 }
 
 /**
- * A service-level objective on how soon a class of jobs should start or finish: a [share] of the jobs of [workload],
- * or of all jobs when that is null, within [withinS] seconds or [deadlineFactor] their expected duration.
+ * A service-level objective: the fraction [share] of the jobs of class [workload], or of all jobs if that is null,
+ * should start or finish within [withinS] seconds, or within [deadlineFactor] times the job's own deadline. [kind] says
+ * which of these applies.
  */
 data class Objective(
     val kind: String,
@@ -43,8 +44,8 @@
 )
 
 /**
- * What the platform hands to every controller; [PlatformSettingsParser] reads it. Names that end in `S` are seconds,
- * in `Ms` milliseconds, in `Rps` requests a second.
+ * The settings that the platform passes to every controller, read by [PlatformSettingsParser]. Values are in seconds if
+ * their name ends in `S`, in milliseconds if it ends in `Ms`, and in requests per second if it ends in `Rps`.
  */
 data class PlatformSettings(
     val label: String,
@@ -59,12 +60,12 @@
     val heartbeatIntervalS: Double,
     val workerLeaseS: Double,
     val cancelS: Double,
-    /** What this controller keeps within: the smaller of the limits that hold now and those that will. */
+    /** The limits that this controller observes: the smaller of the current limits and those announced in `next`. */
     val stateLimits: StateLimits,
     val cloudRps: Double,
     val listLagS: Double,
     val maxConnections: Int,
     val skewMs: Double,
-    /** What the state service takes now, and what versions before `next` keep within. */
+    /** The limits of the state service now. Versions that do not read `next` observe these. */
     val currentStateLimits: StateLimits = stateLimits,
 )
--- a/src/main/kotlin/org/chalkhollow/settings/PlatformSettingsParser.kt
+++ b/src/main/kotlin/org/chalkhollow/settings/PlatformSettingsParser.kt
@@ -21,7 +21,7 @@
         return parse(text, path.toString())
     }
 
-    /** Parses and checks [text], which errors call [source]; throws [InvalidSettingsException]. */
+    /** Parses and checks [text]. Throws an [InvalidSettingsException] that names [source]. */
     fun parse(text: String, source: String): PlatformSettings = settings(JsonField(parseJson(text, source), "", source))
 
     private fun parseJson(text: String, source: String): JsonElement =
@@ -72,21 +72,21 @@
             ?.number(MIN_CONNECTIONS, MAX_CONNECTIONS)
             ?.toInt() ?: DEFAULT_CONNECTIONS
 
-    /** Limits of the state service; what [field] does not name is as in [others], without which all must be named. */
-    private fun stateLimits(field: JsonField, others: StateLimits?): StateLimits {
-        fun number(name: String, min: Double, max: Double, other: Double?): Double =
-            if (other == null) {
+    /** Limits of the state service. Those missing in [field] are taken from [fallback], or required if it is null. */
+    private fun stateLimits(field: JsonField, fallback: StateLimits?): StateLimits {
+        fun number(name: String, min: Double, max: Double, default: Double?): Double =
+            if (default == null) {
                 field.required(name).number(min, max)
             } else {
-                field.optional(name)?.number(min, max) ?: other
+                field.optional(name)?.number(min, max) ?: default
             }
 
-        val otherKb = others?.valueBytes?.let { it / BYTES_PER_KB }
+        val defaultValueKb = fallback?.valueBytes?.let { it / BYTES_PER_KB }
         return StateLimits(
-            rps = number("rps", 1.0, MAX_STATE_RPS, others?.rps),
-            writeRps = number("write_rps", 1.0, MAX_STATE_RPS, others?.writeRps),
-            valueBytes = (number("value_kb", 1.0, MAX_VALUE_KB, otherKb) * BYTES_PER_KB).toInt(),
-            txnOps = number("txn_ops", MIN_TXN_OPS, MAX_TXN_OPS, others?.txnOps?.toDouble()).toInt(),
+            rps = number("rps", 1.0, MAX_STATE_RPS, fallback?.rps),
+            writeRps = number("write_rps", 1.0, MAX_STATE_RPS, fallback?.writeRps),
+            valueBytes = (number("value_kb", 1.0, MAX_VALUE_KB, defaultValueKb) * BYTES_PER_KB).toInt(),
+            txnOps = number("txn_ops", MIN_TXN_OPS, MAX_TXN_OPS, fallback?.txnOps?.toDouble()).toInt(),
         )
     }
 
@@ -109,7 +109,7 @@
             workload = field.optional("class")?.text(),
             withinS = field.optional("within_s")?.number(0.0, MAX_AMOUNT),
             share = field.optional("share")?.number(0.0, 1.0) ?: 1.0,
-            deadlineFactor = field.optional("times")?.number(0.0, MAX_TIMES) ?: 1.0,
+            deadlineFactor = field.optional("times")?.number(0.0, MAX_DEADLINE_FACTOR) ?: 1.0,
         )
 
     private const val MIN_INTERVAL_S = 0.05
@@ -132,5 +132,5 @@
     private const val MIN_TXN_OPS = 3.0
     private const val MAX_TXN_OPS = 1e4
     private const val MAX_AMOUNT = 1e9
-    private const val MAX_TIMES = 1e6
+    private const val MAX_DEADLINE_FACTOR = 1e6
 }
--- a/src/main/kotlin/org/chalkhollow/wire/Fields.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/Fields.kt
@@ -1,9 +1,9 @@
 package org.chalkhollow.wire
 
 /**
- * Strict access to the fields of a decoded map: what is required must be there and of its type, the rest is ignored.
- * Every function throws [MalformedMessageException] that names the field. Those whose name ends in `OrNull` take a
- * field that is missing or null for null.
+ * Typed access to the fields of a decoded map. A field that is read must be present and of the requested type; other
+ * fields are ignored. Functions throw a [MalformedMessageException] that names the field. Functions whose name ends in
+ * `OrNull` return null if the field is missing or null.
  */
 @JvmInline
 value class Fields(val map: Map<String, Any?>) {
@@ -13,7 +13,7 @@
 
     fun flag(name: String): Boolean = map[name] as? Boolean ?: invalid(name)
 
-    /** A whole number that is not negative. */
+    /** A non-negative integer; floating-point values without a fraction are accepted. */
     fun long(name: String): Long = longOrNull(name) ?: invalid(name)
 
     fun longOrNull(name: String): Long? =
@@ -21,7 +21,7 @@
             null -> null
             is Long -> if (value >= 0) value else invalid(name)
             is Double ->
-                if (value >= 0 && value < MAX_WHOLE && value == Math.floor(value)) value.toLong() else invalid(name)
+                if (value >= 0 && value < MAX_INTEGER && value == Math.floor(value)) value.toLong() else invalid(name)
             else -> invalid(name)
         }
 
@@ -36,31 +36,31 @@
             else -> invalid(name)
         }
 
-    /** A number that must be at least [min] and at most [max]. */
+    /** A finite number from [min] to [max]. */
     fun amount(name: String, min: Double = 0.0, max: Double = 1e9): Double =
         number(name).also { if (it < min || it > max) invalid(name) }
 
     fun list(name: String): List<Any?> = map[name] as? List<*> ?: invalid(name)
 
-    /** A list of maps. */
+    /** A list whose items must be maps. */
     fun maps(name: String): List<Fields> = list(name).map { of(it, name) }
 
-    /** A list of texts. */
+    /** A list whose items must be strings. */
     fun texts(name: String): List<String> = list(name).map { it as? String ?: invalid(name) }
 
-    /** Whether the field is there and not null. */
+    /** Whether the field is present and not null. */
     fun has(name: String): Boolean = map[name] != null
 
     companion object {
-        /** Below 2^53, up to which doubles hold every whole number. */
-        private const val MAX_WHOLE = 9e15
+        /** Below 2^53, because larger doubles cannot represent every integer. */
+        private const val MAX_INTEGER = 9e15
 
-        /** The fields of [value], which must be a map; errors call it [what]. */
-        @Suppress("UNCHECKED_CAST") // Pack decodes maps with text keys only
+        /** The fields of [value], which must be a map; error messages name it [what]. */
+        @Suppress("UNCHECKED_CAST") // Pack decodes only maps with string keys
         fun of(value: Any?, what: String): Fields =
             Fields(value as? Map<String, Any?> ?: throw MalformedMessageException("$what is not a map"))
 
-        /** Refuses the message because of the field [name]. */
+        /** Throws the error for a missing or invalid field [name]. */
         internal fun invalid(name: String): Nothing =
             throw MalformedMessageException("field $name is missing or invalid")
     }
--- a/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/HeartbeatReader.kt
@@ -2,59 +2,60 @@
 
 import org.chalkhollow.model.TaskStatus
 import org.chalkhollow.model.WorkerHeartbeat
-import org.chalkhollow.wire.Pack.take
-import org.chalkhollow.wire.Pack.takeInteger
+import org.chalkhollow.wire.Pack.unpackAny
+import org.chalkhollow.wire.Pack.unpackInteger
 import org.msgpack.core.MessageUnpacker
 import java.util.Arrays
 
 /**
- * Decodes the heartbeats of one connection. Most repeat the one before but for their sequence number, and then only
- * that is decoded. While the bytes of the task list stay the same, the same [WorkerHeartbeat.tasks] instance is handed
- * out again.
+ * Decodes the heartbeats of one connection. Most heartbeats differ from the previous one only in their sequence number;
+ * then only the sequence number is decoded. While the bytes of the task list are unchanged, the returned heartbeats
+ * share one [WorkerHeartbeat.tasks] instance.
  */
 class HeartbeatReader {
-    /** A heartbeat as it was read, and where in its bytes the sequence number and the tasks are. */
-    private class Known(
+    /** A decoded heartbeat, its bytes, and the ranges of bytes that encode the sequence number and the tasks. */
+    private class DecodedHeartbeat(
         val bytes: ByteArray,
         val heartbeat: WorkerHeartbeat,
         val sequence: IntRange,
         val tasks: IntRange,
     )
 
-    private var known: Known? = null
+    /** The last heartbeat that was decoded in full; null if there is none or it exceeds [MAX_CACHED_BYTES]. */
+    private var cached: DecodedHeartbeat? = null
 
     /** Decodes the heartbeat in [body], which must not change afterwards; throws [MalformedMessageException]. */
     fun read(body: ByteArray): WorkerHeartbeat {
-        val before = known
-        if (before != null && repeats(before, body)) {
-            return before.heartbeat.copy(seq = sequence(body, before.sequence))
+        val previous = cached
+        if (previous != null && differsOnlyInSequence(previous, body)) {
+            return previous.heartbeat.copy(seq = decodeSequence(body, previous.sequence))
         }
-        return readAll(body)
+        return decodeAll(body)
     }
 
-    /** Whether [body] differs from the heartbeat before in the value of its sequence number only. */
-    private fun repeats(before: Known, body: ByteArray): Boolean {
-        val bytes = before.bytes
-        val from = before.sequence.first
-        val until = before.sequence.last + 1
+    /** Whether [body] equals the bytes of [previous] except for the value of the sequence number. */
+    private fun differsOnlyInSequence(previous: DecodedHeartbeat, body: ByteArray): Boolean {
+        val bytes = previous.bytes
+        val from = previous.sequence.first
+        val until = previous.sequence.last + 1
         if (bytes.size != body.size || !Arrays.equals(bytes, 0, from, body, 0, from)) return false
         if (!Arrays.equals(bytes, until, bytes.size, body, until, body.size)) return false
-        // The first byte of a number says how long it is, unless that byte is all of it.
+        // The first byte of an integer encodes its length, except in one-byte integers, where it is the value.
         return if (until - from > 1) bytes[from] == body[from] else body[from] >= 0
     }
 
-    private fun sequence(body: ByteArray, at: IntRange): Long =
-        Pack.read(body, at.first, at.last + 1 - at.first) { it.takeInteger() }
+    private fun decodeSequence(body: ByteArray, range: IntRange): Long =
+        Pack.read(body, range.first, range.last + 1 - range.first) { it.unpackInteger() }
 
-    private fun readAll(body: ByteArray): WorkerHeartbeat {
-        val fields = HashMap<String, Any?>(FIELDS * 2)
+    private fun decodeAll(body: ByteArray): WorkerHeartbeat {
+        val fields = HashMap<String, Any?>(FIELD_COUNT * 2)
         var sequence = IntRange.EMPTY
         var tasks = IntRange.EMPTY
         Pack.read(body, 0, body.size) { unpacker ->
-            repeat(unpacker.takeMapHeader()) {
-                val key = unpacker.takeKey()
+            repeat(unpacker.unpackRootMapHeader()) {
+                val key = unpacker.unpackKey()
                 val from = unpacker.position
-                if (key == TASKS) unpacker.skipValue() else fields[key] = unpacker.take(1)
+                if (key == TASKS) unpacker.skipValue() else fields[key] = unpacker.unpackAny(1)
                 when (key) {
                     TASKS -> tasks = from until unpacker.position
                     SEQUENCE -> sequence = from until unpacker.position
@@ -62,20 +63,21 @@
             }
         }
         if (tasks.isEmpty()) Fields.invalid(TASKS)
-        val heartbeat = WorkerCodec.heartbeat(Fields(fields), tasks(body, tasks))
-        known = if (body.size <= MAX_BYTES) Known(body, heartbeat, sequence, tasks) else null
+        val heartbeat = WorkerCodec.heartbeat(Fields(fields), decodeTasks(body, tasks))
+        cached = if (body.size <= MAX_CACHED_BYTES) DecodedHeartbeat(body, heartbeat, sequence, tasks) else null
         return heartbeat
     }
 
-    private fun tasks(body: ByteArray, at: IntRange): List<TaskStatus> {
-        val until = at.last + 1
-        val before = known
-        if (before != null) {
-            val same = Arrays.equals(before.bytes, before.tasks.first, before.tasks.last + 1, body, at.first, until)
-            if (same) return before.heartbeat.tasks
+    private fun decodeTasks(body: ByteArray, range: IntRange): List<TaskStatus> {
+        val until = range.last + 1
+        val previous = cached
+        if (previous != null) {
+            val isSame =
+                Arrays.equals(previous.bytes, previous.tasks.first, previous.tasks.last + 1, body, range.first, until)
+            if (isSame) return previous.heartbeat.tasks
         }
         val list =
-            Pack.read(body, at.first, until - at.first) { it.take(1) } as? List<*>
+            Pack.read(body, range.first, until - range.first) { it.unpackAny(1) } as? List<*>
                 ?: Fields.invalid(TASKS)
         return list.map { WorkerCodec.task(Fields.of(it, TASKS)) }
     }
@@ -83,18 +85,18 @@
     private companion object {
         const val TASKS = "pieces"
         const val SEQUENCE = "tally"
-        const val FIELDS = 10
+        const val FIELD_COUNT = 10
 
-        /** What is kept of a worker is bounded; longer heartbeats are decoded each time. */
-        const val MAX_BYTES = 8192
+        /** Bounds the memory per connection; longer heartbeats are not cached but decoded in full each time. */
+        const val MAX_CACHED_BYTES = 8192
 
-        private fun MessageUnpacker.takeMapHeader(): Int {
+        private fun MessageUnpacker.unpackRootMapHeader(): Int {
             if (!hasNext() || !nextFormat.valueType.isMapType) throw MalformedMessageException("body is not a map")
             return unpackMapHeader()
         }
 
-        private fun MessageUnpacker.takeKey(): String =
-            take(1) as? String ?: throw MalformedMessageException("a key is not text")
+        private fun MessageUnpacker.unpackKey(): String =
+            unpackAny(1) as? String ?: throw MalformedMessageException("map key is not a string")
 
         val MessageUnpacker.position: Int get() = totalReadBytes.toInt()
     }
--- a/src/main/kotlin/org/chalkhollow/wire/MalformedMessageException.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/MalformedMessageException.kt
@@ -1,7 +1,7 @@
 package org.chalkhollow.wire
 
 /**
- * A message that does not keep to its protocol; [message] says where. It has no stack trace: a client can cause any
- * number of these, and where the text was decoded says nothing that [message] does not.
+ * A received message violates its protocol; [message] says where. It has no stack trace, because clients can cause any
+ * number of these exceptions and the stack would add nothing to [message].
  */
 class MalformedMessageException(message: String, cause: Throwable? = null) : Exception(message, cause, false, false)
--- a/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/ServiceCodec.kt
@@ -10,11 +10,11 @@
 import org.chalkhollow.model.Resources
 
 /**
- * Bodies of the state service and of the cloud. Functions that read a body throw [MalformedMessageException]; names
- * that end in `S` are seconds.
+ * Encodes and decodes the bodies of calls to the state service and to the cloud, and of their replies. Functions that
+ * take a body throw [MalformedMessageException]. Values whose names end in `S` are in seconds.
  */
 object ServiceCodec {
-    /** A compare-and-swap. */
+    /** The body of a compare-and-swap: [changes] are applied if all [conditions] hold. */
     fun commit(conditions: List<Condition>, changes: List<Change>): Map<String, Any?> =
         mapOf(
             "if" to conditions.map { mapOf("key" to it.key, "stamp" to it.revision) },
@@ -27,10 +27,10 @@
             else -> mapOf("set" to change.key, "value" to value)
         }
 
-    /** The revision that a commit made. */
+    /** The revision of the keys that a compare-and-swap changed. */
     fun revision(body: ByteArray): Long = Pack.decodeMap(body).long("ledger")
 
-    /** The keys whose conditions did not hold. */
+    /** The keys whose conditions did not hold in a compare-and-swap. */
     fun failedKeys(body: ByteArray): List<String> = Pack.decodeMap(body).texts("failed")
 
     /** The value and the revision of [key]. */
@@ -64,9 +64,9 @@
             )
         }
 
-    /** A request for [count] machines that repeats itself safely under the id [request]. */
-    fun rent(request: String, type: String, zone: String, spot: Boolean, count: Int): Map<String, Any?> =
-        mapOf("booking" to request, "flavour" to type, "site" to zone, "standby" to spot, "number" to count)
+    /** The body of a call that rents [count] machines. The cloud executes a [requestName] at most once. */
+    fun rent(requestName: String, type: String, zone: String, spot: Boolean, count: Int): Map<String, Any?> =
+        mapOf("booking" to requestName, "flavour" to type, "site" to zone, "standby" to spot, "number" to count)
 
     /** The names of the machines that were rented. */
     fun rented(body: ByteArray): List<String> = Pack.decodeMap(body).texts("hosts")
@@ -95,6 +95,6 @@
             ageS = fields.numberOrNull("ageS") ?: 0.0,
         )
 
-    /** The reason that the cloud gives for a refusal, if it names one. */
+    /** The reason why the cloud rejected a call, or null if the reply contains none. */
     fun errorOrNull(body: ByteArray): String? = Pack.decodeMap(body).textOrNull("error")
 }
--- a/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/UserCodec.kt
@@ -10,16 +10,16 @@
 import java.io.IOException
 
 /**
- * The users' side of the protocol: job descriptions in, job states out; jobs are stored in the same form. Functions
- * that read a job throw [MalformedMessageException].
+ * Decodes users' job submissions and encodes the responses to users. Jobs are stored in the same form as they are
+ * submitted. Functions that return a job throw [MalformedMessageException].
  */
 object UserCodec {
     private const val MAX_TASKS = 100_000L
-    private const val MAX_NAME = 200
+    private const val MAX_NAME_CHARS = 200
     private const val MAX_TYPES = 64
     private const val ID_PREFIX = "j-"
-    private const val MIN_ID = 3
-    private const val MAX_ID = 64
+    private const val MIN_ID_CHARS = 3
+    private const val MAX_ID_CHARS = 64
 
     private val priorities =
         mapOf(
@@ -32,23 +32,23 @@
     private val shapeNames = shapes.entries.associate { (name, value) -> value to name }
     private val priorityNames = priorities.entries.associate { (name, value) -> value to name }
 
-    /** Whether [id] has the form that users' job ids always have. */
+    /** Whether [id] has the form of a job id: `j-` and decimal digits. */
     fun isValidId(id: String): Boolean =
-        id.length in MIN_ID..MAX_ID && id.startsWith(ID_PREFIX) &&
+        id.length in MIN_ID_CHARS..MAX_ID_CHARS && id.startsWith(ID_PREFIX) &&
             (ID_PREFIX.length until id.length).all { id[it] in '0'..'9' }
 
-    /** Reads a submission, which must have every field; only `flavours`, `site` and `dueS` may be null or omitted. */
+    /** Decodes a submission. Every field is required; only `flavours`, `site` and `dueS` may be null or omitted. */
     fun job(bytes: ByteArray): JobSpec = read(Pack.decodeMap(bytes), stored = false)
 
     /**
-     * Reads a job that was stored in the form of [toMap]. Earlier versions accepted and stored jobs without an image,
+     * Decodes a job that was stored in the form of [toMap]. Earlier versions accepted and stored jobs without an image,
      * and services without an estimated run time.
      */
     fun storedJob(fields: Fields): JobSpec = read(fields, stored = true)
 
     /**
-     * The job id in a submission that [job] cannot read, if it can still be read and has the right form: the body may
-     * be cut short or malformed after it.
+     * The job id in a submission that [job] rejects, or null if there is no valid id before the place where the body is
+     * truncated or malformed.
      */
     fun findJobId(bytes: ByteArray): String? {
         var id: String? = null
@@ -56,19 +56,19 @@
             val unpacker = MessagePack.newDefaultUnpacker(bytes)
             if (!unpacker.nextFormat.valueType.isMapType) return null
             repeat(unpacker.unpackMapHeader()) {
-                val isId = unpacker.textOrSkip() == "nameId"
-                val value = unpacker.textOrSkip()
+                val isId = unpacker.unpackTextOrSkip() == "nameId"
+                val value = unpacker.unpackTextOrSkip()
                 if (isId && value != null && isValidId(value)) id = value
             }
         } catch (expected: MessagePackException) {
-            // The body is known to be malformed; an id that was read before that place stands.
+            // The body is known to be malformed; an id before the malformed part is still returned.
         } catch (expected: IOException) {
-            // The body is cut short; the same holds.
+            // The body is truncated; an id before its end is still returned.
         }
         return id
     }
 
-    private fun MessageUnpacker.textOrSkip(): String? {
+    private fun MessageUnpacker.unpackTextOrSkip(): String? {
         if (nextFormat.valueType.isStringType) return unpackString()
         skipValue()
         return null
@@ -121,7 +121,7 @@
     private fun expectedS(fields: Fields, optional: Boolean): Double =
         if (optional && !fields.has("expectedS")) 0.0 else fields.amount("expectedS")
 
-    /** The same job as a map, in the form in which jobs are stored: fields that are null are left out. */
+    /** A job in the form in which it is stored; null fields are omitted. */
     fun toMap(spec: JobSpec): Map<String, Any?> =
         mapOf(
             "nameId" to spec.id,
@@ -146,15 +146,15 @@
             "dueS" to spec.dueS,
         ).filterValues { it != null }
 
-    /** The answer to a submission or a cancellation. */
+    /** The response to a submission or a cancellation. */
     fun status(id: String, state: String): Map<String, Any?> = mapOf("nameId" to id, "status" to state)
 
-    /** The answer to a query: how many tasks are done, and how many run. */
+    /** The response to a query, with the numbers of [done] and [running] tasks. */
     fun progress(id: String, state: String, done: Int, running: Int): Map<String, Any?> =
         mapOf("nameId" to id, "status" to state, "done" to done, "running" to running)
 
     private fun shortText(text: String, name: String): String {
-        if (text.isEmpty() || text.length > MAX_NAME) Fields.invalid(name)
+        if (text.isEmpty() || text.length > MAX_NAME_CHARS) Fields.invalid(name)
         return text
     }
 }
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -6,7 +6,7 @@
 import org.chalkhollow.model.WorkerHeartbeat
 
 /**
- * The workers' side of the protocol: heartbeats in, commands out. Functions that read a body throw
+ * Decodes workers' heartbeats and encodes the commands to workers. Functions that decode throw
  * [MalformedMessageException].
  */
 object WorkerCodec {
@@ -71,15 +71,15 @@
         )
     }
 
-    /** The answer to a heartbeat. */
+    /** The response to a heartbeat. */
     fun commands(fencingToken: Long, commands: List<Command>): Map<String, Any?> =
         mapOf("mandate" to fencingToken, "orders" to commands.map(::order))
 
-    /** The body of a direct command; it runs only while fencing token and epoch match. */
+    /** The body of a direct command. The worker executes it only if the fencing token and its epoch match. */
     fun direct(fencingToken: Long, epoch: Long, commands: List<Command>): Map<String, Any?> =
         mapOf("mandate" to fencingToken, "tenure" to epoch, "orders" to commands.map(::order))
 
-    /** The answer to a heartbeat that came to a follower: the leader's [label]. */
+    /** A follower's response to a heartbeat; it redirects the worker to the leader with this [label]. */
     fun redirect(label: String): Map<String, Any?> = mapOf("overseer" to label)
 
     private fun order(command: Command): Map<String, Any?> {
--- a/src/test/kotlin/org/chalkhollow/peer/PeerFrameReaderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/peer/PeerFrameReaderTest.kt
@@ -14,19 +14,19 @@
 import java.util.SplittableRandom
 
 class PeerFrameReaderTest {
-    /** What a version after this one might say. */
+    /** Messages that a newer version could send. */
     @Serializable
-    private sealed interface Later {
+    private sealed interface NewerMessage {
         @Serializable
         @SerialName("gossip")
-        class Gossip(val words: List<String>, val more: Map<String, Long>) : Later
+        class Gossip(val words: List<String>, val more: Map<String, Long>) : NewerMessage
 
         @Serializable
         @SerialName("release")
-        class Release(val generation: Long, val reason: String) : Later
+        class Release(val generation: Long, val reason: String) : NewerMessage
     }
 
-    private class Dropped : DroppedFrameListener {
+    private class RecordingDropListener : DroppedFrameListener {
         val malformed = ArrayList<String?>()
         val unknownKinds = ArrayList<String>()
 
@@ -39,9 +39,9 @@
         }
     }
 
-    private val dropped = Dropped()
+    private val dropped = RecordingDropListener()
     private val hellos = ArrayList<Pair<Int, PeerMessage.Hello>>()
-    private val heard = ArrayList<Pair<Int, PeerMessage>>()
+    private val received = ArrayList<Pair<Int, PeerMessage>>()
     private val listener =
         object : PeerMessageListener {
             override fun onHello(peer: Int, hello: PeerMessage.Hello) {
@@ -49,15 +49,15 @@
             }
 
             override fun onMessage(peer: Int, message: PeerMessage) {
-                heard.add(peer to message)
+                received.add(peer to message)
             }
         }
 
     @OptIn(ExperimentalSerializationApi::class)
-    private fun later(message: Later) = Cbor.encodeToByteArray(Later.serializer(), message)
+    private fun encode(message: NewerMessage) = Cbor.encodeToByteArray(NewerMessage.serializer(), message)
 
-    private fun receive(vararg frames: ByteArray, sizes: (ByteArray) -> Int = { it.size }) {
-        val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(sizes(f)).array() + f }
+    private fun receive(vararg frames: ByteArray, sizeOf: (ByteArray) -> Int = { it.size }) {
+        val bytes = frames.fold(byteArrayOf()) { all, f -> all + ByteBuffer.allocate(4).putInt(sizeOf(f)).array() + f }
         runBlocking {
             try {
                 PeerFrameReader(listOf("a", "b"), dropped, listener).readFrames(ByteReadChannel(bytes))
@@ -72,22 +72,22 @@
     private val expected = listOf(1 to PeerMessage.LeadershipRelease(7))
 
     @Test
-    fun `a frame of a newer kind is skipped and passed on as such, and ends nothing`() {
-        receive(hello, later(Later.Gossip(listOf("x", "y"), mapOf("z" to 1L))), release)
-        assertEquals(expected, heard.toList<Any>())
+    fun `a frame of an unknown kind is dropped and reported, and the next frame is read`() {
+        receive(hello, encode(NewerMessage.Gossip(listOf("x", "y"), mapOf("z" to 1L))), release)
+        assertEquals(expected, received.toList<Any>())
         assertEquals(listOf("b gossip"), dropped.unknownKinds)
         assertEquals(emptyList<String?>(), dropped.malformed)
     }
 
     @Test
-    fun `a newer version's additional fields are ignored`() {
-        receive(hello, later(Later.Release(7, "tired")))
-        assertEquals(expected, heard.toList<Any>())
+    fun `additional fields of a newer version are ignored`() {
+        receive(hello, encode(NewerMessage.Release(7, "tired")))
+        assertEquals(expected, received.toList<Any>())
         assertEquals(0, dropped.unknownKinds.size + dropped.malformed.size)
     }
 
     @Test
-    fun `a hello has the version, which is 0 for versions that did not send one`() {
+    fun `a hello contains the version, or 0 if none was sent, and a hello of an unknown controller is ignored`() {
         val frames =
             listOf(
                 PeerMessage.Hello("b", 1),
@@ -99,30 +99,30 @@
     }
 
     @Test
-    fun `a malformed frame is dropped and counted, and the next one is heard`() {
+    fun `a malformed frame is dropped and reported, and the next frame is read`() {
         receive(hello, byteArrayOf(0x42), release.copyOf(release.size - 3), byteArrayOf(0x9f.toByte(), 0x67), release)
-        assertEquals(expected, heard.toList<Any>())
+        assertEquals(expected, received.toList<Any>())
         assertEquals(listOf<String?>("b", "b", "b"), dropped.malformed)
     }
 
     @Test
-    fun `what cannot be read any further ends the connection and is counted`() {
+    fun `an invalid frame size or a message without a valid hello is reported and ends the connection`() {
         receive(hello, release, release) { if (it === hello) it.size else Frames.MAX_BYTES + 1 }
         receive(hello, release) { if (it === hello) it.size else -5 }
         receive(release)
         receive(Frames.encode(PeerMessage.Hello("stranger", 1)), release)
-        assertEquals(emptyList<Any>(), heard.toList<Any>())
+        assertEquals(emptyList<Any>(), received.toList<Any>())
         assertEquals(listOf("b", "b", null, null), dropped.malformed)
     }
 
     @Test
-    fun `no bytes make the reading of a frame fail`() {
+    fun `decoding a frame never throws, whatever its bytes`() {
         val random = SplittableRandom(11)
         val samples =
             listOf(
                 hello,
                 release,
-                later(Later.Gossip(listOf("x"), emptyMap())),
+                encode(NewerMessage.Gossip(listOf("x"), emptyMap())),
                 Frames.encode(PeerMessage.ForwardedRequest(1, 1, "j-1", ByteArray(20))),
                 Frames.encode(PeerMessage.FollowerLeaseResponse(1, 2, true, false, 3)),
             )
@@ -139,6 +139,6 @@
             repeat(random.nextInt(1, 4)) { bytes[random.nextInt(bytes.size)] = random.nextInt(256).toByte() }
             if (Frames.read(bytes) is Frame.Malformed) malformed++
         }
-        assertTrue(malformed > 5000, "only $malformed were malformed")
+        assertTrue(malformed > 5000, "only $malformed frames were malformed")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/CodecTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test
 
 class CodecTest {
-    private val good: Map<String, Any?> =
+    private val validJob: Map<String, Any?> =
         mapOf(
             "nameId" to "j-000412",
             "workload" to "train",
@@ -32,27 +32,27 @@
             "dueS" to 900.0,
         )
 
-    private fun read(map: Map<String, Any?>) = UserCodec.job(Pack.encode(map))
+    private fun decode(map: Map<String, Any?>) = UserCodec.job(Pack.encode(map))
 
-    private fun stored(map: Map<String, Any?>) = UserCodec.storedJob(Pack.decodeMap(Pack.encode(map)))
+    private fun decodeStored(map: Map<String, Any?>) = UserCodec.storedJob(Pack.decodeMap(Pack.encode(map)))
 
     @Test
-    fun `a job is read, unknown fields are ignored, and it survives being stored`() {
-        val spec = read(good + ("surprise" to listOf(1)))
+    fun `a job is decoded without its unknown fields, and does not change when it is stored and decoded again`() {
+        val spec = decode(validJob + ("surprise" to listOf(1)))
         assertEquals("j-000412" to Priority.HIGH, spec.id to spec.priority)
         assertEquals(16, spec.tasks)
-        assertEquals(spec, read(UserCodec.toMap(spec)))
+        assertEquals(spec, decode(UserCodec.toMap(spec)))
     }
 
     @Test
-    fun `whole numbers are amounts too, and null or missing is the same where null is allowed`() {
-        assertEquals(8.0, read(good + ("vcpus" to 8)).taskResources.cpus)
-        assertEquals(null, read(good - "dueS").dueS)
+    fun `integers are accepted for amounts, and a missing optional field is decoded as null`() {
+        assertEquals(8.0, decode(validJob + ("vcpus" to 8)).taskResources.cpus)
+        assertEquals(null, decode(validJob - "dueS").dueS)
     }
 
     @Test
-    fun `what is missing or invalid is malformed, field by field`() {
-        val bad =
+    fun `a job with one invalid field is malformed, whichever field it is`() {
+        val invalidFields =
             listOf(
                 "nameId" to "412",
                 "nameId" to "j-",
@@ -76,48 +76,48 @@
                 "owner" to "x".repeat(500),
                 "dueS" to -5.0,
             )
-        for ((field, value) in bad) {
+        for ((field, value) in invalidFields) {
             assertThrows(
                 MalformedMessageException::class.java,
-                { read(good + (field to value)) },
+                { decode(validJob + (field to value)) },
                 "$field = $value",
             )
         }
     }
 
-    /** Asserts that [job], in which [field] is null or missing, is read only if that field is optional. */
-    private fun assertReadWithout(field: String, job: Map<String, Any?>) {
+    /** Asserts that [job], in which [field] is null or missing, is decoded only if that field is optional. */
+    private fun assertDecodedOnlyIfOptional(field: String, job: Map<String, Any?>) {
         if (field in OPTIONAL_FIELDS) {
-            assertEquals("j-000412", read(job).id)
+            assertEquals("j-000412", decode(job).id)
         } else {
-            assertThrows(MalformedMessageException::class.java, { read(job) }, "${job["shape"]} without $field")
+            assertThrows(MalformedMessageException::class.java, { decode(job) }, "${job["shape"]} without $field")
         }
     }
 
     @Test
-    fun `every field is required but the three that may be null or omitted, in every shape`() {
+    fun `only flavours, site and dueS may be null or omitted, in jobs of every shape`() {
         for (shape in listOf("batch", "group", "service")) {
-            val job = good + ("shape" to shape)
-            for (field in good.keys) {
-                assertReadWithout(field, job + (field to null))
-                if (field != "shape") assertReadWithout(field, job - field)
+            val job = validJob + ("shape" to shape)
+            for (field in validJob.keys) {
+                assertDecodedOnlyIfOptional(field, job + (field to null))
+                if (field != "shape") assertDecodedOnlyIfOptional(field, job - field)
             }
         }
-        assertThrows(MalformedMessageException::class.java) { read(good - "shape") }
+        assertThrows(MalformedMessageException::class.java) { decode(validJob - "shape") }
     }
 
     @Test
-    fun `what earlier versions took without image or estimate is still read from the state service`() {
-        val stored = good + ("shape" to "service") - "bundle" - "pullGb" - "expectedS" - "site" - "dueS"
-        val spec = stored(stored)
+    fun `a stored service of an earlier version is decoded without image and estimate, a batch job is not`() {
+        val stored = validJob + ("shape" to "service") - "bundle" - "pullGb" - "expectedS" - "site" - "dueS"
+        val spec = decodeStored(stored)
         assertEquals(listOf<Any?>(null, 0.0, 0.0), listOf(spec.image, spec.imageGb, spec.expectedS))
-        assertEquals(spec, stored(UserCodec.toMap(spec)))
-        assertThrows(MalformedMessageException::class.java) { stored(stored + ("shape" to "batch")) }
+        assertEquals(spec, decodeStored(UserCodec.toMap(spec)))
+        assertThrows(MalformedMessageException::class.java) { decodeStored(stored + ("shape" to "batch")) }
     }
 
     @Test
-    fun `bytes that are no map of MessagePack are malformed, not errors of another kind`() {
-        val junk =
+    fun `decoding invalid bytes throws no other exception than MalformedMessageException`() {
+        val invalidBodies =
             listOf(
                 byteArrayOf(),
                 byteArrayOf(0xc1.toByte()),
@@ -127,20 +127,20 @@
                 },
                 byteArrayOf(0x81.toByte(), 0xa1.toByte()),
             )
-        for (bytes in junk) assertThrows(MalformedMessageException::class.java) { Pack.decodeMap(bytes) }
+        for (bytes in invalidBodies) assertThrows(MalformedMessageException::class.java) { Pack.decodeMap(bytes) }
         val random = java.util.SplittableRandom(5)
         repeat(2000) {
             val bytes = ByteArray(random.nextInt(40)).also(random::nextBytes)
             try {
                 Pack.decode(bytes)
             } catch (expected: MalformedMessageException) {
-                // the only way to fail
+                // the only exception that is allowed
             }
         }
     }
 
     @Test
-    fun `a heartbeat names task and attempt, and an unknown cause counts as an error`() {
+    fun `a heartbeat contains task and attempt, an unknown exit cause is an error, and the epoch is required`() {
         val heartbeat =
             mapOf(
                 "host" to "n-1",
--- a/src/test/kotlin/org/chalkhollow/wire/HeartbeatReaderTest.kt
+++ b/src/test/kotlin/org/chalkhollow/wire/HeartbeatReaderTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test
 import java.util.SplittableRandom
 
-/** Heartbeats of one worker, most of which repeat the one before. */
+/** The reader must not return parts of a cached heartbeat that differ in the new one. */
 class HeartbeatReaderTest {
-    private fun heartbeat(number: Long, fencingToken: Long = 7, tasks: Int = 2, notice: Double? = null): ByteArray =
+    private fun heartbeat(seq: Long, fencingToken: Long = 7, tasks: Int = 2, noticeS: Double? = null): ByteArray =
         Pack.encode(
             mapOf(
                 "host" to "n-1",
@@ -18,29 +18,29 @@
                 "site" to "east",
                 "standby" to false,
                 "tenure" to 1L,
-                "tally" to number,
+                "tally" to seq,
                 "mandate" to fencingToken,
-                "warningS" to notice,
+                "warningS" to noticeS,
                 "pieces" to List(tasks) { mapOf("piece" to "j-000001/$it", "try" to 1L, "status" to "running") },
             ),
         )
 
     @Test
-    fun `whatever a heartbeat repeats, it is read as if it were the first`() {
+    fun `a reader with a cached heartbeat decodes the next one like a new reader`() {
         val random = SplittableRandom(1)
         val reader = HeartbeatReader()
-        var number = 1L
+        var seq = 1L
         repeat(2000) {
-            // Numbers of every length, also across the places where their encoding grows.
-            number += if (random.nextInt(20) == 0) 1L shl random.nextInt(40) else random.nextInt(3).toLong()
-            val notice = if (random.nextInt(10) == 0) 3.5 else null
-            val body = heartbeat(number, random.nextLong(3), random.nextInt(6) / 5, notice)
+            // Sequence numbers of every encoded length, and steps to a longer encoding.
+            seq += if (random.nextInt(20) == 0) 1L shl random.nextInt(40) else random.nextInt(3).toLong()
+            val noticeS = if (random.nextInt(10) == 0) 3.5 else null
+            val body = heartbeat(seq, random.nextLong(3), random.nextInt(6) / 5, noticeS)
             assertEquals(HeartbeatReader().read(body), reader.read(body))
         }
     }
 
     @Test
-    fun `the same tasks are the same list, others are not`() {
+    fun `unchanged tasks are the same list instance, changed tasks are not`() {
         val reader = HeartbeatReader()
         val first = reader.read(heartbeat(1000))
         assertSame(first.tasks, reader.read(heartbeat(1001)).tasks)
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a heartbeat that is cut short or has no tasks is malformed and changes nothing`() {
+    fun `a heartbeat that is truncated or has no tasks is malformed and does not affect the next one`() {
         val reader = HeartbeatReader()
         val first = reader.read(heartbeat(1000))
         assertThrows(MalformedMessageException::class.java) { reader.read(heartbeat(1001).copyOf(60)) }
