--- a/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
+++ b/src/main/kotlin/org/chalkhollow/Chalkhollow.kt
@@ -22,16 +22,17 @@
 import java.nio.file.Path
 
 /**
- * The command line. [begunAtNs] is when this process began, by the steady clock in nanoseconds; see [ControllerNode].
+ * The command line. [processStartedAtNs] is the monotonic time in nanoseconds at which this process started; see
+ * [ControllerNode].
  */
-class Chalkhollow(private val begunAtNs: Long = System.nanoTime()) : CoreCliktCommand(name = "chalkhollow") {
-    private val config by option("--config", metavar = "FILE", help = "the platform's settings, JSON")
-    private val operator by option(
+class Chalkhollow(private val processStartedAtNs: Long = System.nanoTime()) : CoreCliktCommand(name = "chalkhollow") {
+    private val configFile by option("--config", metavar = "FILE", help = "the platform's settings, JSON")
+    private val operatorSettingsFile by option(
         "--operator-settings",
         metavar = "FILE",
         help = "operators' own settings, protobuf text format",
     )
-    private val check by option("--check", help = "check the settings and exit").flag()
+    private val checkOnly by option("--check", help = "check the settings and exit").flag()
     private val warmUp by option(
         "--warm-up",
         help = "load what a start needs and exit; used by the build",
@@ -50,16 +51,17 @@
     override fun run() {
         if (currentContext.invokedSubcommand != null) return
         if (warmUp) return ArchiveTrainingRun.run()
-        val path = config ?: throw CliktError("missing option --config", statusCode = INVALID_SETTINGS)
+        val path = configFile ?: throw CliktError("missing option --config", statusCode = EXIT_INVALID_SETTINGS)
         val platformSettings: PlatformSettings
         val operatorSettings: OperatorSettings
         try {
             platformSettings = PlatformSettingsParser.load(Path.of(path))
-            operatorSettings = operator?.let { OperatorSettingsParser.load(Path.of(it)) } ?: OperatorSettings()
+            operatorSettings =
+                operatorSettingsFile?.let { OperatorSettingsParser.load(Path.of(it)) } ?: OperatorSettings()
         } catch (e: InvalidSettingsException) {
-            throw CliktError(e.message, e, statusCode = INVALID_SETTINGS)
+            throw CliktError(e.message, e, statusCode = EXIT_INVALID_SETTINGS)
         }
-        if (check) return echo("$path: good")
+        if (checkOnly) return echo("$path: good")
         serve(platformSettings, operatorSettings)
     }
 
@@ -69,25 +71,37 @@
         val scope = CoroutineScope(SupervisorJob() + loop)
         scope.launch {
             try {
-                ControllerNode(scope, loop, platformSettings, operatorSettings, newIncarnation(), begunAtNs).start()
+                ControllerNode(
+                    scope,
+                    loop,
+                    platformSettings,
+                    operatorSettings,
+                    newIncarnation(),
+                    processStartedAtNs,
+                ).start()
             } catch (e: IOException) {
                 System.err.println("chalkhollow: ${e.message ?: "cannot start"}")
                 System.err.flush()
-                Runtime.getRuntime().halt(START_FAILED)
+                Runtime.getRuntime().halt(EXIT_START_FAILED)
             }
         }
         loop.run()
     }
 
-    /** A number above those of earlier processes: the time, with bits that differ within one millisecond. */
+    /**
+     * A number above those of earlier processes: the wall-clock time in milliseconds, followed by low bits of the
+     * monotonic time, which differ between starts within one millisecond.
+     */
     private fun newIncarnation(): Long {
         val nanos = System.nanoTime() and ((1L shl NANO_BITS) - 1)
         return (System.currentTimeMillis() shl NANO_BITS or nanos) and Long.MAX_VALUE
     }
 
     private companion object {
-        const val START_FAILED = 1
-        const val INVALID_SETTINGS = 2
+        // Exit codes.
+        const val EXIT_START_FAILED = 1
+        const val EXIT_INVALID_SETTINGS = 2
+
         const val NANO_BITS = 20
     }
 }
--- a/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/chalkhollow/wire/WorkerCodec.kt
@@ -6,7 +6,7 @@
 import org.chalkhollow.model.WorkerHeartbeat
 
 /**
- * The workers' side of the protocol: heartbeats in, commands out. Functions that read a body throw
+ * Decodes workers' heartbeats and encodes the commands to workers. Functions that decode throw
  * [MalformedMessageException].
  */
 object WorkerCodec {
@@ -21,13 +21,13 @@
     private val causes =
         mapOf(
             "done" to ExitCause.DONE,
-            "halted" to ExitCause.HALTED,
+            "halted" to ExitCause.STOPPED,
             "error" to ExitCause.ERROR,
-            "full" to ExitCause.FULL,
-            "busy" to ExitCause.BUSY,
-            "peers" to ExitCause.HALTED,
-            "incomplete" to ExitCause.HALTED,
-            "no_such" to ExitCause.NO_SUCH,
+            "full" to ExitCause.NO_FREE_CAPACITY,
+            "busy" to ExitCause.OTHER_ATTEMPT_PRESENT,
+            "peers" to ExitCause.STOPPED,
+            "incomplete" to ExitCause.STOPPED,
+            "no_such" to ExitCause.UNKNOWN_TASK,
         )
 
     fun heartbeat(bytes: ByteArray): WorkerHeartbeat {
@@ -45,7 +45,7 @@
             epoch = fields.long("tenure"),
             seq = fields.long("tally"),
             fencingToken = fields.long("mandate"),
-            noticeS = fields.numberOrNull("warningS"),
+            spotNoticeS = fields.numberOrNull("warningS"),
             tasks = tasks,
         )
 
@@ -71,15 +71,15 @@
         )
     }
 
-    /** The answer to a heartbeat. */
+    /** The response to a heartbeat. */
     fun commands(fencingToken: Long, commands: List<Command>): Map<String, Any?> =
         mapOf("mandate" to fencingToken, "orders" to commands.map(::order))
 
-    /** The body of a direct command; it runs only while fencing token and epoch match. */
+    /** The body of a direct command. The worker executes it only if the fencing token and its epoch match. */
     fun direct(fencingToken: Long, epoch: Long, commands: List<Command>): Map<String, Any?> =
         mapOf("mandate" to fencingToken, "tenure" to epoch, "orders" to commands.map(::order))
 
-    /** The answer to a heartbeat that came to a follower: the leader's [label]. */
+    /** A follower's response to a heartbeat; it redirects the worker to the leader with this [label]. */
     fun redirect(label: String): Map<String, Any?> = mapOf("overseer" to label)
 
     private fun order(command: Command): Map<String, Any?> {
