--- a/src/test/kotlin/org/chalkhollow/RandomDaysTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RandomFaultsTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /** Whole days of three controllers on virtual time, every rule checked after each step. */
-class RandomDaysTest {
+class RandomFaultsTest {
     @Test
     fun `a quiet day completes every job`() {
         val simulation = Simulation(1)
--- a/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMigrationScenariosTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /** Replicas leave machines that have to be emptied one at a time, and not before there is room for them elsewhere. */
-class ReplicaMigrationDayTest {
+class ReplicaMigrationScenariosTest {
     /** A service on spot machines, of which there are no more to be rented. */
     private class Day(seed: Long, machines: Int, tasks: Int, taskResources: Resources, spread: Boolean = true) {
         val simulation =
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceFailoverTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /** Services when machines or controllers fail: replicas run again elsewhere, or go on, under every rule. */
-class ServiceMovesTest {
+class ServiceFailoverTest {
     /**
      * Machines with room for everything, half of them in each zone, and a service of four replicas that runs on them at
      * [READY_MS].
