--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
@@ -12,21 +12,24 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The checks behind the tests of concurrent faults can fail: each test breaks a guard and sees its rule broken. */
+/**
+ * Guards against rules that can never fail: each test introduces a fault and expects the rule that covers it to be
+ * broken.
+ */
 class ConcurrentFaultChecksTest {
-    private fun rules(simulation: Simulation): Set<String> =
+    private fun brokenRules(simulation: Simulation): Set<String> =
         simulation.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
 
-    private fun quiet(simulation: Simulation) {
+    private fun makeNetworkReliable(simulation: Simulation) {
         simulation.withReliableNetwork()
     }
 
     @Test
-    fun `work that waits though there is room is noticed`() {
-        fun played(factor: Double): Set<String> {
+    fun `the rules detect a task that stays pending although a machine has free capacity`() {
+        fun brokenRulesWith(limitFactor: Double): Set<String> {
             val simulation =
-                Simulation(3, OperatorSettings(idleReturnS = 900.0), sabotage = Sabotage(toldLimitFactor = factor))
-            quiet(simulation)
+                Simulation(3, OperatorSettings(idleReturnS = 900.0), sabotage = Sabotage(toldLimitFactor = limitFactor))
+            makeNetworkReliable(simulation)
             simulation.begin(0, 1)
             simulation.clock.after(8000) {
                 simulation.users.submit {
@@ -40,48 +43,48 @@
             }
             simulation.rules.calmFrom = 20_000
             simulation.clock.runUntil(150_000)
-            return rules(simulation)
+            return brokenRules(simulation)
         }
-        assertEquals(emptySet<String>(), played(1.0))
-        assertEquals(setOf("left_waiting"), played(0.2))
+        assertEquals(emptySet<String>(), brokenRulesWith(1.0))
+        assertEquals(setOf("left_waiting"), brokenRulesWith(0.2))
     }
 
     @Test
-    fun `a job that fits no machine and is accepted is noticed`() {
-        fun played(phantom: MachineType?): Set<String> {
-            val simulation = Simulation(5, sabotage = Sabotage(phantomType = phantom))
-            quiet(simulation)
+    fun `the rules detect an accepted job that fits no machine`() {
+        fun brokenRulesWith(phantomType: MachineType?): Set<String> {
+            val simulation = Simulation(5, sabotage = Sabotage(phantomType = phantomType))
+            makeNetworkReliable(simulation)
             simulation.begin(0, 1)
             repeat(10) { i -> simulation.clock.after(10_000L + i * 100) { simulation.users.submitUnfit() } }
             simulation.clock.runUntil(20_000)
-            return rules(simulation)
+            return brokenRules(simulation)
         }
-        assertEquals(emptySet<String>(), played(null))
-        val phantom = MachineType("phantom", Resources(40.0, 0.0, 64.0), 1.0, 20.0, 9.0, 9.0, 5.0, listOf("east"))
-        assertEquals(setOf("accepted_unfit"), played(phantom))
+        assertEquals(emptySet<String>(), brokenRulesWith(null))
+        val phantomType = MachineType("phantom", Resources(40.0, 0.0, 64.0), 1.0, 20.0, 9.0, 9.0, 5.0, listOf("east"))
+        assertEquals(setOf("accepted_unfit"), brokenRulesWith(phantomType))
     }
 
     @Test
-    fun `a start that is sent after a confirmed cancellation is noticed at once`() {
+    fun `the rules detect at once a start that was sent after a confirmed cancellation`() {
         val scenario = FaultScenario(7)
-        quiet(scenario.simulation)
+        makeNetworkReliable(scenario.simulation)
         scenario.begin(jobs = 0, long = 2)
         scenario.at(20_000) { scenario.cancel(scenario.long.first()) }
         scenario.clock.runUntil(24_000)
         assertEquals(1, scenario.rules.cancelledCount)
-        assertEquals(emptySet<String>(), rules(scenario.simulation))
+        assertEquals(emptySet<String>(), brokenRules(scenario.simulation))
         val machine =
             scenario.cloud.workers
                 .first { it.present }
-        machine.mute(5000) // or the leader would stop the task before it has its image
+        machine.mute(5000) // otherwise the leader stops the task while it fetches its image
         machine.startUnasked(scenario.long.first())
         scenario.clock.runUntil(28_500)
-        assertEquals(setOf("ran_cancelled"), rules(scenario.simulation))
+        assertEquals(setOf("ran_cancelled"), brokenRules(scenario.simulation))
     }
 
     @Test
-    fun `a state service that carries late writes out whatever stands there is noticed`() {
-        val seen = HashSet<String>()
+    fun `the rules detect a state service that applies late writes without checking their conditions`() {
+        val brokenRules = HashSet<String>()
         for (seed in 1L..6L) {
             val scenario = FaultScenario(seed)
             scenario.state.ignoresConditions = true
@@ -90,20 +93,20 @@
             try {
                 scenario.clock.runUntil(120_000)
             } catch (expected: IllegalStateException) {
-                seen.add("fake") // a fake found its protocol broken
+                brokenRules.add("fake") // a fake detected a protocol violation
             }
-            seen.addAll(rules(scenario.simulation))
+            brokenRules.addAll(brokenRules(scenario.simulation))
         }
         assertTrue(
-            seen.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "ran_cancelled") },
-            "only $seen",
+            brokenRules.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "ran_cancelled") },
+            "none of these rules was broken, only $brokenRules",
         )
     }
 
     @Test
-    fun `a cancellation that nobody answers is noticed`() {
+    fun `the rules detect a cancellation without a response`() {
         val scenario = FaultScenario(8)
-        quiet(scenario.simulation)
+        makeNetworkReliable(scenario.simulation)
         scenario.begin(jobs = 0, long = 2)
         scenario.at(20_000) { scenario.state.outage(1_000_000) }
         scenario.at(25_000) { scenario.cancel(scenario.long.first()) }
@@ -112,7 +115,7 @@
         assertTrue(
             scenario.rules.violations
                 .any { "its cancellation was not answered" in it },
-            "only ${scenario.rules.violations}",
+            "the missing response was not detected: ${scenario.rules.violations}",
         )
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
@@ -8,73 +8,81 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Outages and refusals of the state service that coincide with other faults; every rule is checked after each step. */
+/**
+ * Guards against rules that break when an outage of the state service, or its rejection of one controller, coincides
+ * with other faults. Every rule is checked after each step.
+ */
 class ConcurrentFaultsTest {
     /**
-     * The state service refuses the leader alone, and jobs are called off around that moment; then it is out for
-     * everybody, for longer than a cancelled task may live, [offsetMs] after another controller leads.
+     * The state service rejects the leader alone, and jobs are cancelled around that moment. At [outageAtMs], unless it
+     * is null, an outage for all controllers begins that lasts longer than a cancelled task may run. Returns when
+     * another controller led, or 0 if none did.
      */
-    private fun refusedThenOut(seed: Long, leaseMs: Long, slowMs: Long, offsetMs: Long?): Long {
+    private fun rejectThenOutage(seed: Long, leaseMs: Long, slowMs: Long, outageAtMs: Long?): Long {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin(jobs = 16, long = 6, overMs = 60_000)
         scenario.clock.runUntil(START_MS)
-        val first = scenario.leader()
+        val firstLeader = scenario.leader()
         scenario.long.take(3).forEach { id ->
             scenario.at(START_MS + scenario.clock.between(0, 300)) { scenario.cancel(id) }
         }
         if (slowMs > 0) scenario.state.slow(slowMs, 15_000)
         scenario.clock.runUntil(START_MS + 300)
-        scenario.state.refuse(checkNotNull(first).label, 12_000)
-        var handover = 0L
+        scenario.state.refuse(checkNotNull(firstLeader).label, 12_000)
+        var failoverAtMs = 0L
 
-        fun watch() {
-            val now = scenario.leader()
-            if (now != null && now !== first) handover = scenario.clock.time else scenario.clock.after(10) { watch() }
+        fun watchForFailover() {
+            val leader = scenario.leader()
+            if (leader != null && leader !== firstLeader) {
+                failoverAtMs = scenario.clock.time
+            } else {
+                scenario.clock.after(10) { watchForFailover() }
+            }
         }
-        watch()
+        watchForFailover()
         scenario.long.drop(3).forEachIndexed {
             i,
             id,
             ->
             scenario.at(START_MS + 600L + 600L * i) { scenario.cancel(id) }
         }
-        if (offsetMs == null) {
+        if (outageAtMs == null) {
             scenario.clock.runUntil(START_MS + 15_000)
-            return handover
+            return failoverAtMs
         }
-        scenario.at(offsetMs) { scenario.state.outage(40_000) }
-        scenario.clock.runUntil(offsetMs + 75_000)
+        scenario.at(outageAtMs) { scenario.state.outage(40_000) }
+        scenario.clock.runUntil(outageAtMs + 75_000)
         scenario.holds()
-        return handover
+        return failoverAtMs
     }
 
     @ParameterizedTest
     @CsvSource("1,8000,0", "2,16000,0", "3,22000,0", "4,22000,300")
-    fun `jobs are cancelled while the state service refuses only the leader, and an outage follows the failover`(
+    fun `rules hold when jobs are cancelled while only the leader is rejected and an outage follows the failover`(
         seed: Long,
         leaseMs: Long,
         slowMs: Long,
     ) {
-        val handover = refusedThenOut(seed, leaseMs, slowMs, null)
-        assertTrue(handover > 0, "nobody took over")
-        val broken = ArrayList<String>()
+        val failoverAtMs = rejectThenOutage(seed, leaseMs, slowMs, null)
+        assertTrue(failoverAtMs > 0, "no other controller became leader")
+        val failures = ArrayList<String>()
         for (offset in (-500L..1500L step 100) + (0L..100L step 10)) {
             try {
-                refusedThenOut(seed, leaseMs, slowMs, handover + offset)
+                rejectThenOutage(seed, leaseMs, slowMs, failoverAtMs + offset)
             } catch (e: AssertionError) {
-                broken.add("$offset ms after the handover: ${e.message?.take(160)}")
+                failures.add("$offset ms after the failover: ${e.message?.take(160)}")
             }
         }
-        assertTrue(broken.isEmpty(), broken.joinToString("\n"))
+        assertTrue(failures.isEmpty(), failures.joinToString("\n"))
     }
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,22000", "140,8000")
-    fun `jobs are cancelled just before the state service refuses only the leader, and an outage follows`(
+    fun `rules hold when jobs are cancelled just before only the leader is rejected and an outage follows`(
         seed: Long,
         leaseMs: Long,
     ) {
-        val broken = ArrayList<String>()
+        val failures = ArrayList<String>()
         for (offset in 0L..5000L step 50) {
             val scenario = FaultScenario(seed, leaseMs)
             scenario.begin(jobs = 16, long = 6, overMs = 60_000)
@@ -87,17 +95,17 @@
             if (scenario.rules.violations
                     .isNotEmpty()
             ) {
-                broken.add(
-                    "$offset ms after the refusal: ${scenario.rules.violations.take(2)}",
+                failures.add(
+                    "$offset ms after the rejection: ${scenario.rules.violations.take(2)}",
                 )
             }
         }
-        assertTrue(broken.isEmpty(), broken.joinToString("\n"))
+        assertTrue(failures.isEmpty(), failures.joinToString("\n"))
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `transactions without an answer are carried out late`(seed: Long) {
+    fun `rules hold when transactions that got no reply are applied late`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin()
         scenario.at(START_MS) { scenario.state.lateWrites(0.3, 45_000) }
@@ -108,7 +116,10 @@
 
     @ParameterizedTest
     @CsvSource("1,300", "2,900", "3,2000", "4,4000", "225,900")
-    fun `the state service is slow and then unavailable while users cancel and query`(seed: Long, slowMs: Long) {
+    fun `rules hold when the state service is slow and then unavailable while users cancel and query`(
+        seed: Long,
+        slowMs: Long,
+    ) {
         val scenario = FaultScenario(seed)
         scenario.begin()
         scenario.at(START_MS) { scenario.state.slow(slowMs, 15_000) }
@@ -120,7 +131,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
-    fun `the state service refuses the leader and is then unavailable while users cancel and query`(
+    fun `rules hold when the state service rejects the leader and then fails while users cancel and query`(
         seed: Long,
         leaseMs: Long,
     ) {
@@ -135,33 +146,40 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
-    fun `jobs are cancelled when the state service refuses the leader, and a second later everybody`(
+    fun `rules hold when jobs are cancelled as the state service rejects the leader and fails a second later`(
         seed: Long,
         leaseMs: Long,
     ) {
-        for (lead in listOf(0L, 150L)) {
-            for (outAfter in listOf(800L, 1000L, 1300L)) {
+        for (cancelLeadMs in listOf(0L, 150L)) {
+            for (outageAfterMs in listOf(800L, 1000L, 1300L)) {
                 val scenario = FaultScenario(seed, leaseMs)
                 scenario.begin(jobs = 16, overMs = 60_000)
-                scenario.at(START_MS - lead) { scenario.cancelNow(5, if (seed % 3 == 0L) 6000 else 0) }
+                scenario.at(START_MS - cancelLeadMs) { scenario.cancelNow(5, if (seed % 3 == 0L) 6000 else 0) }
                 scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 10_000) } }
-                scenario.at(START_MS + outAfter) { scenario.state.outage(35_000) }
+                scenario.at(START_MS + outageAfterMs) { scenario.state.outage(35_000) }
                 scenario.clock.runUntil(START_MS + 80_000)
                 scenario.holds()
             }
         }
     }
 
-    // The leader stepped down to raise its fencing token, which it cannot in an outage: every machine lost its lease.
+    /**
+     * A cancelled job has a start whose outcome is unknown. An earlier version stepped down to advance the fencing
+     * token, which is impossible in an outage, so there was no leader and the leases of all machines expired. Now only
+     * the lease of the machine with that start expires.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `a held up start of a cancelled job meets an outage, and costs its machine's lease alone`(seed: Long) {
+    fun `a delayed start of a cancelled job in an outage makes only its machine's lease expire`(seed: Long) {
         val scenario = FaultScenario(seed, 22_000)
         scenario.simulation.withReliableNetwork()
         scenario.begin(jobs = 0, long = 6)
         scenario.clock.runUntil(START_MS)
-        val before = scenario.rules.starts
-        assertTrue(before > 0 && scenario.busy().size > 1, "the long jobs run on ${scenario.busy().size} machines")
+        val startsBefore = scenario.rules.starts
+        assertTrue(
+            startsBefore > 0 && scenario.busy().size > 1,
+            "the long jobs run on ${scenario.busy().size} machines",
+        )
         scenario.network.heldMs = 33_000L..33_000L
         scenario.network.held = 1.0
         val id = scenario.users.submit { scenario.plain(it, "red").copy(tasks = 1) }
@@ -171,11 +189,11 @@
         scenario.at(START_MS + 32_500) {
             scenario.cloud.workers
                 .forEach { it.mute(5000) }
-        } // so that what begins is not stopped at once
-        scenario.at(START_MS + 42_000) { assertTrue(scenario.leader() != null, "nobody leads in the outage") }
+        } // so that a task that starts now is not stopped at once
+        scenario.at(START_MS + 42_000) { assertTrue(scenario.leader() != null, "there is no leader during the outage") }
         scenario.clock.runUntil(START_MS + 70_000)
         scenario.holds()
-        val again = scenario.rules.starts - before
-        assertTrue(again <= 9, "$again of $before tasks began again")
+        val restarts = scenario.rules.starts - startsBefore
+        assertTrue(restarts <= 9, "$restarts of $startsBefore tasks were started again")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ConcurrentLeaderFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentLeaderFaultsTest.kt
@@ -9,11 +9,16 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Changes of leader that coincide with other faults; every rule is checked after each step. */
+/**
+ * Guards against rules that break when changes of leader coincide with other faults. Every rule is checked after each
+ * step.
+ */
 class ConcurrentLeaderFaultsTest {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `leadership moves back and forth, all controllers crash, and one returns, also within a second`(seed: Long) {
+    fun `rules hold when leaders change often, all controllers crash and one restarts, also within a second`(
+        seed: Long,
+    ) {
         val scenario = FaultScenario(seed)
         scenario.begin()
         scenario.at(START_MS) { scenario.crashLeader(400) }
@@ -35,7 +40,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
-    fun `all controllers are down for longer than the lease`(seed: Long, leaseMs: Long) {
+    fun `rules hold when all controllers are down for longer than a worker lease`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS - 100) { scenario.cancelNow(2) }
@@ -53,21 +58,24 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,16000,true")
-    fun `a leader is cut off from the state service and its peers while workers and users reach it`(
+    fun `rules hold when a leader loses the state service and its peers while workers and users reach it`(
         seed: Long,
         leaseMs: Long,
-        holds: Boolean,
+        holdsMessages: Boolean,
     ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
-        scenario.at(START_MS) { scenario.leader()?.let { scenario.faults.isolate(it, 32_000, holds) } }
+        scenario.at(START_MS) { scenario.leader()?.let { scenario.faults.isolate(it, 32_000, holdsMessages) } }
         for (i in 0L..4L) scenario.at(START_MS + 500 + i * 2500) { scenario.cancelNow(1) }
         scenario.play(START_MS + 45_000)
     }
 
     @ParameterizedTest
     @CsvSource("1,false", "2,true", "3,true", "4,false")
-    fun `leaders change ten times in two minutes, also inside an outage`(seed: Long, outage: Boolean) {
+    fun `rules hold when the leader changes ten times in two minutes, also in an outage`(
+        seed: Long,
+        hasOutage: Boolean,
+    ) {
         val scenario = FaultScenario(seed)
         scenario.begin(jobs = 30, overMs = 130_000)
         for (i in 0L..9L) {
@@ -80,13 +88,13 @@
                 scenario.at(START_MS + i * 12_000 - scenario.clock.between(0, 800)) { scenario.cancelNow(1) }
             }
         }
-        if (outage) scenario.at(START_MS + 47_000) { scenario.state.outage(30_000) }
+        if (hasOutage) scenario.at(START_MS + 47_000) { scenario.state.outage(30_000) }
         scenario.play(START_MS + 135_000)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `jobs of two or three tasks end far apart across a change of leader`(seed: Long) {
+    fun `rules hold when tasks of the same job end far apart across changes of leader`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin(jobs = 10, long = 8) { it.copy(tasks = 2 + (it.tasks + seed.toInt()) % 2, expectedS = 40.0) }
         for (i in 0L..4L) {
@@ -99,11 +107,12 @@
     }
 
     /**
-     * A leader is refused by the state service and stays leader by the lease of the one follower that it still reaches;
-     * that peer is refused as well, ends, is back after [awayMs], and is asked for its vote by the third. No message is
-     * lost by chance: the bound on the time until somebody leads does not cover a failover whose reply is lost.
+     * The state service rejects the leader, which stays leader through the follower lease of the one peer that it
+     * reaches. That peer is rejected too, crashes, restarts after [downMs], and gets a vote request from the third
+     * controller. No message is lost at random, because the time allowed until the candidate leads does not cover a
+     * lost reply.
      */
-    private fun voterReturns(seed: Long, awayMs: Long) {
+    private fun restartVoter(seed: Long, downMs: Long) {
         val scenario = FaultScenario(seed)
         scenario.simulation.withReliableNetwork()
         scenario.begin(jobs = 0, long = 2)
@@ -113,66 +122,72 @@
         scenario.network.cut(leader.label, candidate.label, CUT_MS, holds = false)
         for (node in listOf(leader, voter)) scenario.state.refuse(node.label, CUT_MS)
         scenario.clock.runUntil(START_MS + 2500)
-        assertTrue(leader.leads, "the lead was lost before its voter ended")
+        assertTrue(leader.leads, "the leader stepped down before the voter crashed")
         voter.crash()
-        scenario.clock.after(awayMs) { voter.start() }
+        scenario.clock.after(downMs) { voter.start() }
         scenario.clock.runUntil(START_MS + 6000)
-        assertTrue(candidate.leads, "nobody was elected")
+        assertTrue(candidate.leads, "the candidate was not elected")
         scenario.holds()
     }
 
+    /**
+     * A peer that forgets a granted follower lease in a restart could vote for a candidate while the old leader still
+     * leads.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `a peer that granted a follower lease crashes, and is asked for its vote when it is back`(seed: Long) {
-        for (awayMs in 50L..650L step 100) voterReturns(seed, awayMs)
+    fun `no two controllers lead when a peer that granted a follower lease restarts and is asked to vote`(seed: Long) {
+        for (downMs in 50L..650L step 100) restartVoter(seed, downMs)
     }
 
     /**
-     * A leader that nobody hears is followed by a candidate that its other peer has voted for, at the moment that is
-     * returned; that peer hears nothing of the candidate from [unheardFrom] on, but the old leader, and [ends] in
-     * between or not.
+     * A leader is cut off from both peers, and a candidate leads with the vote of the other peer, the voter. Then the
+     * voter receives requests of the old leader again, and restarts at that moment if [isVoterRestarted]. From
+     * [voterCutOffAtMs] on, unless it is null, the voter and the candidate cannot reach each other. Returns when the
+     * candidate led.
      */
-    private fun oldLeaderAsks(seed: Long, ends: Boolean, unheardFrom: Long?): Long {
+    private fun reconnectOldLeader(seed: Long, isVoterRestarted: Boolean, voterCutOffAtMs: Long?): Long {
         val scenario = FaultScenario(seed)
         scenario.begin(jobs = 0, long = 2)
         scenario.clock.runUntil(START_MS)
-        val old = checkNotNull(scenario.leader())
-        val (voter, candidate) = scenario.nodes.filter { it !== old }
-        for (node in listOf(voter, candidate)) scenario.network.cut(old.label, node.label, CUT_MS, holds = false)
-        for (node in listOf(old, voter)) scenario.state.refuse(node.label, CUT_MS)
-        unheardFrom?.let { from ->
-            scenario.at(from) { scenario.network.cut(voter.label, candidate.label, 4000, holds = false) }
+        val oldLeader = checkNotNull(scenario.leader())
+        val (voter, candidate) = scenario.nodes.filter { it !== oldLeader }
+        for (node in listOf(voter, candidate)) scenario.network.cut(oldLeader.label, node.label, CUT_MS, holds = false)
+        for (node in listOf(oldLeader, voter)) scenario.state.refuse(node.label, CUT_MS)
+        voterCutOffAtMs?.let { cutAtMs ->
+            scenario.at(cutAtMs) { scenario.network.cut(voter.label, candidate.label, 4000, holds = false) }
         }
         while (!candidate.leads &&
             scenario.clock.time < START_MS + 10_000
         ) {
             scenario.clock.runUntil(scenario.clock.time + 1)
         }
-        assertTrue(candidate.leads, "nobody was elected")
-        val electedAt = scenario.clock.time
-        scenario.network.cut(old.label, voter.label, 0, holds = false)
-        if (ends) {
+        assertTrue(candidate.leads, "the candidate was not elected")
+        val electedAtMs = scenario.clock.time
+        scenario.network.cut(oldLeader.label, voter.label, 0, holds = false)
+        if (isVoterRestarted) {
             voter.crash()
             scenario.clock.after(100) { voter.start() }
         }
-        scenario.clock.runUntil(electedAt + 6000)
+        scenario.clock.runUntil(electedAtMs + 6000)
         scenario.holds()
-        return electedAt
+        return electedAtMs
     }
 
+    /** A voter that renewed the old leader's follower lease after its vote would allow two leaders. */
     @ParameterizedTest
     @CsvSource("1,false", "2,false", "3,false", "1,true", "2,true", "3,true")
-    fun `an old leader asks a peer that has voted for its successor, also one that has restarted since`(
+    fun `an old leader gets no follower lease from a peer that voted for its successor, even after a restart`(
         seed: Long,
-        ends: Boolean,
+        isVoterRestarted: Boolean,
     ) {
-        val electedAt = oldLeaderAsks(seed, ends, unheardFrom = null)
-        // The candidate has the vote by then, and its write is under way.
-        assertEquals(electedAt, oldLeaderAsks(seed, ends, unheardFrom = electedAt - 1))
+        val electedAtMs = reconnectOldLeader(seed, isVoterRestarted, voterCutOffAtMs = null)
+        // 1 ms earlier the candidate already has the vote, and its write of the leadership record is under way.
+        assertEquals(electedAtMs, reconnectOldLeader(seed, isVoterRestarted, voterCutOffAtMs = electedAtMs - 1))
     }
 
     private companion object {
-        /** Longer than the scenarios that use it. */
+        /** Longer than the scenarios with such a cut. */
         const val CUT_MS = 30_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ConcurrentMachineFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMachineFaultsTest.kt
@@ -8,14 +8,16 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Faults of machines that coincide with others; every rule is checked after each step. */
+/**
+ * Guards against rules that break when faults of machines coincide with others. Every rule is checked after each step.
+ */
 class ConcurrentMachineFaultsTest {
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,22000,false")
-    fun `the leader changes while a team is at its limit, machines are unreachable and a job is cancelled`(
+    fun `rules hold when the leader changes with a team at its limit, machines cut off and jobs cancelled`(
         seed: Long,
         leaseMs: Long,
-        holds: Boolean,
+        holdsMessages: Boolean,
     ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin(jobs = 8, long = 0)
@@ -30,7 +32,7 @@
             }
         }
         scenario.at(START_MS) {
-            scenario.busy().take(4).forEach { scenario.cutOff(it, leaseMs - 4000 + 6000 * (seed % 3), holds) }
+            scenario.busy().take(4).forEach { scenario.cutOff(it, leaseMs - 4000 + 6000 * (seed % 3), holdsMessages) }
         }
         scenario.at(START_MS + 500) { scenario.crashLeader(3000) }
         scenario.at(START_MS + 300 + seed % 5 * 700) { ids.take(2).forEach(scenario::cancel) }
@@ -48,7 +50,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `jobs bound to a zone, together or spread lose machines`(seed: Long) {
+    fun `rules hold when jobs with zone constraints lose machines`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin(jobs = 10, long = 3)
         repeat(3) { i ->
@@ -101,7 +103,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
-    fun `machines that reach no controller are reached by direct commands`(seed: Long, leaseMs: Long) {
+    fun `rules hold when machines that reach no controller receive direct commands`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS) { scenario.busy().take(4).forEach { it.mute(leaseMs + 8000) } }
@@ -120,7 +122,10 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000")
-    fun `a zone with workers and a controller is cut off for longer than the lease`(seed: Long, leaseMs: Long) {
+    fun `rules hold when a zone with workers and a controller is cut off for longer than the lease`(
+        seed: Long,
+        leaseMs: Long,
+    ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS) { scenario.faults.cutZone("west", leaseMs + 12_000) }
@@ -131,7 +136,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `there is more work than room, urgent and not, over slow links`(seed: Long) {
+    fun `rules hold when high and low priority work exceeds the capacity and the network is slow`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.network.late = 0.02
         scenario.network.loss = 0.01
@@ -170,17 +175,17 @@
 
     @ParameterizedTest
     @CsvSource("1,8000,true", "2,16000,false", "3,22000,true", "4,22000,false")
-    fun `a leader crashes while machines with long tasks can't be reached or don't hear the new one`(
+    fun `rules hold when the leader crashes while busy machines are cut off or receive nothing`(
         seed: Long,
         leaseMs: Long,
-        deaf: Boolean,
+        receivesNothing: Boolean,
     ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS - 200) {
             scenario.busy().forEachIndexed { i, worker ->
                 if (i % 2 == 0) return@forEachIndexed
-                if (deaf) {
+                if (receivesNothing) {
                     scenario.deafen(worker, leaseMs + 9000)
                 } else {
                     scenario.cutOff(
--- a/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMessageFaultsTest.kt
@@ -14,13 +14,16 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * Messages of workers and users that are held up or come in the wrong order, beside other faults; every rule is checked
- * after each step.
+ * Guards against rules that break when delayed, repeated or reordered messages of workers and users coincide with other
+ * faults. Every rule is checked after each step.
  */
 class ConcurrentMessageFaultsTest {
-    // Cancellations once travelled only in answers to heartbeats: nobody has any use for what runs until then.
+    /**
+     * An earlier version sent stops of cancelled tasks only in responses to heartbeats, so the tasks occupied machines
+     * until the next heartbeat.
+     */
     @Test
-    fun `what is cancelled stops at once, not with the next heartbeat`() {
+    fun `tasks of a cancelled job stop at once, not with the next heartbeat`() {
         val simulation = Simulation(3, leaseMs = 30_000, heartbeatMs = 9000)
         simulation.withReliableNetwork()
         simulation.begin(0, 1)
@@ -45,17 +48,20 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `cancellations, queries and repeated submissions coincide with the ends of jobs`(seed: Long) {
+    fun `rules hold when cancellations, queries and repeated submissions coincide with the ends of jobs`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.users.cancelAtEnd = 0.6
         scenario.begin(jobs = 60, long = 3)
         scenario.at(START_MS) { scenario.users.odd(60_000) }
-        scenario.play(START_MS + 70_000, servesAll = false) // most are called off at their end
+        scenario.play(START_MS + 70_000, servesAll = false) // most jobs are cancelled as they end
     }
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000", "418,22000")
-    fun `commands and answers are held up for seconds, and machines hang and go on`(seed: Long, leaseMs: Long) {
+    fun `rules hold when commands and replies are delayed for seconds and machines hang for a while`(
+        seed: Long,
+        leaseMs: Long,
+    ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS) { scenario.network.held = 0.25 }
@@ -69,7 +75,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,16000")
-    fun `heartbeats are held back until a new leader has acted`(seed: Long, leaseMs: Long) {
+    fun `rules hold when heartbeats are delayed until after a change of leader`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         for (at in listOf(-4000L, -800L, -100L)) {
@@ -88,7 +94,7 @@
 
     @ParameterizedTest
     @CsvSource("1,8000", "2,16000", "3,22000", "4,8000", "322,22000")
-    fun `old heartbeats come after newer ones, also of earlier epochs and attempts`(seed: Long, leaseMs: Long) {
+    fun `rules hold when old heartbeats arrive after newer ones, also of earlier epochs`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.network.copies = 0.05
         scenario.begin()
@@ -113,33 +119,34 @@
     }
 
     /**
-     * A new leader gets a heartbeat of a machine's earlier epoch, then an old one of this epoch, then the machine's
-     * own.
+     * A new leader gets a delayed heartbeat of a machine's earlier epoch, then a delayed one of its current epoch, then
+     * a current one. An earlier version then resolved attempts of the previous leader although they ran in the current
+     * epoch, and their tasks ran twice.
      */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `old heartbeats of two epochs reach a new leader before the machine's own`(seed: Long) {
+    fun `no task runs twice when old heartbeats of two epochs reach a new leader first`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.simulation.withReliableNetwork()
         scenario.begin(jobs = 0, long = 6)
         scenario.clock.runUntil(15_000)
         val machine = scenario.busy().maxBy { it.onMachine().size }
-        val first = machine.keepHeartbeat()
+        val deliverEarlierEpoch = machine.keepHeartbeat()
         machine.reboot()
-        val second = machine.keepHeartbeat()
+        val deliverCurrentEpoch = machine.keepHeartbeat()
         scenario.clock.runUntil(START_MS)
-        assertTrue(machine.onMachine().isNotEmpty(), "nothing began there again")
+        assertTrue(machine.onMachine().isNotEmpty(), "no task was started again on the machine")
         scenario.cutOff(machine, 3500, holds = false)
         scenario.leader()?.crash()
 
-        fun onceLed() {
-            val leader = scenario.leader() ?: return scenario.clock.after(20) { onceLed() }
+        fun deliverToNewLeader() {
+            val leader = scenario.leader() ?: return scenario.clock.after(20) { deliverToNewLeader() }
             scenario.clock.after(250) {
-                first(leader)
-                second(leader)
+                deliverEarlierEpoch(leader)
+                deliverCurrentEpoch(leader)
             }
         }
-        scenario.clock.after(500) { onceLed() }
+        scenario.clock.after(500) { deliverToNewLeader() }
         scenario.clock.runUntil(START_MS + 30_000)
         scenario.holds()
     }
--- a/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
@@ -8,11 +8,14 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Late copies of heartbeats and of commands. */
+/** Guards against late copies of heartbeats and commands that take effect a second time. */
 class DuplicateMessagesTest {
-    // An earlier version took each copy for a renewal of the lease, so what ran there was never started elsewhere.
+    /**
+     * An earlier version renewed the machine's lease with each copy, so the tasks of the dead machine were never
+     * started elsewhere.
+     */
     @Test
-    fun `copies of its last heartbeat do not keep a dead machine alive, nor for a new leader`() {
+    fun `copies of a dead machine's last heartbeat do not renew its lease, also with a new leader`() {
         val simulation = Simulation(12)
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
@@ -34,13 +37,19 @@
         simulation.clock.after(5000) { simulation.nodes.filter { it.leads }.forEach { it.crash() } }
         simulation.clock.runUntil(66_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(9, simulation.rules.completions, "still waiting for a dead machine: ${simulation.rules.pending()}")
+        assertEquals(
+            9,
+            simulation.rules.completions,
+            "tasks still wait for a dead machine: ${simulation.rules.pending()}",
+        )
     }
 
-    // A worker that has forgotten an attempt begins it again when a copy of its start comes; seed 5361 of the random
-    // runs let a team exceed its limit that way.
+    /**
+     * A worker that has forgotten an attempt starts it again when a copy of its start arrives. In seed 5361 of the
+     * random runs a team exceeded its limit that way.
+     */
     @Test
-    fun `a copy of a start command restarts nothing that was stopped, however late it comes`() {
+    fun `a late copy of a start command does not restart a stopped attempt`() {
         val simulation = Simulation(22)
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
--- a/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
+++ b/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
@@ -14,19 +14,19 @@
 import org.junit.jupiter.api.Test
 
 /**
- * One seed gives one day, to the last effect. The digests are printed: a change of structure alone leaves them as they
- * were, so compare what is printed before and after it. They are not recorded, since a change of behaviour changes
+ * Guards against nondeterminism: a seed must always produce the same effects. The test prints the digests. Compare them
+ * before and after a refactoring, which must not change them. They are not stored, since a change of behaviour changes
  * them.
  */
 class EffectDigestTest {
-    private fun EffectDigest.watch(simulation: Simulation): Simulation = simulation.also { it.onEffect = ::add }
+    private fun EffectDigest.record(simulation: Simulation): Simulation = simulation.also { it.onEffect = ::add }
 
-    /** Crashes, outages, cuts and mass losses over batch jobs, gangs, services and cancellations. */
-    private fun dayWithFaults(seed: Long): EffectDigest {
+    /** Crashes, outages, network partitions and mass failures while batch jobs, gangs and services run. */
+    private fun runWithFaults(seed: Long): EffectDigest {
         val digest = EffectDigest()
         val objectives = listOf(Objective("wait", "urgent", 4.0, 0.5), Objective("guarantee", null, 60.0, 0.9))
         val simulation =
-            digest.watch(
+            digest.record(
                 Simulation(
                     seed,
                     size = SimulationSize(controllers = if (seed % 2 == 0L) 5 else 3),
@@ -44,11 +44,11 @@
         return digest
     }
 
-    /** Cancellations while the leader is cut off and ends. */
-    private fun cancellations(seed: Long): EffectDigest {
+    /** Cancellations while the leader crashes and restarts three times. */
+    private fun runWithCancellations(seed: Long): EffectDigest {
         val digest = EffectDigest()
         val scenario = FaultScenario(seed)
-        digest.watch(scenario.simulation)
+        digest.record(scenario.simulation)
         scenario.begin()
         scenario.at(FaultScenario.START_MS) {
             scenario.cancelNow(3)
@@ -58,30 +58,35 @@
         return digest
     }
 
-    private fun all(): Map<String, EffectDigest> =
-        (1L..6L).associate { "faulty day $it" to dayWithFaults(it) } +
-            (1L..2L).associate { "cancellations $it" to cancellations(it) }
+    private fun runAll(): Map<String, EffectDigest> =
+        (1L..6L).associate { "faulty day $it" to runWithFaults(it) } +
+            (1L..2L).associate { "cancellations $it" to runWithCancellations(it) }
 
     @Test
-    fun `one seed gives the same effects each time`() {
-        val first = all()
+    fun `a seed gives the same effects each time`() {
+        val first = runAll()
         first.forEach { (name, digest) -> println("effects of $name: ${digest.count} ${digest.hex()}") }
-        assertEquals(first.mapValues { it.value.hex() }, all().mapValues { it.value.hex() })
+        assertEquals(first.mapValues { it.value.hex() }, runAll().mapValues { it.value.hex() })
         assertEquals(
             first.size,
             first.values
                 .map { it.hex() }
                 .toSet()
                 .size,
-            "days of different seeds are alike",
+            "different seeds gave the same effects",
+        )
+        assertTrue(
+            first.values.all {
+                it.count > 1000
+            },
+            "a simulation had too few effects: ${first.mapValues { it.value.count }}",
         )
-        assertTrue(first.values.all { it.count > 1000 }, "a day without effects: ${first.mapValues { it.value.count }}")
     }
 
     @Test
-    fun `one effect that differs changes the digest`() {
-        fun digest(status: Int) = EffectDigest().apply { add(1, "a", Effect.Response(1, status, byteArrayOf(1))) }
-        assertEquals(digest(200).hex(), digest(200).hex())
-        assertNotEquals(digest(200).hex(), digest(503).hex())
+    fun `one different effect changes the digest`() {
+        fun digestOf(status: Int) = EffectDigest().apply { add(1, "a", Effect.Response(1, status, byteArrayOf(1))) }
+        assertEquals(digestOf(200).hex(), digestOf(200).hex())
+        assertNotEquals(digestOf(200).hex(), digestOf(503).hex())
     }
 }
--- a/src/test/kotlin/org/chalkhollow/LargeFleetTest.kt
+++ b/src/test/kotlin/org/chalkhollow/LargeFleetTest.kt
@@ -12,11 +12,14 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Large jobs and fleets: the limits of the state service, and failures of many machines at once. */
+/**
+ * Guards against large jobs that exceed the limits of the state service, and against broken rules and lost jobs when
+ * many machines fail at once.
+ */
 class LargeFleetTest {
-    // The fake of the state service checks every value's and transaction's size.
+    // The fake state service checks the size of every value and transaction.
     @Test
-    fun `an array of 100,000 tasks keeps to the state service's limits, also across leaders`() {
+    fun `an array of 100,000 tasks stays within the state service's limits, also when the leader changes`() {
         val simulation = Simulation(5)
         simulation.begin(3, 10_000)
         simulation.clock.after(6000) {
@@ -34,7 +37,7 @@
     }
 
     @Test
-    fun `a day of several hundred machines and five controllers`() {
+    fun `five controllers with several hundred machines break no rule and lose no job`() {
         val simulation = Simulation(9, size = SimulationSize(controllers = 5, capacity = 380, scale = 25))
         simulation.network.copies = 0.005
         simulation.begin(20, 40_000, machines = 300)
@@ -49,7 +52,7 @@
         simulation.clock.runUntil(220_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(emptyList<String>(), simulation.rules.starved())
-        assertEquals(emptyList<String>(), simulation.rules.pending(), "jobs without an end")
+        assertEquals(emptyList<String>(), simulation.rules.pending(), "jobs that did not end")
         assertTrue(simulation.rules.completions > 1400, "only ${simulation.rules.completions} tasks were completed")
     }
 
--- a/src/test/kotlin/org/chalkhollow/LayersTest.kt
+++ b/src/test/kotlin/org/chalkhollow/LayersTest.kt
@@ -8,7 +8,7 @@
 import kotlin.io.path.extension
 import kotlin.io.path.readText
 
-/** Which part of the program may use which. */
+/** Guards against imports that couple the core to I/O or to the runtime, and against cycles between its packages. */
 class LayersTest {
     private fun sources(folder: String): List<SourceFile> =
         Files.walk(Path.of("src/main/kotlin/org/chalkhollow", folder)).use { paths ->
@@ -26,13 +26,13 @@
                 .map { "${file.name}: ${it.removePrefix("import ")}" }
         }
 
-    private fun List<String>.naming(foreign: List<String>) = filter { line -> foreign.any { it in line } }
+    private fun List<String>.containingAny(forbidden: List<String>) = filter { line -> forbidden.any { it in line } }
 
     @Test
-    fun `the core does no I-O, has no clock and no coroutines`() {
-        val all = imports("core")
-        assertTrue(all.size > 50, "the sources were not found")
-        val foreign =
+    fun `the core uses no I-O, clock, coroutines, random numbers or runtime`() {
+        val imports = imports("core")
+        assertTrue(imports.size > 50, "the sources were not found")
+        val forbidden =
             listOf(
                 "java.io.",
                 "java.nio.",
@@ -44,24 +44,24 @@
                 "kotlin.random.",
                 "org.chalkhollow.runtime.",
             )
-        assertEquals(emptyList<String>(), all.naming(foreign))
+        assertEquals(emptyList<String>(), imports.containingAny(forbidden))
     }
 
     @Test
-    fun `protocol and peer messages know nothing of the core or the runtime`() {
-        val foreign = listOf("org.chalkhollow.core.", "org.chalkhollow.runtime.")
-        assertEquals(emptyList<String>(), (imports("wire") + imports("model")).naming(foreign))
+    fun `wire and model do not use the core or the runtime`() {
+        val forbidden = listOf("org.chalkhollow.core.", "org.chalkhollow.runtime.")
+        assertEquals(emptyList<String>(), (imports("wire") + imports("model")).containingAny(forbidden))
     }
 
     @Test
-    fun `packages of the core use only those below them that the rules name`() {
+    fun `packages of the core use only the lower packages that the rules allow`() {
         val files = sources("core")
         assertTrue(files.size > 50, "the sources were not found")
         assertEquals(emptyList<String>(), CORE_RULES.cycles())
         assertEquals(emptyList<String>(), CORE_RULES.undeclaredUses(files))
     }
 
-    // The checks above are worth something only if they fail on what they forbid.
+    // The tests below check that violations of the rules are detected.
 
     private val rules = PackageRules(mapOf("common" to emptySet(), "jobs" to setOf("common"), "core" to setOf("jobs")))
 
@@ -72,23 +72,23 @@
         assertEquals(listOf("File.kt: $expected"), rules.undeclaredUses(files))
 
     @Test
-    fun `a use that no rule names is found`() {
+    fun `a use that no rule allows is detected`() {
         val import = "import org.chalkhollow.core.fleet.Fleet\n\nclass Jobs(val fleet: Fleet)"
         assertUse("jobs uses fleet", file("core.jobs", import))
-        val upwards = "import org.chalkhollow.core.jobs.JobTable\n\nval jobs = JobTable()"
-        assertUse("common uses jobs", file("core.common", upwards))
+        val higher = "import org.chalkhollow.core.jobs.JobTable\n\nval jobs = JobTable()"
+        assertUse("common uses jobs", file("core.common", higher))
         val root = "import org.chalkhollow.core.Controller\n\nval controller: Controller? = null"
         assertUse("jobs uses core", file("core.jobs", root))
         val qualified = "val fleet = org.chalkhollow.core.fleet.Fleet()"
         assertUse("jobs uses fleet", file("core.jobs", qualified))
         val alias = "import org.chalkhollow.core.fleet.Fleet as Machines\n\nval fleet = Machines()"
         assertUse("jobs uses fleet", file("core.jobs", alias))
-        val all = "import org.chalkhollow.core.fleet.*"
-        assertUse("jobs uses fleet", file("core.jobs", all))
+        val wildcard = "import org.chalkhollow.core.fleet.*"
+        assertUse("jobs uses fleet", file("core.jobs", wildcard))
     }
 
     @Test
-    fun `a use that a rule names is allowed, and one in a comment is none`() {
+    fun `a use that a rule allows is accepted, and one in a comment is ignored`() {
         val allowed = "import org.chalkhollow.core.common.Now\n\nval now = Now(0, 0)"
         assertEquals(emptyList<String>(), rules.undeclaredUses(file("core.jobs", allowed)))
         val comment = "import org.chalkhollow.core.fleet.Fleet\n\n/** See [Fleet]. */\nclass Jobs // like Fleet"
@@ -96,13 +96,13 @@
     }
 
     @Test
-    fun `a package without a rule is found`() {
+    fun `a package without a rule is detected`() {
         assertUse("package placement has no rule", file("core.placement", "class Placement"))
-        assertUse("no package of the core", file("wire", "class Codec"))
+        assertUse("not in a package of the core", file("wire", "class Codec"))
     }
 
     @Test
-    fun `rules that allow a cycle are found`() {
+    fun `rules that allow a cycle are detected`() {
         val cycle = PackageRules(mapOf("jobs" to setOf("fleet"), "fleet" to setOf("jobs")))
         assertEquals(listOf("jobs may use fleet, which is not below it"), cycle.cycles())
         val unknown = PackageRules(mapOf("jobs" to setOf("fleet")))
--- a/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
@@ -13,13 +13,15 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** What runs elsewhere, and when, after machines are lost or cannot be reached. */
+/**
+ * Guards against tasks that are started again too late, or without need, after machines are lost or cannot be reached.
+ */
 class MachineLossTest {
     /**
-     * Thirty long tasks on forty machines, and what happens to them at 25 s; [fault] says how many must have begun
-     * again by [until].
+     * Runs thirty long tasks on forty machines. [causeFault] gets a busy machine at 25 s and returns how many tasks
+     * must have been started again by [untilMs].
      */
-    private fun beginAgain(until: Long, fault: (Simulation, FakeWorker) -> Int) {
+    private fun assertRestarts(untilMs: Long, causeFault: (Simulation, FakeWorker) -> Int) {
         val simulation = largeFleet(33, 3, 80)
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
@@ -35,23 +37,26 @@
             }
         }
         simulation.clock.runUntil(25_000)
-        val again = fault(simulation, simulation.cloud.workers.first { it.onMachine().isNotEmpty() })
-        simulation.clock.runUntil(until)
+        val expectedRestarts = causeFault(simulation, simulation.cloud.workers.first { it.onMachine().isNotEmpty() })
+        simulation.clock.runUntil(untilMs)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(again, simulation.rules.starts - 30)
+        assertEquals(expectedRestarts, simulation.rules.starts - 30)
     }
 
-    // Waiting for the lease to expire made one job in five late where spot machines are often taken without a word.
+    /**
+     * Waiting for the lease to expire made one job in five miss its deadline where spot machines are often reclaimed
+     * without notice.
+     */
     @Test
     fun `tasks of a dead machine start elsewhere before its lease would have expired`() {
-        beginAgain(
+        assertRestarts(
             25_000 + 16_000,
         ) { simulation, busy -> busy.onMachine().size.also { simulation.cloud.kill(busy.name) } }
     }
 
     @Test
-    fun `tasks that cannot finish before the cloud takes their machine start elsewhere at once`() {
-        beginAgain(25_000 + 9000) { simulation, busy ->
+    fun `tasks that cannot finish before the cloud reclaims their machine start elsewhere at once`() {
+        assertRestarts(25_000 + 9000) { simulation, busy ->
             busy.onMachine().size.also {
                 busy.noticeAt =
                     simulation.clock.time + 15_000
@@ -60,8 +65,8 @@
     }
 
     @Test
-    fun `a zone that is silent for less than a lease loses nothing`() {
-        beginAgain(60_000) { simulation, _ ->
+    fun `no task is started again when a zone is cut off for less than a lease`() {
+        assertRestarts(60_000) { simulation, _ ->
             for (worker in simulation.cloud.workers.filter {
                 it.zone == simulation.zones.last()
             }) {
@@ -71,7 +76,10 @@
         }
     }
 
-    // A leader that no worker reaches renews no lease; an earlier version led on while all leases ran out.
+    /**
+     * A leader that no worker reaches renews no worker lease. An earlier version continued to lead while all worker
+     * leases expired.
+     */
     @Test
     fun `a leader that the workers do not reach steps down before their leases expire`() {
         val simulation = largeFleet(31, 3, 40)
@@ -89,6 +97,6 @@
         simulation.clock.after(25_000) { FaultInjection(simulation).mass(MassFault.LEADER_CUT_FROM_MACHINES) }
         simulation.clock.runUntil(62_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(30, simulation.rules.starts, "tasks were lost with their machines' leases and started again")
+        assertEquals(30, simulation.rules.starts, "tasks were started again because their machines' leases expired")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
@@ -12,12 +12,14 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** What is stopped for other work, and what is not. */
+/** Guards against preemptions that do not help the work they are meant for. */
 class PreemptionTest {
-    // CPUs were once counted over all machines: what was stopped left too little room for the other, went back to where
-    // it had been, and was stopped again, five times a second.
+    /**
+     * An earlier version counted CPUs over all machines. The preempted tasks left too little free capacity on any one
+     * machine for the other work, started where they had been and were preempted again, five times a second.
+     */
     @Test
-    fun `nothing is preempted where that makes no room for what it is preempted for`() {
+    fun `no task is preempted where that leaves too little capacity for the other work`() {
         val simulation =
             Simulation(
                 21,
--- a/src/test/kotlin/org/chalkhollow/RandomFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RandomFaultsTest.kt
@@ -11,21 +11,24 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Whole days of three controllers on virtual time, every rule checked after each step. */
+/**
+ * Guards against rules that break when random faults meet random jobs. Each simulated day runs in virtual time, and
+ * every rule is checked after each step.
+ */
 class RandomFaultsTest {
     @Test
-    fun `a quiet day completes every job`() {
+    fun `a day without faults completes its jobs`() {
         val simulation = Simulation(1)
         simulation.withReliableNetwork()
         playRandomDay(simulation, faults = 0)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(40, simulation.rules.acceptedCount)
-        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were told to be done")
+        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were reported as done")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20])
-    fun `a day with faults breaks no rule and still gets work done`(seed: Long) {
+    fun `a day with faults breaks no rule and completes most jobs`(seed: Long) {
         val simulation =
             playRandomDay(
                 Simulation(
@@ -47,14 +50,16 @@
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(emptyList<String>(), simulation.rules.starved())
         assertTrue(simulation.rules.acceptedCount >= 36, "only ${simulation.rules.acceptedCount} jobs were accepted")
-        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were told to be done")
+        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were reported as done")
     }
 
-    // 1453 and 1507: a new leader did not count the tasks of a cancelled job that were still on machines against the
-    // limit.
+    /**
+     * Seeds that broke a rule in earlier versions. In 1453 and 1507 a new leader did not count tasks of a cancelled job
+     * against the team's limit while they were still on machines.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1018, 1453, 1507])
-    fun `days that once broke a rule`(seed: Long) {
+    fun `days that broke a rule in earlier versions break none`(seed: Long) {
         val simulation = Simulation(seed)
         simulation.network.loss = 0.005
         simulation.network.late = 0.005
--- a/src/test/kotlin/org/chalkhollow/ReplicaMigrationScenariosTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMigrationScenariosTest.kt
@@ -14,10 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Replicas leave machines that have to be emptied one at a time, and not before there is room for them elsewhere. */
+/**
+ * Guards against services that lose replicas when machines have to be emptied: replicas migrate one at a time, and none
+ * stops before capacity for it is free on another machine.
+ */
 class ReplicaMigrationScenariosTest {
-    /** A service on spot machines, of which there are no more to be rented. */
-    private class Day(seed: Long, machines: Int, tasks: Int, taskResources: Resources, spread: Boolean = true) {
+    /** A service that runs on spot machines when the test begins. No more machines can be rented. */
+    private class Scenario(seed: Long, machines: Int, tasks: Int, taskResources: Resources, spread: Boolean = true) {
         val simulation =
             Simulation(seed, OperatorSettings(idleReturnS = 900.0), size = SimulationSize(capacity = machines))
         val id: String
@@ -45,7 +48,7 @@
 
         fun mostLoaded(): FakeWorker = simulation.cloud.workers.maxBy { replicasOn(it).size }
 
-        fun takeIn(worker: FakeWorker, ms: Long) {
+        fun reclaimIn(worker: FakeWorker, ms: Long) {
             worker.noticeAt = simulation.clock.time + ms
             simulation.clock.after(ms) { simulation.cloud.kill(worker.name) }
         }
@@ -68,7 +71,7 @@
             return id
         }
 
-        fun holds() {
+        fun assertServiceRuns() {
             assertEquals(emptyList<String>(), simulation.rules.violations)
             assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.up(id))
         }
@@ -76,91 +79,99 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a spot notice that leaves time moves one replica after the other`(seed: Long) {
-        val day = Day(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
-        val taken = day.mostLoaded()
-        val replicas = day.replicasOn(taken).size
-        assertTrue(replicas > 1, "only $replicas replicas on ${taken.name}")
-        val starts = day.simulation.rules.starts
-        day.takeIn(taken, 40_000)
-        day.simulation.clock.runUntil(READY_MS + 39_000)
-        assertEquals(0, day.replicasOn(taken).size, "seed $seed")
-        day.holds()
-        assertEquals(starts + replicas, day.simulation.rules.starts)
+    fun `replicas migrate one at a time when the spot termination notice leaves time`(seed: Long) {
+        val scenario = Scenario(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
+        val reclaimed = scenario.mostLoaded()
+        val replicas = scenario.replicasOn(reclaimed).size
+        assertTrue(replicas > 1, "only $replicas replicas on ${reclaimed.name}")
+        val startsBefore = scenario.simulation.rules.starts
+        scenario.reclaimIn(reclaimed, 40_000)
+        scenario.simulation.clock.runUntil(READY_MS + 39_000)
+        assertEquals(0, scenario.replicasOn(reclaimed).size, "seed $seed")
+        scenario.assertServiceRuns()
+        assertEquals(startsBefore + replicas, scenario.simulation.rules.starts)
         assertEquals(
             1,
-            day.simulation.rules.services
-                .mostDownAtOnce(day.id, READY_MS),
+            scenario.simulation.rules.services
+                .mostDownAtOnce(scenario.id, READY_MS),
             "seed $seed",
         )
-        day.simulation.clock.runUntil(READY_MS + 60_000)
-        day.holds()
+        scenario.simulation.clock.runUntil(READY_MS + 60_000)
+        scenario.assertServiceRuns()
     }
 
-    // Replicas on a quarantined machine stayed there for good, and it was never returned.
+    /** In an earlier version replicas stayed on a quarantined machine for ever, so it was never deleted. */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a quarantined machine is drained one replica after the other`(seed: Long) {
-        val day = Day(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
-        val faulty = day.mostLoaded()
-        assertTrue(day.replicasOn(faulty).size > 1)
-        faulty.sick = true // what starts there from now on fails; the replicas run on
-        repeat(4) { i -> day.simulation.clock.after(i * 2500L) { day.submitBatch(Priority.HIGH, 12, 2.0, 4.0) } }
-        day.simulation.clock.runUntil(READY_MS + 60_000)
-        assertEquals(0, day.replicasOn(faulty).size, "seed $seed")
-        day.holds()
+    fun `replicas migrate one at a time off a quarantined machine, which is then deleted`(seed: Long) {
+        val scenario = Scenario(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
+        val faulty = scenario.mostLoaded()
+        assertTrue(scenario.replicasOn(faulty).size > 1)
+        faulty.sick = true // tasks that start there from now on fail; the replicas keep running
+        repeat(
+            4,
+        ) { i -> scenario.simulation.clock.after(i * 2500L) { scenario.submitBatch(Priority.HIGH, 12, 2.0, 4.0) } }
+        scenario.simulation.clock.runUntil(READY_MS + 60_000)
+        assertEquals(0, scenario.replicasOn(faulty).size, "seed $seed")
+        scenario.assertServiceRuns()
         assertEquals(
             1,
-            day.simulation.rules.services
-                .mostDownAtOnce(day.id, READY_MS),
+            scenario.simulation.rules.services
+                .mostDownAtOnce(scenario.id, READY_MS),
             "seed $seed",
         )
-        assertTrue(day.simulation.cloud.worker(faulty.name) == null, "${faulty.name} is still rented")
+        assertTrue(scenario.simulation.cloud.worker(faulty.name) == null, "${faulty.name} is still rented")
     }
 
-    // Every replica was stopped as soon as the notice came, though nothing else had room for it.
+    /** An earlier version stopped every replica at the notice, although no other machine had capacity for it. */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a replica for which there is no room runs until the notice is nearly over`(seed: Long) {
-        val day = Day(seed, machines = 2, tasks = 2, taskResources = Resources(4.0, 0.0, 1.0))
-        day.submitBatch(Priority.PRODUCTION, 2, 4.0, 300.0)
-        day.simulation.clock.runUntil(READY_MS + 15_000)
-        val taken = day.mostLoaded()
-        day.takeIn(taken, 15_000)
-        day.simulation.clock.runUntil(READY_MS + 15_000 + 12_500)
-        assertEquals(emptyList<String>(), day.simulation.rules.violations)
-        assertEquals(1, day.replicasOn(taken).size, "seed $seed: it was stopped without a place to go")
+    fun `a replica that fits on no other machine runs until shortly before the reclaim`(seed: Long) {
+        val scenario = Scenario(seed, machines = 2, tasks = 2, taskResources = Resources(4.0, 0.0, 1.0))
+        scenario.submitBatch(Priority.PRODUCTION, 2, 4.0, 300.0)
+        scenario.simulation.clock.runUntil(READY_MS + 15_000)
+        val reclaimed = scenario.mostLoaded()
+        scenario.reclaimIn(reclaimed, 15_000)
+        scenario.simulation.clock.runUntil(READY_MS + 15_000 + 12_500)
+        assertEquals(emptyList<String>(), scenario.simulation.rules.violations)
+        assertEquals(
+            1,
+            scenario.replicasOn(reclaimed).size,
+            "seed $seed: the replica was stopped although it fits on no other machine",
+        )
         assertEquals(
             2,
-            day.simulation.rules.services
-                .up(day.id),
+            scenario.simulation.rules.services
+                .up(scenario.id),
         )
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `room made by stopping batch work goes to the replica that moves`(seed: Long) {
-        val day = Day(seed, machines = 4, tasks = 4, taskResources = Resources(2.0, 0.0, 1.0))
-        repeat(3) { i -> day.simulation.clock.after(i * 500L) { day.submitBatch(Priority.HIGH, 10, 2.0, 200.0) } }
-        day.simulation.clock.runUntil(READY_MS + 15_000)
-        val taken = day.mostLoaded()
-        day.takeIn(taken, 30_000)
-        day.simulation.clock.runUntil(READY_MS + 44_000)
-        assertEquals(0, day.replicasOn(taken).size, "seed $seed")
-        assertEquals(emptyList<String>(), day.simulation.rules.violations)
+    fun `capacity freed by preempting batch work goes to the migrating replica`(seed: Long) {
+        val scenario = Scenario(seed, machines = 4, tasks = 4, taskResources = Resources(2.0, 0.0, 1.0))
+        repeat(
+            3,
+        ) { i -> scenario.simulation.clock.after(i * 500L) { scenario.submitBatch(Priority.HIGH, 10, 2.0, 200.0) } }
+        scenario.simulation.clock.runUntil(READY_MS + 15_000)
+        val reclaimed = scenario.mostLoaded()
+        scenario.reclaimIn(reclaimed, 30_000)
+        scenario.simulation.clock.runUntil(READY_MS + 44_000)
+        assertEquals(0, scenario.replicasOn(reclaimed).size, "seed $seed")
+        assertEquals(emptyList<String>(), scenario.simulation.rules.violations)
         assertEquals(
             4,
-            day.simulation.rules.services
-                .up(day.id),
+            scenario.simulation.rules.services
+                .up(scenario.id),
         )
-        val down =
-            day.simulation.rules.services
-                .longestDownMs(day.id, READY_MS + 15_000)
-        assertTrue(down <= REACT_MS + FETCH_MS, "seed $seed: down for $down ms")
+        val downMs =
+            scenario.simulation.rules.services
+                .longestDownMs(scenario.id, READY_MS + 15_000)
+        assertTrue(downMs <= RESTART_MS + FETCH_MS, "seed $seed: down for $downMs ms")
         assertEquals(
             1,
-            day.simulation.rules.services
-                .mostDownAtOnce(day.id, READY_MS + 15_000),
+            scenario.simulation.rules.services
+                .mostDownAtOnce(scenario.id, READY_MS + 15_000),
             "seed $seed",
         )
     }
@@ -168,8 +179,10 @@
     private companion object {
         const val READY_MS = 25_000L
 
-        /** A stop, the heartbeat with its end, a marker and a start; then the image. */
-        const val REACT_MS = 1500L
+        /** Covers the stop, the heartbeat that reports its end, the dispatch marker and the start. */
+        const val RESTART_MS = 1500L
+
+        /** Covers fetching the image. */
         const val FETCH_MS = 3000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -20,14 +20,14 @@
 import java.util.BitSet
 
 /**
- * Days on which the version in production is replaced by this one, a few controllers at a time, and the limits fall
- * after.
+ * Guards against lost jobs and exceeded limits during an upgrade: one or two controllers at a time are restarted with
+ * the new version, and afterwards the limits of the state service are lowered.
  */
 class RollingUpgradeTest {
-    private val now = StateLimits(80.0, 20.0, 8192, 12)
-    private val next = StateLimits(40.0, 12.0, 2048, 6)
+    private val currentLimits = StateLimits(80.0, 20.0, 8192, 12)
+    private val nextLimits = StateLimits(40.0, 12.0, 2048, 6)
 
-    private fun day(simulation: Simulation, upgrade: RollingUpgrade, faults: Int): Simulation {
+    private fun playDay(simulation: Simulation, upgrade: RollingUpgrade, faults: Int): Simulation {
         if (faults > 0) simulation.network.copies = 0.01
         simulation.begin(40, 180_000)
         upgrade.begin(30_000)
@@ -38,24 +38,24 @@
         return simulation
     }
 
-    private fun served(simulation: Simulation, upgrade: RollingUpgrade) {
+    private fun assertUpgraded(simulation: Simulation, upgrade: RollingUpgrade) {
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(emptyList<String>(), simulation.rules.starved())
         assertTrue(simulation.rules.acceptedCount >= 36, "only ${simulation.rules.acceptedCount} jobs were accepted")
-        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were told to be done")
+        assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were reported as done")
         assertTrue(upgrade.loweredAt < 240_000, "the limits were not lowered")
         for (node in simulation.nodes) {
             assertEquals(
                 true,
                 node.status()?.allNew,
-                "${node.label} does not know that all are new",
+                "${node.label} does not know that all controllers run the new version",
             )
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12])
-    fun `an upgrade amid faults breaks no rule, serves every job, and exceeds no lowered limit`(seed: Long) {
+    fun `an upgrade during faults breaks no rule, starves no job and stays within the lowered limits`(seed: Long) {
         val simulation =
             Simulation(
                 seed,
@@ -70,27 +70,27 @@
                                 3
                             },
                     ),
-                stateLimits = now,
+                stateLimits = currentLimits,
             )
-        val upgrade = RollingUpgrade(simulation, next, atOnce = 1 + (seed % 2).toInt())
-        day(simulation, upgrade, faults = 12)
-        served(simulation, upgrade)
-        assertEquals(0, simulation.state.rejections, "transactions beyond limits that were announced")
+        val upgrade = RollingUpgrade(simulation, nextLimits, atOnce = 1 + (seed % 2).toInt())
+        playDay(simulation, upgrade, faults = 12)
+        assertUpgraded(simulation, upgrade)
+        assertEquals(0, simulation.state.rejections, "transactions exceeded the announced limits")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
-    fun `limits that fall below what was announced are tolerated`(seed: Long) {
-        val simulation = Simulation(seed, stateLimits = now)
-        val upgrade = RollingUpgrade(simulation, next, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
-        day(simulation, upgrade, faults = 6)
-        served(simulation, upgrade)
+    fun `limits lower than those announced break no rule`(seed: Long) {
+        val simulation = Simulation(seed, stateLimits = currentLimits)
+        val upgrade = RollingUpgrade(simulation, nextLimits, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
+        playDay(simulation, upgrade, faults = 6)
+        assertUpgraded(simulation, upgrade)
     }
 
     @Test
-    fun `until the last controller is new, status says that an upgrade is under way`() {
-        val simulation = Simulation(41, stateLimits = now)
-        val upgrade = RollingUpgrade(simulation, next, atOnce = 1)
+    fun `status says that an upgrade is in progress until all controllers run the new version`() {
+        val simulation = Simulation(41, stateLimits = currentLimits)
+        val upgrade = RollingUpgrade(simulation, nextLimits, atOnce = 1)
         simulation.begin(5, 20_000)
         upgrade.begin(30_000)
         simulation.clock.runUntil(38_000)
@@ -101,7 +101,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53])
-    fun `a job of 20,000 tasks goes through an upgrade, and no completion that was written is lost`(seed: Long) {
+    fun `no recorded completion of a job of 20,000 tasks is lost in an upgrade`(seed: Long) {
         val simulation =
             Simulation(
                 seed,
@@ -111,8 +111,7 @@
         val upgrade = RollingUpgrade(simulation, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
         simulation.begin(6, 100_000, machines = 40)
         var id = ""
-        // Tasks of half a second end sooner than starts can follow, also without an upgrade, so that there is always
-        // room.
+        // Its tasks end sooner than new ones can start, also without an upgrade, so there is always free capacity.
         simulation.clock.after(6000) {
             id =
                 simulation.users.submit {
@@ -126,39 +125,39 @@
                 }
         }
         upgrade.begin(UPGRADE_MS)
-        var most = 0
+        var recorded = 0
         var checks = 0
-        var atUpgrade = 0
+        var recordedAtUpgrade = 0
 
-        fun watch() {
+        fun checkRecords() {
             val record = simulation.state.stored(JobRecord.KEY_PREFIX + id)[JobRecord.KEY_PREFIX + id]
             if (record != null && Fields.of(record, id).text("s") == "open") {
                 val written = BitSet()
                 for ((key, value) in simulation.state.stored(ProgressPageRecord.KEY_PREFIX + id + "/")) {
-                    val from = key.substringAfterLast('/').toInt()
+                    val firstIndex = key.substringAfterLast('/').toInt()
                     for (i in BitSet.valueOf(Base64.getDecoder().decode(Fields.of(value, key).text("b"))).stream()) {
-                        written.set(from + i)
+                        written.set(firstIndex + i)
                     }
                 }
                 assertTrue(
-                    written.cardinality() >= most,
-                    "${written.cardinality()} of $most completions are left in the records",
+                    written.cardinality() >= recorded,
+                    "only ${written.cardinality()} of $recorded completions are still recorded",
                 )
-                most = written.cardinality()
-                if (simulation.clock.time < UPGRADE_MS) atUpgrade = most
+                recorded = written.cardinality()
+                if (simulation.clock.time < UPGRADE_MS) recordedAtUpgrade = recorded
                 checks++
             }
-            simulation.clock.after(100) { watch() }
+            simulation.clock.after(100) { checkRecords() }
         }
-        simulation.clock.after(10_000) { watch() }
+        simulation.clock.after(10_000) { checkRecords() }
         simulation.rules.calmFrom = 250_000
         simulation.clock.runUntil(900_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(0, simulation.state.rejections)
-        assertTrue(checks > 500 && most > 10_000, "$most completions seen in $checks checks")
+        assertTrue(checks > 500 && recorded > 10_000, "$recorded completions seen in $checks checks")
         assertTrue(
-            atUpgrade in 4000..18_000,
-            "$atUpgrade completions were in the records when the first new leader could read them",
+            recordedAtUpgrade in 4000..18_000,
+            "$recordedAtUpgrade completions were recorded before the first controller was upgraded",
         )
         assertTrue(simulation.rules.isDone(id), "${simulation.rules.completions} tasks were completed")
     }
--- a/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
@@ -8,50 +8,53 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The rules can fail: each test breaks one guard and must see a rule broken. */
+/** Guards against rules that can never fail: each test introduces a fault and expects a rule to be broken. */
 class RuleChecksTest {
-    private fun violations(make: (Long) -> Simulation): Set<String> {
-        val seen = HashSet<String>()
+    private fun brokenRules(makeSimulation: (Long) -> Simulation): Set<String> {
+        val broken = HashSet<String>()
         for (seed in 1L..12L) {
-            val simulation = make(seed)
+            val simulation = makeSimulation(seed)
             try {
                 playRandomDay(simulation, faults = 14)
             } catch (expected: IllegalStateException) {
-                seen.add("fake") // a fake found its protocol broken
+                broken.add("fake") // a fake detected a protocol violation
             }
-            simulation.rules.violations.mapTo(seen) { it.substringBefore(' ') }
+            simulation.rules.violations.mapTo(broken) { it.substringBefore(' ') }
         }
-        return seen
+        return broken
     }
 
     @Test
-    fun `a state service that ignores conditions is noticed`() {
-        val seen = violations { seed -> Simulation(seed).also { it.state.ignoresConditions = true } }
-        assertTrue(seen.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "fake") }, "only $seen")
+    fun `the rules detect a state service that ignores conditions`() {
+        val broken = brokenRules { seed -> Simulation(seed).also { it.state.ignoresConditions = true } }
+        assertTrue(
+            broken.any { it in setOf("forgotten", "ran_twice", "went_back", "two_lead", "fake") },
+            "only these rules were broken: $broken",
+        )
     }
 
     @Test
-    fun `a lease taken for shorter than it is makes tasks run twice`() {
-        val seen = violations { seed -> Simulation(seed, leaseMs = 40_000, sabotage = Sabotage(toldLeaseS = 3.0)) }
-        assertTrue("ran_twice" in seen, "only $seen")
+    fun `the rules detect tasks that run twice because controllers assume too short a worker lease`() {
+        val broken = brokenRules { seed -> Simulation(seed, leaseMs = 40_000, sabotage = Sabotage(toldLeaseS = 3.0)) }
+        assertTrue("ran_twice" in broken, "only these rules were broken: $broken")
     }
 
     @Test
-    fun `late copies of heartbeats that pass for new ones are noticed`() {
-        val seen = HashSet<String>()
+    fun `the rules detect late copies of heartbeats that look like new ones`() {
+        val broken = HashSet<String>()
         for (seed in 1L..6L) {
             val simulation = Simulation(seed, sabotage = Sabotage(copiesLookNew = true))
             simulation.network.copies = 0.05
             simulation.begin(40, 100_000)
             simulation.clock.runUntil(200_000)
-            simulation.rules.violations.mapTo(seen) { it.substringBefore(' ') }
+            simulation.rules.violations.mapTo(broken) { it.substringBefore(' ') }
         }
-        assertTrue("ran_twice" in seen || "quota" in seen, "only $seen")
+        assertTrue("ran_twice" in broken || "quota" in broken, "only these rules were broken: $broken")
     }
 
     @Test
-    fun `a controller that takes follower leases for longer than they hold makes two leaders`() {
-        val seen = HashSet<String>()
+    fun `the rules detect two leaders when one controller assumes longer follower leases than the others`() {
+        val broken = HashSet<String>()
         for (seed in 1L..12L) {
             val simulation =
                 Simulation(seed, sabotage = Sabotage(oddOptions = OperatorSettings(followerLeaseMs = 20_000)))
@@ -60,13 +63,13 @@
                 15_000,
             ) { simulation.nodes.filter { it.leads }.forEach { FaultInjection(simulation).isolate(it, 12_000, false) } }
             simulation.clock.runUntil(30_000)
-            simulation.rules.violations.mapTo(seen) { it.substringBefore(' ') }
+            simulation.rules.violations.mapTo(broken) { it.substringBefore(' ') }
         }
-        assertTrue("two_lead" in seen, "only $seen")
+        assertTrue("two_lead" in broken, "only these rules were broken: $broken")
     }
 
     @Test
-    fun `a job that nobody answers for is noticed`() {
+    fun `the rules detect accepted jobs whose users get no responses`() {
         val simulation = Simulation(4)
         simulation.begin(10, 20_000)
         simulation.clock.after(25_000) { simulation.state.outage(1_000_000) }
@@ -76,13 +79,13 @@
         simulation.clock.runUntil(160_000)
         assertTrue(
             simulation.rules.violations.any { it.startsWith("forgotten") },
-            "only ${simulation.rules.violations}",
+            "only these rules were broken: ${simulation.rules.violations}",
         )
     }
 
     @Test
-    fun `a limit taken for higher than it is breaks the quota`() {
-        val seen = violations { seed -> Simulation(seed, sabotage = Sabotage(toldLimitFactor = 2.0)) }
-        assertTrue("quota" in seen, "only $seen")
+    fun `the rules detect an exceeded quota when controllers assume too high a limit`() {
+        val broken = brokenRules { seed -> Simulation(seed, sabotage = Sabotage(toldLimitFactor = 2.0)) }
+        assertTrue("quota" in broken, "only these rules were broken: $broken")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
@@ -11,9 +11,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Which services are accepted, refused or malformed. */
+/**
+ * Guards against accepting services that can never run, and against controllers that disagree on which submissions are
+ * rejected or malformed.
+ */
 class ServiceAdmissionTest {
-    private fun answer(simulation: Simulation, node: SimulatedController, map: Map<String, Any?>): Int {
+    private fun statusOf(simulation: Simulation, node: SimulatedController, map: Map<String, Any?>): Int {
         var status = -1
         simulation.users.submitRaw(Pack.encode(map), node) { status = it }
         simulation.clock.runUntil(simulation.clock.time + 3000)
@@ -21,7 +24,7 @@
     }
 
     @Test
-    fun `a service that can never run whole is refused, by every controller`() {
+    fun `every controller rejects a service whose replicas can never all run`() {
         val simulation = quietSimulation(5)
         val service =
             simulation.users.drawService().copy(
@@ -30,47 +33,51 @@
                 taskResources = Resources(8.0, 0.0, 1.6),
             )
         for (node in simulation.nodes) {
-            fun ask(nr: Int, change: (JobSpec) -> JobSpec) =
-                answer(
+            fun submit(number: Int, change: (JobSpec) -> JobSpec) =
+                statusOf(
                     simulation,
                     node,
                     UserCodec.map(
                         change(service).copy(
                             id =
-                                "j-" + (100 * nr + simulation.nodes.indexOf(node)),
+                                "j-" + (100 * number + simulation.nodes.indexOf(node)),
                         ),
                     ),
                 )
-            assertEquals(422, ask(1) { it.copy(tasks = 6) }, "48 of 40 CPUs")
-            assertEquals(422, ask(2) { it.copy(tasks = 41, taskResources = Resources(1.0, 0.0, 1.0)) }, "41 of 40 CPUs")
+            assertEquals(422, submit(1) { it.copy(tasks = 6) }, "48 of 40 CPUs")
             assertEquals(
                 422,
-                ask(3) { it.copy(tasks = 1, taskResources = Resources(17.0, 0.0, 1.6)) },
+                submit(2) { it.copy(tasks = 41, taskResources = Resources(1.0, 0.0, 1.0)) },
+                "41 of 40 CPUs",
+            )
+            assertEquals(
+                422,
+                submit(3) { it.copy(tasks = 1, taskResources = Resources(17.0, 0.0, 1.6)) },
                 "no machine has 17 CPUs",
             )
             assertEquals(
                 422,
-                ask(4) { it.copy(tasks = 1, taskResources = Resources(1.0, 0.0, 65.0)) },
+                submit(4) { it.copy(tasks = 1, taskResources = Resources(1.0, 0.0, 65.0)) },
                 "no machine has 65 GB",
             )
             assertEquals(
                 422,
-                ask(5) {
+                submit(5) {
                     it.copy(tasks = 1, taskResources = Resources(9.0, 0.0, 1.6), types = listOf("small"))
                 },
                 "a small machine has 8 CPUs",
             )
-            assertEquals(422, ask(6) { it.copy(tasks = 1, team = "green") }, "no such team")
-            assertEquals(201, ask(7) { it }, "40 of 40 CPUs")
-            assertEquals(200, ask(7) { it }, "a repetition")
+            assertEquals(422, submit(6) { it.copy(tasks = 1, team = "green") }, "no such team")
+            assertEquals(201, submit(7) { it }, "40 of 40 CPUs")
+            assertEquals(200, submit(7) { it }, "a repeated submission")
         }
     }
 
     @Test
-    fun `a service that lacks a field or has an invalid one is malformed, also for a follower`() {
+    fun `every controller answers 400 to a service with a missing or invalid field`() {
         val simulation = quietSimulation(6)
-        val whole = UserCodec.map(simulation.users.drawService())
-        val lacking =
+        val complete = UserCodec.map(simulation.users.drawService())
+        val incomplete =
             listOf(
                 "nameId",
                 "workload",
@@ -89,7 +96,7 @@
                 "expectedS",
                 "snapshotS",
                 "flushS",
-            ).map { whole - it }
+            ).map { complete - it }
         val invalid =
             listOf(
                 "shape" to "services",
@@ -98,19 +105,19 @@
                 "expectedS" to "long",
                 "urgency" to "urgent",
                 "vcpus" to -1.0,
-            ).map { whole + it }
+            ).map { complete + it }
         assertTrue(simulation.nodes.count { it.leads } == 1 && simulation.nodes.size == 3)
         for (node in simulation.nodes) {
-            for (map in lacking + invalid) {
+            for (map in incomplete + invalid) {
                 assertEquals(
                     400,
-                    answer(simulation, node, map),
-                    "to ${node.label}: ${whole - map.keys} ${map.entries - whole.entries}",
+                    statusOf(simulation, node, map),
+                    "to ${node.label}: ${complete - map.keys} ${map.entries - complete.entries}",
                 )
             }
         }
         for (node in simulation.nodes) {
-            assertTrue(answer(simulation, node, whole - "dueS" - "flavours" - "site") in 200..201)
+            assertTrue(statusOf(simulation, node, complete - "dueS" - "flavours" - "site") in 200..201)
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -11,83 +11,88 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The checks on services can fail: each test has the controllers believe something else than the user wants. */
+/**
+ * Guards against rules on services that can never fail: each test introduces a fault, or tells the controllers
+ * something else than the user wants, and expects a rule to be broken. Some tests check that a rule does not fail
+ * without cause.
+ */
 class ServiceChecksTest {
-    private class Played(val simulation: Simulation, val id: String) {
-        val rules: Set<String> get() = simulation.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
+    private class Scenario(val simulation: Simulation, val id: String) {
+        val brokenRules: Set<String> get() = simulation.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
     }
 
-    private fun started(simulation: Simulation): Simulation {
+    private fun start(simulation: Simulation): Simulation {
         simulation.withReliableNetwork()
         simulation.begin(0, 1, machines = 6, firstMs = 4000)
         simulation.clock.runUntil(12_000)
         return simulation
     }
 
-    private fun played(untilMs: Long, sentAs: (JobSpec) -> JobSpec) = played(untilMs, sentAs) { it }
+    private fun play(untilMs: Long, sentAs: (JobSpec) -> JobSpec) = play(untilMs, sentAs) { it }
 
-    private fun played(untilMs: Long, sentAs: (JobSpec) -> JobSpec, change: (JobSpec) -> JobSpec): Played {
-        val simulation = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
+    /** Plays a service of four replicas until [untilMs]; the controllers get it as [sentAs] returns it. */
+    private fun play(untilMs: Long, sentAs: (JobSpec) -> JobSpec, change: (JobSpec) -> JobSpec): Scenario {
+        val simulation = start(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
         val id = simulation.users.submitService(sentAs) { change(it.copy(tasks = 4)) }
         simulation.rules.calmFrom = 20_000
         simulation.clock.runUntil(untilMs)
-        return Played(simulation, id)
+        return Scenario(simulation, id)
     }
 
     @Test
-    fun `a service that is said to be done is noticed`() {
-        for (sabotaged in listOf(false, true)) {
-            val day = played(20_000) { if (sabotaged) it.copy(shape = Shape.ARRAY) else it }
-            for (worker in day.simulation.cloud.workers) for (i in 0..3) worker.end(day.id, i, ExitCause.DONE)
-            day.simulation.clock.runUntil(40_000)
-            assertEquals(if (sabotaged) setOf("not_done") else emptySet(), day.rules)
+    fun `the rules detect a service that is reported as done`() {
+        for (isSentAsArray in listOf(false, true)) {
+            val scenario = play(20_000) { if (isSentAsArray) it.copy(shape = Shape.ARRAY) else it }
+            for (worker in scenario.simulation.cloud.workers) for (i in 0..3) worker.end(scenario.id, i, ExitCause.DONE)
+            scenario.simulation.clock.runUntil(40_000)
+            assertEquals(if (isSentAsArray) setOf("not_done") else emptySet(), scenario.brokenRules)
         }
     }
 
     @Test
-    fun `a replica that stays down, and a service that is served in part, are noticed`() {
-        val well = played(56_000) { it }
-        assertEquals(emptySet<String>(), well.rules)
-        assertEquals(emptyList<String>(), well.simulation.rules.starved())
+    fun `the rules detect a replica that stays down and a service that runs only in part`() {
+        val complete = play(56_000) { it }
+        assertEquals(emptySet<String>(), complete.brokenRules)
+        assertEquals(emptyList<String>(), complete.simulation.rules.starved())
         assertEquals(
             4,
-            well.simulation.rules.services
-                .up(well.id),
+            complete.simulation.rules.services
+                .up(complete.id),
         )
-        assertEquals(1.0, well.simulation.rules.upShare(well.id, 6000), 1e-9)
-        val poor = played(56_000) { it.copy(tasks = 3) }
-        assertEquals(setOf("replica_down"), poor.rules)
+        assertEquals(1.0, complete.simulation.rules.upShare(complete.id, 6000), 1e-9)
+        val partial = play(56_000) { it.copy(tasks = 3) }
+        assertEquals(setOf("replica_down"), partial.brokenRules)
         assertTrue(
-            poor.simulation.rules
+            partial.simulation.rules
                 .starved()
                 .any { "portal" in it },
-            "only ${poor.simulation.rules.starved()}",
+            "the service is not among ${partial.simulation.rules.starved()}",
         )
         assertEquals(
             3,
-            poor.simulation.rules.services
-                .up(poor.id),
+            partial.simulation.rules.services
+                .up(partial.id),
         )
-        assertEquals(0.75, poor.simulation.rules.upShare(poor.id, 6000), 1e-9)
+        assertEquals(0.75, partial.simulation.rules.upShare(partial.id, 6000), 1e-9)
     }
 
     @Test
-    fun `a service in the wrong zones is noticed`() {
-        assertEquals(setOf("wrong_place"), played(20_000) { it.copy(spread = false) }.rules)
+    fun `the rules detect a service in the wrong zones`() {
+        assertEquals(setOf("wrong_place"), play(20_000) { it.copy(spread = false) }.brokenRules)
         assertEquals(
             setOf("wrong_place"),
-            played(20_000, {
+            play(20_000, {
                 it.copy(together = false, spread = true)
-            }) { it.copy(together = true, spread = false) }.rules,
+            }) { it.copy(together = true, spread = false) }.brokenRules,
         )
     }
 
     @Test
-    fun `a service beyond its team's limit is noticed`() {
-        val seen =
+    fun `the rules detect services that exceed their team's limit`() {
+        val brokenRules =
             listOf(1.0, 2.0).map { factor ->
                 val simulation =
-                    started(
+                    start(
                         Simulation(
                             4,
                             OperatorSettings(idleReturnS = 900.0),
@@ -98,14 +103,14 @@
                 simulation.clock.runUntil(40_000)
                 simulation.rules.violations.mapTo(HashSet()) { it.substringBefore(' ') }
             }
-        assertEquals(listOf(emptySet(), setOf("quota")), seen)
+        assertEquals(listOf(emptySet(), setOf("quota")), brokenRules)
     }
 
     @Test
-    fun `a replica that runs twice, or on after its service was withdrawn, is noticed`() {
-        for (withdrawn in listOf(false, true)) {
+    fun `the rules detect a replica that runs twice or after its service was cancelled`() {
+        for (isCancelled in listOf(false, true)) {
             val simulation =
-                started(
+                start(
                     Simulation(
                         4,
                         OperatorSettings(idleReturnS = 900.0),
@@ -117,10 +122,10 @@
             simulation.clock.runUntil(20_000)
             val worker = simulation.cloud.workers.first { it.onMachine().isNotEmpty() }
             for (node in simulation.nodes) simulation.network.cut(node.label, worker.name, 60_000, true)
-            if (withdrawn) simulation.users.cancel(id)
+            if (isCancelled) simulation.users.cancel(id)
             simulation.clock.runUntil(60_000)
             assertEquals(
-                setOf(if (withdrawn) "ran_cancelled" else "ran_twice"),
+                setOf(if (isCancelled) "ran_cancelled" else "ran_twice"),
                 simulation.rules.violations.mapTo(HashSet()) {
                     it.substringBefore(' ')
                 },
@@ -129,51 +134,59 @@
     }
 
     @Test
-    fun `a service that nobody answers for is noticed`() {
-        val day = played(20_000) { it }
-        day.simulation.nodes.forEach { it.crash() }
-        day.simulation.clock.runUntil(130_000)
-        assertTrue("forgotten" in day.rules, "only ${day.rules}")
+    fun `the rules detect a service whose user gets no responses`() {
+        val scenario = play(20_000) { it }
+        scenario.simulation.nodes.forEach { it.crash() }
+        scenario.simulation.clock.runUntil(130_000)
+        assertTrue("forgotten" in scenario.brokenRules, "only these rules were broken: ${scenario.brokenRules}")
     }
 
     @Test
-    fun `batch work that is late is not counted as on time`() {
+    fun `a batch job that misses its deadline is not counted as on time`() {
         for ((dueS, onTime) in listOf(60.0 to 1, 3.0 to 0)) {
-            val day = played(20_000) { it }
-            day.simulation.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 8.0, dueS = dueS) }
-            day.simulation.clock.runUntil(60_000)
-            assertEquals(onTime, day.simulation.rules.onTimeCount)
+            val scenario = play(20_000) { it }
+            scenario.simulation.users.submit {
+                it.copy(
+                    tasks = 1,
+                    types = null,
+                    zone = null,
+                    expectedS = 8.0,
+                    dueS = dueS,
+                )
+            }
+            scenario.simulation.clock.runUntil(60_000)
+            assertEquals(onTime, scenario.simulation.rules.onTimeCount)
         }
     }
 
     @Test
-    fun `a machine that hangs serves nothing, however short`() {
-        val day = played(20_000) { it }
+    fun `replicas on a hanging machine count as down, however short the time`() {
+        val scenario = play(20_000) { it }
         val worker =
-            day.simulation.cloud.workers
+            scenario.simulation.cloud.workers
                 .first { it.onMachine().isNotEmpty() }
         val replicas = worker.onMachine().size
         worker.hang(4000)
-        day.simulation.clock.runUntil(30_000)
+        scenario.simulation.clock.runUntil(30_000)
         assertEquals(
             4000.0,
-            day.simulation.rules.services
-                .longestDownMs(day.id, 20_000)
+            scenario.simulation.rules.services
+                .longestDownMs(scenario.id, 20_000)
                 .toDouble(),
             200.0,
         )
         assertEquals(
             1 - 0.1 * replicas,
-            day.simulation.rules.services
-                .share(day.id, 20_000, 30_000),
+            scenario.simulation.rules.services
+                .share(scenario.id, 20_000, 30_000),
             0.01,
         )
-        assertEquals(4, day.simulation.rules.starts)
+        assertEquals(4, scenario.simulation.rules.starts)
     }
 
     @Test
-    fun `a service of a team at its limit is not missed`() {
-        val simulation = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
+    fun `a replica that its team's limit keeps from running breaks no rule`() {
+        val simulation = start(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
         for (tasks in listOf(40, 4)) {
             simulation.users.submitService { it.copy(team = "red", tasks = tasks, spread = false) }
             simulation.clock.runUntil(simulation.clock.time + 10_000)
--- a/src/test/kotlin/org/chalkhollow/ServiceFailoverTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceFailoverTest.kt
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.provider.EnumSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Services when machines or controllers fail: replicas run again elsewhere, or go on, under every rule. */
+/**
+ * Guards against replicas that stay down, or are restarted without need, when machines, controllers or the state
+ * service fail.
+ */
 class ServiceFailoverTest {
-    /**
-     * Machines with room for everything, half of them in each zone, and a service of four replicas that runs on them at
-     * [READY_MS].
-     */
-    private class Running(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
+    /** A service that runs at [READY_MS]. Its machines have enough capacity; half of them are in each zone. */
+    private class RunningService(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
         val simulation =
             Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, size = SimulationSize(capacity = 20))
         val id: String
@@ -38,85 +38,89 @@
 
         fun at(ms: Long, run: () -> Unit) = simulation.clock.after(ms - simulation.clock.time, run)
 
-        fun holds() {
+        fun assertServiceRuns() {
             assertEquals(emptyList<String>(), simulation.rules.violations)
             assertEquals(emptyList<String>(), simulation.rules.starved())
             assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.up(id))
         }
     }
 
-    /** What befalls a machine, and whether its lease has to be over before its replicas may begin elsewhere. */
+    /**
+     * A fault of a machine. [waitsForLease]: its replicas are down until its lease has expired. Otherwise the leader
+     * learns of their end from a heartbeat at most [heartbeatMs] later.
+     */
     enum class Fault(private val waitsForLease: Boolean, private val heartbeatMs: Long = 2500) {
         DIES(true) {
-            override fun strike(simulation: Simulation, worker: FakeWorker) = simulation.cloud.kill(worker.name)
+            override fun inject(simulation: Simulation, worker: FakeWorker) = simulation.cloud.kill(worker.name)
         },
         HANGS(true) {
-            override fun strike(simulation: Simulation, worker: FakeWorker) = worker.hang(60_000)
+            override fun inject(simulation: Simulation, worker: FakeWorker) = worker.hang(60_000)
         },
 
         /**
-         * It runs its tasks until its lease expires, and says so in its next heartbeat to the leader: every 5 s it
-         * gives one up and turns to the next of three controllers.
+         * The machine receives nothing. It runs its tasks until its lease expires and reports this in its next
+         * heartbeat to the leader. It gives up each controller after 5 s and tries the next of three.
          */
-        DEAF(false, 15_000) {
-            override fun strike(simulation: Simulation, worker: FakeWorker) {
+        RECEIVES_NOTHING(false, 15_000) {
+            override fun inject(simulation: Simulation, worker: FakeWorker) {
                 for (node in simulation.nodes) simulation.network.cutOneWay(node.label, worker.name, 60_000)
             }
         },
         CUT_OFF(false) {
-            override fun strike(simulation: Simulation, worker: FakeWorker) {
+            override fun inject(simulation: Simulation, worker: FakeWorker) {
                 for (node in simulation.nodes) simulation.network.cut(node.label, worker.name, 60_000, true)
             }
         },
 
-        /** The cloud says 15 s before that it takes the machine. */
-        TAKEN(false) {
-            override fun strike(simulation: Simulation, worker: FakeWorker) {
+        /** The cloud reclaims the machine 15 s after its spot termination notice. */
+        RECLAIMED(false) {
+            override fun inject(simulation: Simulation, worker: FakeWorker) {
                 worker.noticeAt = simulation.clock.time + 15_000
                 simulation.clock.after(15_000) { simulation.cloud.kill(worker.name) }
             }
         },
-        SICK(false) {
-            override fun strike(simulation: Simulation, worker: FakeWorker) {
+        TASKS_FAIL(false) {
+            override fun inject(simulation: Simulation, worker: FakeWorker) {
                 worker.sick = true
                 for (t in worker.onMachine()) worker.end(t.job, t.index, ExitCause.ERROR)
             }
         }, ;
 
         /**
-         * How long a replica may be down. A heartbeat is due every 2 s, give or take a quarter, and what one tells is
-         * placed, written down and started within [REACT_MS]; an image takes 3 s at most. What waits for the lease
-         * waits for as long as that is, and 0.1% for clocks that drift.
+         * The longest time that a replica may be down. Heartbeats come every 2 s ± 25%. After a heartbeat or the lease
+         * expiry, placement, the dispatch marker and the start take at most [REACT_MS], and fetching the image at most
+         * 3 s. Waiting for the lease takes its length plus 0.1% for clock drift.
          */
-        fun mostDownMs(leaseMs: Long) =
+        fun maxDownMs(leaseMs: Long) =
             (if (waitsForLease) leaseMs + leaseMs / 1000 else heartbeatMs) + REACT_MS + FETCH_MS
 
-        abstract fun strike(simulation: Simulation, worker: FakeWorker)
+        abstract fun inject(simulation: Simulation, worker: FakeWorker)
     }
 
     @ParameterizedTest
     @EnumSource
-    fun `a service runs elsewhere when its machine fails`(fault: Fault) {
-        val broken = ArrayList<String>()
+    fun `replicas run elsewhere within a bounded time when their machine fails`(fault: Fault) {
+        val failures = ArrayList<String>()
         for ((seed, leaseMs) in listOf(1L to 8000L, 2L to 16_000L, 3L to 22_000L)) {
-            val running = Running(seed, leaseMs, spot = fault == Fault.TAKEN)
-            val struck =
+            val running = RunningService(seed, leaseMs, spot = fault == Fault.RECLAIMED)
+            val failed =
                 running.simulation.cloud.workers
                     .first { it.onMachine().isNotEmpty() }
-            fault.strike(running.simulation, struck)
+            fault.inject(running.simulation, failed)
             running.simulation.clock.runUntil(READY_MS + leaseMs + 30_000)
-            running.holds()
-            assertTrue(struck.onMachine().isEmpty(), "seed $seed: replicas are back on ${struck.name}")
-            val down =
+            running.assertServiceRuns()
+            assertTrue(failed.onMachine().isEmpty(), "seed $seed: replicas run on ${failed.name} again")
+            val downMs =
                 running.simulation.rules.services
                     .longestDownMs(running.id, READY_MS)
-            val most = fault.mostDownMs(leaseMs)
-            if (down > most) broken.add("seed $seed, lease $leaseMs: down for $down ms of $most")
+            val maxDownMs = fault.maxDownMs(leaseMs)
+            if (downMs > maxDownMs) failures.add("seed $seed, lease $leaseMs: down for $downMs ms, limit $maxDownMs ms")
         }
-        assertEquals(emptyList<String>(), broken)
+        assertEquals(emptyList<String>(), failures)
     }
 
-    enum class Loss {
+    /** A fault of controllers or of the state service that is over sooner than a worker lease. */
+    enum class Disruption {
         LEADER_CRASHES,
         LEADERS_CHANGE_OFTEN,
         ALL_CRASH,
@@ -127,56 +131,56 @@
 
     @ParameterizedTest
     @EnumSource
-    fun `replicas run on when controllers or the state service fail for less than a lease`(loss: Loss) {
+    fun `replicas keep running when controllers or the state service fail for less than a lease`(fault: Disruption) {
         for (seed in 1L..3L) {
-            val running = Running(seed, 16_000)
+            val running = RunningService(seed, 16_000)
             val simulation = running.simulation
-            val starts = simulation.rules.starts
+            val startsBefore = simulation.rules.starts
 
-            fun crash(backMs: Long, all: Boolean = false) {
+            fun crash(restartAfterMs: Long, all: Boolean = false) {
                 for (node in simulation.nodes.filter { all || it.leads }) {
                     node.crash()
-                    simulation.clock.after(backMs) { node.start() }
+                    simulation.clock.after(restartAfterMs) { node.start() }
                 }
             }
-            when (loss) {
-                Loss.LEADER_CRASHES -> crash(5000)
-                Loss.LEADERS_CHANGE_OFTEN -> for (i in 0L..5L) running.at(READY_MS + i * 10_000) { crash(2000) }
-                Loss.ALL_CRASH -> crash(6000, all = true)
-                Loss.ROLLING_RESTART ->
+            when (fault) {
+                Disruption.LEADER_CRASHES -> crash(5000)
+                Disruption.LEADERS_CHANGE_OFTEN -> for (i in 0L..5L) running.at(READY_MS + i * 10_000) { crash(2000) }
+                Disruption.ALL_CRASH -> crash(6000, all = true)
+                Disruption.ROLLING_RESTART ->
                     simulation.nodes.forEachIndexed { i, node ->
                         running.at(READY_MS + i * 8000L) { node.crash() }
                         running.at(READY_MS + i * 8000L + 6000) { node.start() }
                     }
-                Loss.STATE_OUTAGE -> simulation.state.outage(14_000)
-                Loss.OUTAGE_WITH_CRASH -> {
+                Disruption.STATE_OUTAGE -> simulation.state.outage(14_000)
+                Disruption.OUTAGE_WITH_CRASH -> {
                     simulation.state.outage(6000)
                     running.at(READY_MS + 1000) { crash(1000) }
                 }
             }
             simulation.clock.runUntil(READY_MS + 120_000)
-            running.holds()
-            assertEquals(starts, simulation.rules.starts, "$loss, seed $seed: replicas began again")
+            running.assertServiceRuns()
+            assertEquals(startsBefore, simulation.rules.starts, "$fault, seed $seed: replicas were started again")
             assertEquals(
                 1.0,
                 simulation.rules.services.share(running.id, READY_MS, simulation.clock.time),
                 1e-9,
-                "$loss, seed $seed",
+                "$fault, seed $seed",
             )
         }
     }
 
     /**
-     * Two services, the second [spread] or together, while a machine that runs something dies every [everyMs] for five
+     * Runs two services, the second with [spread] or with together, while a busy machine dies every [everyMs] for five
      * minutes.
      */
-    private fun moves(
+    private fun killMachinesRepeatedly(
         seed: Long,
         spread: Boolean,
         everyMs: Long,
         neverUp: Double? = null,
     ): Pair<Simulation, List<String>> {
-        val running = Running(seed, 8000, machines = 8, tasks = 6)
+        val running = RunningService(seed, 8000, machines = 8, tasks = 6)
         val simulation = running.simulation
         neverUp?.let { simulation.cloud.neverUp = it }
         val other =
@@ -197,21 +201,22 @@
             }
         }
         simulation.clock.runUntil(READY_MS + 360_000)
-        running.holds()
+        running.assertServiceRuns()
         assertEquals(5, simulation.rules.services.up(other))
         return simulation to listOf(running.id, other)
     }
 
     @ParameterizedTest
     @CsvSource("1,true", "2,true", "3,true", "4,false", "5,false", "6,false")
-    fun `spread and together hold through many migrations`(seed: Long, spread: Boolean) {
-        val (simulation, _) = moves(seed, spread, 10_000)
+    fun `zone constraints are kept through many restarts on other machines`(seed: Long, spread: Boolean) {
+        val (simulation, _) = killMachinesRepeatedly(seed, spread, 10_000)
         assertTrue(simulation.rules.starts > 40, "only ${simulation.rules.starts} starts")
     }
 
     /**
-     * Each machine dies when what was on the last one runs again, on a machine that perhaps had to be rented and to
-     * boot for 9 s. Every machine that is rented comes up: one that does not is asked for again only after as long.
+     * The next machine dies only after the replicas of the previous one run again, perhaps on a newly rented machine
+     * that boots for up to 9 s. Every rented machine boots here, because one that never does is replaced only after
+     * that time, which the bound does not cover.
      */
     @ParameterizedTest
     @CsvSource(
@@ -226,19 +231,22 @@
         "9,false",
         "10,false",
     )
-    fun `no migration takes longer than the lease and a new machine`(seed: Long, spread: Boolean) {
-        val (simulation, ids) = moves(seed, spread, 35_000, neverUp = 0.0)
-        val most = Fault.DIES.mostDownMs(8000) + BOOT_MS
+    fun `a replica is down no longer than a lease expiry and the boot of a new machine take`(
+        seed: Long,
+        spread: Boolean,
+    ) {
+        val (simulation, ids) = killMachinesRepeatedly(seed, spread, 35_000, neverUp = 0.0)
+        val maxDownMs = Fault.DIES.maxDownMs(8000) + BOOT_MS
         for (id in ids) {
-            val down = simulation.rules.services.longestDownMs(id, READY_MS + 10_000)
-            assertTrue(down <= most, "$id: a replica was down for $down ms of $most")
+            val downMs = simulation.rules.services.longestDownMs(id, READY_MS + 10_000)
+            assertTrue(downMs <= maxDownMs, "$id: a replica was down for $downMs ms, limit $maxDownMs ms")
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `a service withdrawn while its machines are out of reach is gone in time`(seed: Long) {
-        val running = Running(seed, 16_000)
+    fun `a service that is cancelled while its machines are unreachable ends in time`(seed: Long) {
+        val running = RunningService(seed, 16_000)
         val simulation = running.simulation
         val busy = simulation.cloud.workers.filter { it.onMachine().isNotEmpty() }
         for (worker in busy) {
--- a/src/test/kotlin/org/chalkhollow/ServicePriorityTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicePriorityTest.kt
@@ -12,56 +12,56 @@
 import org.junit.jupiter.params.provider.EnumSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Services and batch work beside each other: neither starves the other. */
+/** Guards against services and batch work that starve each other when they share machines and quotas. */
 class ServicePriorityTest {
     /**
-     * What fills six machines, or two teams' limits, with tasks of 2 CPUs; the service is of team red, which may use 40
-     * CPUs.
+     * How many batch tasks of 2 CPUs each team runs, so that six machines or both teams' limits are full. The service
+     * belongs to team red, which may use 40 CPUs.
      */
-    enum class Full(val red: Int, val blue: Int) {
-        MACHINES_BY_OTHERS(4, 20),
-        MACHINES_BY_ITS_TEAM(18, 6),
-        ITS_LIMIT(20, 20),
+    enum class FullBy(val redTasks: Int, val blueTasks: Int) {
+        OTHER_TEAM(4, 20),
+        SAME_TEAM(18, 6),
+        TEAM_LIMITS(20, 20),
     }
 
     @ParameterizedTest
     @EnumSource
-    fun `an urgent service begins within 10 s although batch work fills everything`(full: Full) {
-        val late = ArrayList<String>()
+    fun `a service starts within 10 s although batch work fills the machines or its team's limit`(full: FullBy) {
+        val failures = ArrayList<String>()
         for (seed in 1L..3L) {
             val simulation =
                 quietSimulation(
                     seed,
                     capacity =
                         if (full ==
-                            Full.ITS_LIMIT
+                            FullBy.TEAM_LIMITS
                         ) {
                             10
                         } else {
                             6
                         },
-                    machines = if (full == Full.ITS_LIMIT) 10 else 6,
+                    machines = if (full == FullBy.TEAM_LIMITS) 10 else 6,
                 )
-            simulation.users.submit { it.asBatch("red", full.red, 2.0, 300.0) }
-            simulation.users.submit { it.asBatch("blue", full.blue, 2.0, 300.0) }
+            simulation.users.submit { it.asBatch("red", full.redTasks, 2.0, 300.0) }
+            simulation.users.submit { it.asBatch("blue", full.blueTasks, 2.0, 300.0) }
             simulation.clock.runUntil(25_000)
-            assertEquals(full.red + full.blue, simulation.rules.starts, "the machines are not full")
+            assertEquals(full.redTasks + full.blueTasks, simulation.rules.starts, "the machines are not full")
             val id = simulation.users.submitService { it.copy(team = "red", tasks = 4) }
             simulation.rules.calmFrom = 25_000
             simulation.clock.runUntil(60_000)
-            simulation.rules.violations.mapTo(late) { "seed $seed: ${it.substringBefore(" since")}" }
-            val down = simulation.rules.services.longestDownMs(id, 25_000)
-            if (down >
+            simulation.rules.violations.mapTo(failures) { "seed $seed: ${it.substringBefore(" since")}" }
+            val downMs = simulation.rules.services.longestDownMs(id, 25_000)
+            if (downMs >
                 10_000
             ) {
-                late.add("seed $seed: a replica began after $down ms, ${simulation.rules.services.up(id)} run")
+                failures.add("seed $seed: a replica started after $downMs ms, ${simulation.rules.services.up(id)} run")
             }
         }
-        assertEquals(emptyList<String>(), late)
+        assertEquals(emptyList<String>(), failures)
     }
 
-    /** A day of one team's batch work, with or without services that take 8 of its 40 CPUs. */
-    private fun batchDay(seed: Long, services: Int): Simulation {
+    /** Plays batch work of one team, with or without [services], two of which use 8 of the team's 40 CPUs. */
+    private fun playBatchDay(seed: Long, services: Int): Simulation {
         val simulation = quietSimulation(seed)
         repeat(services) { simulation.users.submitService { it.copy(team = "red", tasks = 4) } }
         for (i in 0L..29L) {
@@ -89,17 +89,17 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `services do not starve the batch work of their team`(seed: Long) {
-        val without = batchDay(seed, 0)
-        assertEquals(30, without.rules.doneCount)
-        val with = batchDay(seed, 2)
-        with.assertRulesHold()
-        assertEquals(30, with.rules.doneCount, "with services ${with.rules.pending()}")
-        assertEquals(30, without.rules.onTimeCount)
-        assertEquals(30, with.rules.onTimeCount)
+        val withoutServices = playBatchDay(seed, 0)
+        assertEquals(30, withoutServices.rules.doneCount)
+        val withServices = playBatchDay(seed, 2)
+        withServices.assertRulesHold()
+        assertEquals(30, withServices.rules.doneCount, "pending with services: ${withServices.rules.pending()}")
+        assertEquals(30, withoutServices.rules.onTimeCount)
+        assertEquals(30, withServices.rules.onTimeCount)
     }
 
     @Test
-    fun `urgent, late and patient batch work goes on beside services`() {
+    fun `services keep running under a load of urgent batch work, and best-effort jobs are not starved`() {
         val simulation = quietSimulation(6, patienceS = 90.0, machines = 4)
         val services = List(3) { i -> simulation.users.submitService { it.copy(team = if (i == 0) "red" else "blue") } }
         for (i in 0 until 500) {
@@ -123,7 +123,7 @@
         for (id in services) {
             assertTrue(
                 simulation.rules.upShare(id, 15_000) > 0.998,
-                "$id served ${simulation.rules.upShare(id, 15_000)}",
+                "$id ran for only this share of the time: ${simulation.rules.upShare(id, 15_000)}",
             )
         }
     }
--- a/src/test/kotlin/org/chalkhollow/ServicesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicesTest.kt
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Services: tasks (replicas) that run until their user withdraws the job. */
+/** Guards against services that end, or lose replicas for good, before their user cancels them. */
 class ServicesTest {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `a service runs until it is withdrawn`(seed: Long) {
+    fun `a service runs until it is cancelled`(seed: Long) {
         val simulation = quietSimulation(seed)
         val id = simulation.users.submitService()
         simulation.rules.calmFrom = 25_000
@@ -30,16 +30,16 @@
         simulation.users.cancel(id)
         simulation.clock.runUntil(400_000 + simulation.cancelMs)
         assertEquals(listOf("queued", "running", "aborted"), simulation.users.statesTold(id))
-        assertTrue(simulation.cloud.workers.all { it.onMachine().isEmpty() }, "replicas are left")
-        val starts = simulation.rules.starts
+        assertTrue(simulation.cloud.workers.all { it.onMachine().isEmpty() }, "replicas still run")
+        val startsBefore = simulation.rules.starts
         simulation.clock.runUntil(500_000)
-        assertEquals(starts, simulation.rules.starts)
+        assertEquals(startsBefore, simulation.rules.starts)
         simulation.assertRulesHold()
     }
 
     @ParameterizedTest
     @CsvSource("1,DONE", "2,DONE", "3,ERROR", "4,ERROR")
-    fun `a replica that ends by itself runs again, and the service is never done`(seed: Long, cause: ExitCause) {
+    fun `a replica that exits is started again, and the service is never done`(seed: Long, cause: ExitCause) {
         val simulation = quietSimulation(seed)
         val id = simulation.users.submitService { it.copy(tasks = 4) }
         simulation.rules.calmFrom = 25_000
@@ -63,12 +63,12 @@
                 "round $round: replica $index ran as attempt $before, now as $after",
             )
         }
-        // Noticed by the next heartbeat, half a second later at most, placed, written down, started, and its image
-        // fetched.
-        val down = simulation.rules.services.longestDownMs(id, 25_000)
-        assertTrue(down <= REACT_MS + FETCH_MS, "down for $down ms")
+        // A heartbeat reports the exit within 0.5 s. Then the replica is placed, its dispatch marker persisted, the
+        // start sent, and the image fetched.
+        val downMs = simulation.rules.services.longestDownMs(id, 25_000)
+        assertTrue(downMs <= REACT_MS + FETCH_MS, "down for $downMs ms")
         assertEquals(listOf("queued", "running"), simulation.users.statesTold(id))
-        // All at once: nothing runs for a moment, and that is no end.
+        // All replicas exit at once: for a moment none runs, but the service has not ended.
         for (worker in simulation.cloud.workers) for (i in 0..3) worker.end(id, i, cause)
         simulation.clock.runUntil(simulation.clock.time + 25_000)
         assertEquals(4, simulation.rules.services.up(id))
@@ -79,7 +79,7 @@
     @Test
     fun `the status says how many replicas are up and why one is down`() {
         val simulation = quietSimulation(4, machines = 10, capacity = 10)
-        // As urgent as the service, so that it does not give way: 36 of the team's 40 CPUs.
+        // Has the same priority as the service, so it is not preempted, and uses 36 of the team's 40 CPUs.
         simulation.users.submit { it.asBatch("red", 18, 2.0, 300.0).copy(priority = Priority.PRODUCTION) }
         simulation.clock.runUntil(25_000)
         val id =
@@ -94,7 +94,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `a faulty day with services among the jobs`(seed: Long) {
+    fun `services run again after a day with faults`(seed: Long) {
         val simulation = Simulation(seed, size = SimulationSize(controllers = if (seed % 3 == 0L) 5 else 3))
         simulation.network.copies = 0.01
         simulation.begin(30, 150_000)
@@ -108,17 +108,17 @@
         simulation.clock.after(300_000) { simulation.users.cancel(services[1]) }
         FaultInjection(simulation).draw(14, 10_000, 170_000)
         simulation.clock.after(210_000) { simulation.network.copies = 0.0 }
-        simulation.rules.calmFrom = 250_000 // the last fault and the last late copy are over
+        simulation.rules.calmFrom = 250_000 // after the last fault and the last late copy
         simulation.clock.runUntil(420_000)
         simulation.assertRulesHold()
         for (id in services.drop(2)) {
             assertEquals(
                 simulation.users.spec(id)?.tasks,
                 simulation.rules.services.up(id),
-                "replicas of $id at the end",
+                "running replicas of $id at the end",
             )
             val share = simulation.rules.services.share(id, 260_000, 420_000)
-            assertTrue(share > 0.97, "$id was served $share of the calm time")
+            assertTrue(share > 0.97, "$id ran for $share of the time after the faults")
         }
         for (id in services.take(2)) assertEquals("aborted", simulation.users.statesTold(id).last())
     }
--- a/src/test/kotlin/org/chalkhollow/StarvationTest.kt
+++ b/src/test/kotlin/org/chalkhollow/StarvationTest.kt
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Work of low priority under a steady load of urgent work. */
+/** Guards against jobs of low priority that never start while a constant load of urgent jobs arrives. */
 class StarvationTest {
-    /** Urgent work takes every machine for as long as it comes, while a few wide jobs of no urgency wait. */
+    /** Urgent jobs fill all machines for minutes, while a few wide best-effort jobs are pending. */
     private fun overload(patienceS: Double): Simulation {
         val simulation = Simulation(6, OperatorSettings(patienceS = patienceS, idleReturnS = 900.0))
         simulation.begin(0, 1)
@@ -50,13 +50,13 @@
     }
 
     @Test
-    fun `no job is starved by more urgent work`() {
+    fun `a best-effort job is not starved by urgent jobs`() {
         assertEquals(emptyList<String>(), overload(90.0).rules.starved().filter { "wide" in it })
         assertTrue(
             overload(1e6).rules.starved().any {
                 "wide" in it
             },
-            "the check does not notice work that is put off for ever",
+            "the check does not detect a job that never starts",
         )
     }
 }
