--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -45,7 +45,7 @@
             Input.Tick -> modules.periodic.tick()
             is Input.User -> modules.requests.onRequest(input.call, input.request)
             is Input.Heartbeat -> modules.heartbeats.onHeartbeat(input.call, input.heartbeat)
-            is Input.UnreadHeartbeat -> modules.heartbeats.onUnparsedHeartbeat(input.call)
+            is Input.UndecodedHeartbeat -> modules.heartbeats.onUndecodedHeartbeat(input.call)
             is Input.State -> context.reply(input)
             is Input.Cloud -> context.reply(input)
             is Input.WorkerReply -> context.reply(input)
--- a/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
+++ b/src/main/kotlin/org/chalkhollow/core/EventDispatcher.kt
@@ -62,8 +62,8 @@
 
     override fun onMachineGone(machine: Machine) = targets.reconciler.onMachineGone(machine)
 
-    override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) =
-        targets.reconciler.onNewEpoch(machine, hadShownCurrentFencingToken)
+    override fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean) =
+        targets.reconciler.onNewEpoch(machine, hadSentCurrentFencingToken)
 
     override fun onMarkerReleased(marker: DispatchMarker) = targets.dispatch.onMarkerReleased(marker)
 
--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -12,16 +12,16 @@
  * the job in the meantime. Writes need no check, because they are conditional. Called by [Controller].
  */
 internal class LateEffects(private val leadership: Leadership) {
-    private var entitledAtStep = false
+    private var mayActAsLeaderAtStep = false
 
     /** A step has ended; its effects may be passed to [check] later. */
     fun stepDone() {
-        entitledAtStep = leadership.mayActAsLeader()
+        mayActAsLeaderAtStep = leadership.mayActAsLeader()
     }
 
     /** Returns what to execute instead of [effect], an effect of the last step; null for nothing. */
     fun check(effect: Effect): Effect? {
-        if (!entitledAtStep || leadership.mayActAsLeader()) return effect
+        if (!mayActAsLeaderAtStep || leadership.mayActAsLeader()) return effect
         return when (effect) {
             is Effect.Response -> if (isDecided(effect.status)) unavailable(effect) else effect
             is Effect.Send -> checkMessage(effect)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -68,13 +68,13 @@
 
     /**
      * [machine] began a new epoch, which ends the attempts of the previous one. Attempts of earlier leaders are
-     * resolved only if [knewCurrentFencingToken], that is, if the machine had shown this leader's fencing token before.
+     * resolved only if [hadSentCurrentFencingToken], that is, if the machine had shown this leader's fencing token before.
      * Otherwise the previous epoch is known only from heartbeats sent before that token, possibly delayed copies, and
      * an earlier leader's starts may run in the new epoch. An earlier version resolved those attempts too, and their
      * tasks ran twice.
      */
-    fun onNewEpoch(machine: Machine, knewCurrentFencingToken: Boolean) =
-        resolveAttempts(machine, includeInherited = knewCurrentFencingToken)
+    fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean) =
+        resolveAttempts(machine, includeInherited = hadSentCurrentFencingToken)
 
     /** Resolves the attempts on [machine] after its epoch ended; inherited ones only if [includeInherited]. */
     private fun resolveAttempts(machine: Machine, includeInherited: Boolean) {
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -52,7 +52,7 @@
     }
 
     /** Redirects a heartbeat that was not parsed, because it arrived while this controller did not lead. */
-    fun onUnparsedHeartbeat(call: Int) {
+    fun onUndecodedHeartbeat(call: Int) {
         leadership.heartbeatTraffic.received(context.steady)
         redirect(call)
     }
--- a/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
+++ b/src/main/kotlin/org/chalkhollow/core/common/Inputs.kt
@@ -24,7 +24,7 @@
     class Heartbeat(val call: Int, val heartbeat: WorkerHeartbeat) : Input
 
     /** A heartbeat that was not decoded because this controller was not the leader when it arrived. */
-    class UnreadHeartbeat(val call: Int) : Input
+    class UndecodedHeartbeat(val call: Int) : Input
 
     /** The result of the [Effect.State] with the same [ticket]. */
     class State(val ticket: Int, val reply: StateReply) : Input
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -105,7 +105,7 @@
         val isNewEpoch = heartbeat.epoch > machine.lease.epoch
         if (isNewEpoch) beginEpoch(machine, heartbeat.epoch)
         val hasCurrentToken = heartbeat.fencingToken >= table.fencingToken
-        val isFirstWithToken = !hasShownCurrentToken(machine) && hasCurrentToken
+        val isFirstWithToken = !hasSentCurrentToken(machine) && hasCurrentToken
         reachability.onHeartbeat(machine, isNewEpoch, isFirstWithToken, hasCurrentToken)
         if (machine.state != Machine.State.UP || isFirstWithToken) context.changed()
         machine.markUp()
@@ -113,10 +113,10 @@
         terminationNotices.onHeartbeat(machine, heartbeat.noticeS)
     }
 
-    private fun hasShownCurrentToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
+    private fun hasSentCurrentToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
 
     private fun beginEpoch(machine: Machine, epoch: Long) {
-        if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasShownCurrentToken(machine))
+        if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasSentCurrentToken(machine))
         machine.lease.beginEpoch(epoch)
         machine.availability.endQuarantine()
         machine.lastReconciledTasks = null
@@ -129,7 +129,7 @@
 
     /** Whether [machine] is to be probed with a direct command now; if so, the probe is recorded as sent. */
     fun beginProbeIfDue(machine: Machine): Boolean {
-        if (machine.state != Machine.State.UP || !hasShownCurrentToken(machine)) return false
+        if (machine.state != Machine.State.UP || !hasSentCurrentToken(machine)) return false
         return context.steady - machine.lease.heartbeatAtMs < leaseMs && reachability.beginProbeIfDue(machine)
     }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
@@ -8,15 +8,15 @@
     fun onMachineGone(machine: Machine)
 
     /**
-     * [machine] began a new epoch. [hadShownCurrentFencingToken]: whether it sent this leader's fencing token in the
+     * [machine] began a new epoch. [hadSentCurrentFencingToken]: whether it sent this leader's fencing token in the
      * previous epoch.
      */
-    fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean)
+    fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean)
 
     /** Ignores all events. */
     object None : MachineEvents {
         override fun onMachineGone(machine: Machine) = Unit
 
-        override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) = Unit
+        override fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean) = Unit
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -83,7 +83,7 @@
      * contains.
      */
     private fun handleHeartbeat(body: ByteArray, responder: HttpResponder) {
-        if (!context.controller.isLeader(SystemClocks.now())) return step(responder) { Input.UnreadHeartbeat(it) }
+        if (!context.controller.isLeader(SystemClocks.now())) return step(responder) { Input.UndecodedHeartbeat(it) }
         val heartbeat =
             try {
                 heartbeatReader.read(body)
--- a/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
@@ -17,7 +17,7 @@
                 goneMachines.add(machine.name)
             }
 
-            override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) = Unit
+            override fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean) = Unit
         }
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val table = MachineTable(context, Interners(), LEASE_MS, events).also { it.start(1) }
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -92,7 +92,7 @@
 
     /** A worker's heartbeat in its wire form. */
     fun heartbeat(worker: String, body: ByteArray, answer: (Effect.Response) -> Unit): Boolean {
-        if (controller?.isLeader(now()) == false) return call(answer) { Input.UnreadHeartbeat(it) }
+        if (controller?.isLeader(now()) == false) return call(answer) { Input.UndecodedHeartbeat(it) }
         val heartbeat = heartbeats.getOrPut(worker) { HeartbeatReader() }.read(body)
         return call(answer) { Input.Heartbeat(it, heartbeat) }
     }
