--- a/src/main/kotlin/org/chalkhollow/core/Controller.kt
+++ b/src/main/kotlin/org/chalkhollow/core/Controller.kt
@@ -83,7 +83,7 @@
         return modules.lateEffects.check(effect)
     }
 
-    /** Whether this controller is entitled to act as the leader at [now]. */
+    /** Whether this controller may act as the leader at [now]. */
     fun isLeader(now: Now): Boolean {
         context.now = now
         return leadership.mayActAsLeader()
--- a/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
+++ b/src/main/kotlin/org/chalkhollow/core/FleetStep.kt
@@ -34,7 +34,7 @@
             commands.advanceFencingTokenIfNeeded()
             commands.probeUnconfirmedMachines()
         }
-        // Checks again whether this controller is entitled: advancing the fencing token ends the term.
+        // Checks again whether this controller may act as the leader: advancing the fencing token ends the term.
         fleet.tick(
             leading && leadership.mayActAsLeader(),
             placement.unplaced,
--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -7,9 +7,9 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Checks effects that are executed late. If this controller is no longer entitled to act as the leader by then, it must
- * not send what only an entitled leader may send. That includes rejections, because another leader may have accepted
- * the job in the meantime. Writes need no check, because they are conditional. Called by [Controller].
+ * Checks effects that are executed late. If this controller may no longer act as the leader by then, it must not send
+ * what only the leader may send. That includes rejections, because another leader may have accepted the job in the
+ * meantime. Writes need no check, because they are conditional. Called by [Controller].
  */
 internal class LateEffects(private val leadership: Leadership) {
     private var mayActAsLeaderAtStep = false
--- a/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LeaderTerm.kt
@@ -25,7 +25,10 @@
     private val commands: WorkerCommandSender,
     private val requests: RequestHandler,
 ) {
-    /** Whether this controller leads and has loaded the stored records; stays true while it is not entitled to act. */
+    /**
+     * Whether the stored records are loaded. True from the start of a term to its end, even while this controller may
+     * not act as the leader.
+     */
     var recordsLoaded = false
         private set
 
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReconciler.kt
@@ -68,10 +68,10 @@
 
     /**
      * [machine] began a new epoch, which ends the attempts of the previous one. Attempts of earlier leaders are
-     * resolved only if [hadSentCurrentFencingToken], that is, if the machine had shown this leader's fencing token before.
-     * Otherwise the previous epoch is known only from heartbeats sent before that token, possibly delayed copies, and
-     * an earlier leader's starts may run in the new epoch. An earlier version resolved those attempts too, and their
-     * tasks ran twice.
+     * resolved only if [hadSentCurrentFencingToken]: an earlier heartbeat of the machine carried this leader's fencing
+     * token. Otherwise the previous epoch is known only from heartbeats sent before that token, possibly delayed
+     * copies, and an earlier leader's starts may run in the new epoch. An earlier version resolved those attempts too,
+     * and their tasks ran twice.
      */
     fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean) =
         resolveAttempts(machine, includeInherited = hadSentCurrentFencingToken)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/AttemptReservations.kt
@@ -34,7 +34,7 @@
         marker: DispatchMarker?,
         fromCredit: Boolean,
     ): Attempt {
-        // A replica never ends by itself, so other starved jobs would lose its part of the credit for good.
+        // A replica never ends by itself, so other starved jobs would lose its part of the credit permanently.
         val countsAsCredit = fromCredit && !job.service
         return occupy(Attempt(job, index, number, machine, marker, countsAsCredit, inherited = false, context.steady))
     }
--- a/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilder.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/DispatchMarkerBuilder.kt
@@ -71,7 +71,9 @@
     private fun markerBytes(gang: OpenJob): Int = gangBytes.getValue(gang) + MARKER_OVERHEAD_BYTES
 
     /**
-     * Adds [allocation] or leaves it out. Returns false if no later one fits either, or may be added before this one.
+     * Adds [allocation], or leaves it out if its row exceeds a marker. Returns false if the transaction has no space
+     * for it or attempt numbers are used up. Later allocations are then left out too, so that none is started before
+     * it.
      */
     private fun add(allocation: Allocation): Boolean {
         val job = allocation.job
--- a/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/HeartbeatHandler.kt
@@ -12,9 +12,9 @@
 import org.chalkhollow.wire.WorkerCodec
 
 /**
- * Responds to workers' heartbeats. A response renews the lease of everything that runs on a machine, so only an
- * entitled leader gives one; other controllers redirect the worker to the leader. Owns no state of the cluster. Called
- * by the controller for each heartbeat.
+ * Responds to workers' heartbeats. A response with status 200 renews the worker's lease, so only a controller that may
+ * act as the leader sends one; other controllers redirect the worker to the leader. Owns no state of the cluster.
+ * Called by the controller for each heartbeat.
  */
 class HeartbeatHandler(
     private val context: CoreContext,
@@ -51,7 +51,7 @@
         context.respond(call, HttpStatus.OK, WorkerCodec.commands(leadership.fencingToken, commands))
     }
 
-    /** Redirects a heartbeat that was not parsed, because it arrived while this controller did not lead. */
+    /** Redirects a heartbeat that was not decoded, because this controller was not the leader when it arrived. */
     fun onUndecodedHeartbeat(call: Int) {
         leadership.heartbeatTraffic.received(context.steady)
         redirect(call)
--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -40,7 +40,7 @@
     /** Counts the starts and ends of leader terms; replies to calls of an earlier term are dropped. */
     private var term = 0
 
-    /** This controller has become or ceased to be leader. */
+    /** A leader term of this controller has started or ended. */
     fun newTerm() {
         term++
     }
@@ -174,10 +174,10 @@
         attempt.phase == Attempt.Phase.START_SENT && attempt.job.cancelled
 
     /**
-     * Handles cancelled starts while the fencing token is not advanced: stepping down while writes are slow or fail
-     * would cost every machine its lease, as in an earlier version, and the token is advanced at most every
-     * [MIN_ADVANCE_INTERVAL_MS]. Only the end of the machine's epoch then rules out that the start is carried out, so
-     * the machine's heartbeats are not responded to until its lease expires.
+     * Handles cancelled starts while the fencing token is not advanced. It is advanced at most every
+     * [MIN_ADVANCE_INTERVAL_MS], and not while writes are slow or fail: stepping down then let the leases of all
+     * machines expire in an earlier version. Without a new token, only the end of the machine's epoch rules out that
+     * the start is carried out, so the machine's heartbeats get no response with status 200 until its lease expires.
      */
     private fun quarantineStuckMachines() {
         for (machine in fleet.machines) {
--- a/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/FailureBackoff.kt
@@ -64,7 +64,7 @@
         const val SEVERAL_MACHINES = 3
         const val FIRST_BACKOFF_MS = 1000L
 
-        /** The end of a replica that was placed for longer than this does not count as a failure. */
+        /** If a replica ends later than this after its placement, that is no failure and resets the count. */
         const val STABLE_REPLICA_MS = 15_000L
 
         /** The backoff doubles after this many failures, on whichever machines they were. */
--- a/src/main/kotlin/org/chalkhollow/core/cluster/WorkerLease.kt
+++ b/src/main/kotlin/org/chalkhollow/core/cluster/WorkerLease.kt
@@ -56,8 +56,8 @@
     /**
      * The heartbeat [seq] gets a response at [now]. The worker's lease runs from when it sent this heartbeat, which is
      * not after [now]. A heartbeat that is not newer than the last one with a response renews nothing, so that late
-     * copies do not keep a dead machine alive. Replies to direct commands do not count here, because a heartbeat that
-     * was sent later may arrive earlier.
+     * copies do not renew the lease of a dead machine. Replies to direct commands do not count here, because a
+     * heartbeat that was sent later may arrive earlier.
      */
     fun renew(seq: Long, now: Long) {
         if (seq <= respondedSeq) return
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -12,7 +12,7 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns what heartbeats tell about each machine: its state, and its worker's epoch and lease. A machine that sends no
+ * Owns what heartbeats show about each machine: its state, and its worker's epoch and lease. A machine that sends no
  * heartbeats may still run its attempts: they are confirmed absent only when its lease has certainly expired, its epoch
  * has ended, or its deletion is confirmed. [CloudInventory] reads the cloud's lists, [ScaleOut] and [ScaleIn] scale the
  * fleet. Called by the controller; other modules read the machines here.
@@ -75,7 +75,7 @@
 
     /**
      * Records a heartbeat and returns its machine; null if the machine was removed or the epoch has ended. A heartbeat
-     * that is no newer than the last one answered, such as a delayed copy, changes nothing.
+     * that is no newer than the last one with a response, such as a delayed copy, changes nothing.
      */
     fun observe(heartbeat: WorkerHeartbeat): Machine? {
         if (table.isRemoved(heartbeat.machine)) return drop(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
@@ -98,7 +98,7 @@
         return null
     }
 
-    /** Records a heartbeat that is newer than all that were answered. */
+    /** Records a heartbeat that is newer than all that got a response. */
     private fun update(machine: Machine, heartbeat: WorkerHeartbeat) {
         machine.describe(names.types.intern(heartbeat.type), names.zones.intern(heartbeat.zone), heartbeat.spot)
         machine.address = heartbeat.address
--- a/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/LeaseExpiry.kt
@@ -13,12 +13,12 @@
     private val events: MachineEvents,
     leaseMs: Long,
 ) {
-    /** A lease has certainly expired this long after the last heartbeat that was answered. */
+    /** A lease has certainly expired this long after the last heartbeat that got a response. */
     private val expiresAfterMs = leaseMs + leaseMs / CLOCK_DRIFT_DIVISOR + MARGIN_MS
 
     /**
-     * No lease expires before this. Each answered heartbeat postpones its machine's expiry, and a lease that begins
-     * later also expires later.
+     * No lease expires before this. Each heartbeat with a response postpones its machine's expiry, and a lease that
+     * begins later also expires later.
      */
     private var nextExpiryAtMs = 0L
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineEvents.kt
@@ -8,8 +8,8 @@
     fun onMachineGone(machine: Machine)
 
     /**
-     * [machine] began a new epoch. [hadSentCurrentFencingToken]: whether it sent this leader's fencing token in the
-     * previous epoch.
+     * [machine] began a new epoch. [hadSentCurrentFencingToken]: whether a heartbeat before the new epoch carried
+     * this leader's fencing token.
      */
     fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean)
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -11,7 +11,7 @@
  * - the machine's first heartbeat with this leader's fencing token,
  * - a start sent by this leader that shows up on the machine,
  * - a direct command that the machine executes,
- * - a heartbeat that follows the last one sooner than it could if the last one had not been answered.
+ * - a heartbeat that follows the last one sooner than it could if the last one had got no response.
  *
  * If heartbeats are rare, not each of them can give the last proof. So a machine is probed with a direct command only
  * after several heartbeat intervals without proof. If the probe brings no proof either, the machine gets no new tasks.
@@ -37,7 +37,7 @@
         updateReachable(machine, hasCurrentToken)
     }
 
-    /** Whether a heartbeat at this moment follows the last one so soon that the last one must have been answered. */
+    /** Whether a heartbeat now follows the last one so soon that the worker must have got a response to that one. */
     private fun followsAnsweredHeartbeat(machine: Machine): Boolean {
         val lastHeartbeatAtMs = machine.lease.heartbeatAtMs
         return lastHeartbeatAtMs != Machine.NEVER && context.steady - lastHeartbeatAtMs < UNANSWERED_GAP_MS
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineTable.kt
@@ -25,9 +25,11 @@
     /** Machine types by index; a type that the catalog does not list is null. */
     val types = ArrayList<MachineType?>()
 
-    /** The fencing token of this term as leader, and when the term began. */
+    /** The fencing token of this leader term. */
     var fencingToken = 0L
         private set
+
+    /** When this leader term began, in monotonic time. */
     var termStartedAtMs = 0L
         private set
 
@@ -42,7 +44,7 @@
     fun getOrAdd(name: String): Machine =
         byName.getOrPut(name) {
             Machine(names.machines.intern(name), name, context.steady).also {
-                it.lease.assumeRespondedUntil(termStartedAtMs) // an earlier leader may have answered it until then
+                it.lease.assumeRespondedUntil(termStartedAtMs) // an earlier leader may have responded to it until then
             }
         }
 
--- a/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/StaticMachines.kt
@@ -73,8 +73,8 @@
     private fun encodedBytes(item: Any): Int = EncodedSize.of(item) + 1
 
     /**
-     * If the state service rejects the write although it should fit, half of the plain names are written. Names that
-     * are not stored count as rented.
+     * Returns a write of the names. Each time the state service rejects it although it should fit, it is retried with
+     * half of the plain names. Names that are not stored count as rented.
      */
     private fun write(plain: List<String>, runs: List<Map<String, Any?>>): Write {
         val value = if (runs.isEmpty()) mapOf(NAMES_FIELD to plain) else mapOf(NAMES_FIELD to plain, RUNS_FIELD to runs)
@@ -100,7 +100,7 @@
         const val KEY = "fleet/base"
         const val PREFIX = "fleet/"
 
-        /** What the value takes besides the names. */
+        /** Upper bound of the size of the value without the names. */
         private const val VALUE_OVERHEAD_BYTES = 96
 
         /** One part in this many of a value is for runs if it cannot hold all plain names. */
--- a/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/org/chalkhollow/core/jobs/ServiceLevelObjectives.kt
@@ -55,8 +55,8 @@
 
     /**
      * Whether a replica of a service, or a task of a class that needs prompt starts, meets the last start objective
-     * of its class if it starts now. With the first objective instead, tasks that had just arrived went before those
-     * that had waited for seconds, and half of the tasks in a burst of urgent work started late without need.
+     * of its class if it starts now. With the first objective instead, tasks that had just arrived were placed before
+     * those that had waited for seconds, and half of the tasks in a burst of urgent work started late without need.
      */
     fun canStartInTime(job: OpenJob, wallMs: Long): Boolean {
         if (job.service) return true
--- a/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/CandidateSnapshot.kt
@@ -11,11 +11,11 @@
  * [prefixes], in that order.
  *
  * A leader without the snapshot would renew the leases of tasks whose cancellation an earlier leader has confirmed. If
- * an outage of the state service began before it had read them, it would do so until the outage ends.
+ * an outage of the state service began before it had read the cancellations, it would do so until the outage ends.
  *
- * Every write changes the leadership record. A snapshot that was begun at some revision of the record is therefore
- * complete for as long as the record keeps that revision, and a campaign is conditional on that revision. [Leadership]
- * uses the snapshot through [Leadership.Events].
+ * Every write changes the leadership record. A snapshot that was begun at some revision of the record therefore stays
+ * up to date for as long as the record keeps that revision, and a campaign is conditional on that revision.
+ * [Leadership] uses the snapshot through [Leadership.Events].
  */
 class CandidateSnapshot(
     private val context: CoreContext,
--- a/src/main/kotlin/org/chalkhollow/core/leadership/ControllerIdentity.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/ControllerIdentity.kt
@@ -2,7 +2,7 @@
 
 /** The label and the incarnation of this controller, and the labels of its [peers]. */
 class ControllerIdentity(val label: String, val incarnation: Long, val peers: List<String>) {
-    /** How many controllers make a majority; this controller counts. */
+    /** How many controllers, including this one, make a majority. */
     val majority = majorityWith(peers.size)
 
     /** How many peers campaign before this controller when several could do so at once. */
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Election.kt
@@ -36,7 +36,7 @@
 
     private val votes = VoteCollector(context, self.peers.size, options.followerLeaseMs)
 
-    /** Why this controller may take over the record that it last saw without votes; null if it may not. */
+    /** Why this controller may campaign without votes, by the record that it last read; null if it may not. */
     private var reasonWithoutVotes: CampaignReason? = null
 
     /** The fencing token of the last term of this incarnation; 0 before its first term. */
@@ -129,7 +129,7 @@
             grantedLease.onRecordChanged(record, revision)
         }
         state.observe(record.fencingToken)
-        // Nobody holds the lease of such a record: its incarnation has ended, or this one has stepped down. The
+        // No process holds the lease of such a record: its incarnation has ended, or this one has stepped down. The
         // campaign still increments the fencing token, because tokens and attempt numbers must not be used twice.
         if (wasLedByThisController(record) && context.steady >= backoffUntilMs) {
             takeOverWithoutVotes(CampaignReason.LED_BEFORE)
@@ -137,9 +137,10 @@
     }
 
     /**
-     * Whether this controller was the leader under [record]. If the record counts no writes, its term may never have
-     * begun: the campaign may have been applied long after the votes for it, which restarted voters have forgotten.
-     * This controller then waits as it does for another controller's record.
+     * Whether this controller was the leader under [record]. If the record counts no writes and is not that of this
+     * incarnation's last term, the campaign may not have led to a term: its write may have been applied after the votes
+     * for it had expired, and voters that restarted have forgotten them. This controller then waits as it does for
+     * another controller's record.
      */
     private fun wasLedByThisController(record: LeadershipRecord): Boolean {
         if (record.owner != self.label) return false
--- a/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/FollowerLeases.kt
@@ -63,7 +63,9 @@
         return true
     }
 
-    /** When the leases of a majority, including this controller, expire; Long.MAX_VALUE without peers. */
+    /**
+     * Until when this leader holds leases of enough peers to form a majority with it; Long.MAX_VALUE without peers.
+     */
     fun majorityUntilMs(): Long {
         if (majority == 1) return Long.MAX_VALUE
         val sorted = leaseUntilMs.sortedArray()
--- a/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/HeartbeatTraffic.kt
@@ -4,7 +4,7 @@
 
 /**
  * Counts workers' heartbeats at this controller and at its peers, to find out which controllers the workers reach.
- * While workers reach only the leader's peers, nobody renews their leases, so the leader has to step down. A worker
+ * While workers reach only the leader's peers, their leases are not renewed, so the leader has to step down. A worker
  * without a response switches to another controller after about 5 s, so every worker sends a heartbeat to some
  * controller within [WINDOW_MS]. Read by [LeaderLease].
  */
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeaderLease.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeaderLease.kt
@@ -78,9 +78,9 @@
         }
 
     /**
-     * Nobody renews the workers' leases between a step-down and the next term. If an outage of the state service begins
-     * in between, nobody does until it ends. So a leader that is not served steps down only when a peer could take over
-     * at once, or when no peer could within [PREPARED_PEER_WAIT_MS].
+     * No controller renews the workers' leases between a step-down and the next term. If an outage of the state service
+     * begins in between, none does until it ends. So a leader that is not served steps down only when a peer could take
+     * over at once, or when no peer could within [PREPARED_PEER_WAIT_MS].
      */
     private fun shouldTransferToServedPeer(): Boolean {
         if (!onlyPeersAreServed()) {
@@ -92,10 +92,10 @@
     }
 
     /**
-     * Whether the state service served peers after it had stopped serving this leader, so that this is not an outage
-     * for all. When an outage begins, peers still report that they were served before it. Such reports must not count:
-     * a leader that stepped down because of them left the cluster without a leader until the outage ended, and all
-     * tasks were lost.
+     * Whether the state service served peers after it had stopped serving this leader, so this is not an outage for all
+     * controllers. When an outage begins, peers still report that they were served before it. Such reports must not
+     * count: a leader that stepped down because of them left the cluster without a leader until the outage ended, and
+     * all tasks were lost.
      */
     private fun onlyPeersAreServed(): Boolean {
         if (failingSinceMs == NEVER || context.steady <= failingSinceMs) return false
--- a/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/Leadership.kt
@@ -7,7 +7,7 @@
 import org.chalkhollow.settings.OperatorSettings
 
 /**
- * Elects the leader, and tells whether this controller may act as the leader.
+ * Elects the leader, and decides whether this controller may act as the leader.
  *
  * The leadership record is the leader lease. Every write of the leader changes the record's revision, and a follower
  * may take over only after it has seen the same revision for longer than the lease.
@@ -34,7 +34,7 @@
 ) {
     /** What leadership needs from the rest of the controller, and the changes of role that it reports. */
     interface Events {
-        /** Asks for a snapshot of all stored records, begun while the leadership record has [revision]. */
+        /** Requests a snapshot of all stored records, begun while the leadership record has [revision]. */
         fun requestSnapshot(revision: Long)
 
         /** Whether the snapshot for [revision] is complete. */
@@ -134,7 +134,7 @@
         lead()
     }
 
-    /** The snapshot that [Events.requestSnapshot] asked for is complete. */
+    /** The snapshot that was requested with [Events.requestSnapshot] is complete. */
     fun onSnapshotComplete() {
         if (role == Role.FOLLOWER) election.follow()
     }
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipRecordWatch.kt
@@ -9,7 +9,7 @@
 /**
  * Owns what a follower knows of the leadership record: its content, since when it is unchanged, and whether its leader
  * released it by stepping down. Here a lease runs from when this controller first saw the revision. That is after it
- * was written, so the lease has expired for the leader when it has expired here. Called by [Election], and by
+ * was written, so the lease expires for the leader before it expires here. Called by [Election], and by
  * [Leadership] and [PeerRequestHandler] to report replies and releases.
  */
 class LeadershipRecordWatch(
--- a/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipState.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/LeadershipState.kt
@@ -4,9 +4,9 @@
 import org.chalkhollow.core.common.NEVER
 
 /**
- * Owns this controller's role, the newest fencing token that it knows, and the peer that last reported to lead. The
- * parts of [Leadership] share it. [Election], [PeerRequestHandler] and [Leadership] change it. The fencing token never
- * decreases.
+ * Owns this controller's role, the newest fencing token that it knows, and the peer that last reported to be leader.
+ * The parts of [Leadership] share it. [Election], [PeerRequestHandler] and [Leadership] change it. The fencing token
+ * never decreases.
  */
 class LeadershipState(private val context: CoreContext, private val startedAtMs: Long) {
     var role = Leadership.Role.FOLLOWER
@@ -15,7 +15,7 @@
     var fencingToken = 0L
         private set
 
-    /** Index of the peer that last reported to lead, or [NO_PEER]. */
+    /** Index of the peer that last reported to be leader, or [NO_PEER]. */
     var leaderPeer = NO_PEER
         private set
 
--- a/src/main/kotlin/org/chalkhollow/core/leadership/VoteCollector.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/VoteCollector.kt
@@ -8,9 +8,9 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Owns the votes for this controller. A vote counts only for the request that it responds to, and runs from when the
- * request was sent. So it expires here before its voter may grant another leader a follower lease. Called by
- * [Election].
+ * Owns the votes for this controller. A vote counts only for the request that it responds to. It is valid for the
+ * length of a follower lease, counted from when that request was sent, so it expires here before its voter may grant
+ * another leader a follower lease. Called by [Election].
  */
 class VoteCollector(private val context: CoreContext, private val peerCount: Int, private val followerLeaseMs: Long) {
     /** Random, because votes for an earlier incarnation must not count. */
--- a/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Deadlines.kt
@@ -50,10 +50,10 @@
     private companion object {
         const val MIN_SLACK_MS = 20_000L
 
-        /** Run time estimates are often too high: a job is late only if a run this much shorter would be late. */
+        /** Run time estimates are often too high: a job is late only if this fraction of the estimate is too long. */
         const val OPTIMISTIC_FACTOR = 0.8
 
-        /** Some run time estimates are too low: a job that takes this much longer should still be in time. */
+        /** Some run time estimates are too low: a job that takes this many times as long should be in time. */
         const val PESSIMISTIC_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/Preemption.kt
@@ -29,7 +29,7 @@
     /** Machines on which this round requested stops. */
     val preempted = LinkedHashSet<Machine>()
 
-    /** Unplaced tasks, and what entitles them to preempt others. */
+    /** Unplaced tasks, and the reasons why they may preempt others. */
     private class Claim(val tasks: UnplacedTasks, val urgent: Boolean, val withinGuarantee: Boolean) {
         val job: OpenJob get() = tasks.job
     }
--- a/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/org/chalkhollow/core/placement/ReplicaMigration.kt
@@ -183,7 +183,10 @@
         return zones
     }
 
-    /** Prefers machines that have the image, then those with few replicas of the service, then the fullest. */
+    /**
+     * Returns the machine to which [attempt]'s replica migrates; null if none is suitable. Prefers machines that have
+     * the image, then those with fewer replicas of the service than the limit per machine, then the fullest.
+     */
     private fun selectTarget(attempt: Attempt, zones: ZoneConstraint, placeable: List<Machine>): Machine? {
         val job = attempt.job
         if (zones.isBlocked) return null
--- a/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/StateWriter.kt
@@ -88,7 +88,7 @@
         if (pending != null) return sendAgainIfDue(pending)
         val isRenewalDue = context.steady - lastSentAtMs >= options.leaderRenewMs
         if (rateLimiter.available < if (isRenewalDue) RENEWAL_CHANGES else MIN_CHANGES) return
-        // Each transaction also changes the record. When changes are scarce, several writes share a transaction.
+        // Each transaction also changes the record. When few changes are left, writes wait to share one.
         if (!isRenewalDue && rateLimiter.isScarce && context.steady - lastSentAtMs < SCARCE_SEND_INTERVAL_MS) return
         val part = splitter.nextPart
         if (part != null) return sendPart(part, isRenewalDue)
@@ -165,8 +165,8 @@
     }
 
     /**
-     * The service rejected [transaction]. If an earlier sending had no reply, it may have been applied nevertheless;
-     * the leadership record shows whether it was.
+     * The service rejected [transaction]. If it was sent before without getting a reply, it may have been applied
+     * then; the leadership record shows whether it was.
      */
     private fun onRejected(transaction: Transaction, why: String) {
         logRejection(transaction, why)
@@ -209,12 +209,12 @@
     }
 
     /**
-     * Reads the leadership record to find out whether an earlier sending of [transaction] was applied or another
+     * Reads the leadership record to find out whether [transaction] was applied when it was sent before, or another
      * controller leads. After a conflict, one of the two is the case.
      *
      * If the service did not check the conditions, the record may be unchanged; then [ifUnchanged] runs. An earlier
-     * sending may still be applied after that. Then the next transaction fails with a conflict, the record's write
-     * count differs from the expected one, and the term ends.
+     * copy of the transaction may still be applied after that. Then the next transaction fails with a conflict, the
+     * record's write count differs from the expected one, and the term ends.
      */
     private fun resolveByRecord(transaction: Transaction, ifUnchanged: (() -> Unit)? = null) {
         val sentInTerm = term
@@ -279,7 +279,7 @@
         const val STALLED_AFTER_MS = 1000L
         const val SLOW_COMMIT_MS = 400L
 
-        /** A transaction is split each time that this many sendings were not executed. */
+        /** A transaction is split each time that it was sent this many times without being executed. */
         const val SPLIT_AFTER_UNAVAILABLE_COUNT = 3
         const val REJECTION_LOG_INTERVAL_MS = 10_000L
 
--- a/src/main/kotlin/org/chalkhollow/core/storage/Transaction.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/Transaction.kt
@@ -7,9 +7,9 @@
     /** Number of changes, including that of the leadership record. */
     val size: Int get() = commit.changes.size
 
-    /** Whether a sending had no reply and may have been applied. */
+    /** Whether it was sent without getting a reply, so that it may have been applied. */
     var outcomeUnknown = false
 
-    /** Sendings that were not executed, because the service was unavailable or its rate limit was reached. */
+    /** How often it was sent but not executed, because the service was unavailable or its rate limit was reached. */
     var unavailableCount = 0
 }
--- a/src/main/kotlin/org/chalkhollow/core/storage/TransactionSplitter.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/TransactionSplitter.kt
@@ -18,7 +18,7 @@
     /** The part to send next, or null if there is none. */
     val nextPart: List<Write>? get() = parts.firstOrNull()
 
-    /** Whether the wait after a split for rate is over. */
+    /** Whether the delay after [splitForRate] has passed. */
     val canSendPart: Boolean get() = context.steady >= nextPartAtMs
 
     fun clear() {
--- a/src/main/kotlin/org/chalkhollow/core/storage/Write.kt
+++ b/src/main/kotlin/org/chalkhollow/core/storage/Write.kt
@@ -5,7 +5,7 @@
 /**
  * Changes that must be in one transaction. [onDurable] runs when they are committed. [onRejected] runs when the state
  * service rejects them in a transaction of their own. The producer then drops them if they are only a hint, and
- * otherwise returns them once more later.
+ * otherwise returns them again later.
  */
 class Write(val changes: List<Change>, val onRejected: () -> Unit, val onDurable: () -> Unit)
 
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -88,7 +88,7 @@
     override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
         val resumeTask =
             if (continuation.context[TaskPriorityElement]?.priority == TaskPriority.IDLE) {
-                Runnable { continuation.resume(Unit) } // queued, because tasks of higher priority may be queued by then
+                Runnable { continuation.resume(Unit) } // via the queue, behind tasks of higher priority
             } else {
                 Runnable { with(continuation) { resumeUndispatched(Unit) } }
             }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
@@ -33,8 +33,8 @@
     private val canKeepIdle: Boolean get() = !isClosed && idle.size < maxIdleConnections
 
     /**
-     * Sends a request. [onResult] is called once on the loop's thread. The result is [HttpResult.NoResponse] if there
-     * is no response [timeoutMs] after sending.
+     * Sends a request. [onResult] is called once on the loop's thread. The result is [HttpResult.NoResponse] if no
+     * response arrives within [timeoutMs] of sending.
      */
     fun request(method: String, path: String, body: ByteArray?, timeoutMs: Long, onResult: (HttpResult) -> Unit) {
         val exchange = Exchange(HttpWriter.request(method, host, path, body), timeoutMs, onResult)
--- a/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/RequestRouter.kt
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Only the leader decodes heartbeats: a follower responds with the leader's address whatever the heartbeat
-     * contains.
+     * Only the leader decodes heartbeats. A follower redirects the worker to the leader's label, or responds with 503
+     * if it knows no leader, whatever the heartbeat contains.
      */
     private fun handleHeartbeat(body: ByteArray, responder: HttpResponder) {
         if (!context.controller.isLeader(SystemClocks.now())) return step(responder) { Input.UndecodedHeartbeat(it) }
--- a/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/LateEffectsTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertSame
 import org.junit.jupiter.api.Test
 
-/** Effects that are executed after the leader that decided them is no longer entitled to act. */
+/** Effects that are executed after the controller that decided them may no longer act as the leader. */
 class LateEffectsTest {
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val options = OperatorSettings()
@@ -57,7 +57,7 @@
     }
 
     @Test
-    fun `all effects are executed unchanged while the leader is entitled`() {
+    fun `all effects are executed unchanged while the controller may act as the leader`() {
         lead()
         lateEffects.stepDone()
         for (effect in listOf(command, accepted, timer)) assertSame(effect, lateEffects.check(effect))
--- a/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `a lease and its epoch expire after its length, clock drift and a margin without an answer`() {
+    fun `a lease and its epoch expire after its length, clock drift and a margin without a response`() {
         val machine = table.getOrAdd("n-1")
         machine.markUp()
         machine.lease.beginEpoch(1)
--- a/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/leadership/LeadershipTest.kt
@@ -68,8 +68,8 @@
         return Long.MAX_VALUE
     }
 
-    // Nobody renews the workers' leases between a step-down and the next election. If an outage begins in between, all
-    // of them expire.
+    // No controller renews the workers' leases between a step-down and the next election. If an outage begins in
+    // between, all of them expire.
     @Test
     fun `a leader that is not served waits up to 800 ms for a prepared peer before it steps down`() {
         val preparedMs = steppedDownAtMs(prepared = true)
