--- a/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/chalkhollow/core/attempts/WorkerCommandSender.kt
@@ -156,7 +156,7 @@
         if (stateWriter.isSlow() || advancedRecently) return quarantineStuckMachines()
         if (fleet.machines.none { needsNewToken(it) || hasTooManyFinished(it) }) return
         fencingTokenAdvancedAtMs = context.steady
-        leadership.stepDown(StepDownReason.Local.UNANSWERED_COMMANDS)
+        leadership.stepDown(StepDownReason.Local.COMMANDS_WITHOUT_REPLY)
     }
 
     private fun hasTooManyFinished(machine: Machine): Boolean =
--- a/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/MachineReachability.kt
@@ -19,7 +19,7 @@
  * [ScaleIn] and [ScaleOut] read it.
  */
 class MachineReachability(private val context: CoreContext, heartbeatIntervalS: Double, leaseS: Double) {
-    private val proofMaxAgeMs = maxOf(UNANSWERED_GAP_MS, (heartbeatIntervalS * PROOF_AGE_MS_PER_INTERVAL_S).toLong())
+    private val proofMaxAgeMs = maxOf(NO_RESPONSE_GAP_MS, (heartbeatIntervalS * PROOF_AGE_MS_PER_INTERVAL_S).toLong())
 
     /** A heartbeat that has not come after this long is overdue, not just a little late. */
     private val overdueAfterMs = (heartbeatIntervalS * OVERDUE_MS_PER_INTERVAL_S).toLong() + MAX_DELAY_MS
@@ -32,15 +32,15 @@
      */
     fun onHeartbeat(machine: Machine, isNewEpoch: Boolean, isFirstWithToken: Boolean, hasCurrentToken: Boolean) {
         if (isNewEpoch) machine.reachability.beginEpoch()
-        val followsAnswered = !isNewEpoch && followsAnsweredHeartbeat(machine)
-        if (hasCurrentToken && (isFirstWithToken || followsAnswered)) machine.reachability.recordProof(context.steady)
+        val followsResponse = !isNewEpoch && followsHeartbeatWithResponse(machine)
+        if (hasCurrentToken && (isFirstWithToken || followsResponse)) machine.reachability.recordProof(context.steady)
         updateReachable(machine, hasCurrentToken)
     }
 
     /** Whether a heartbeat now follows the last one so soon that the worker must have got a response to that one. */
-    private fun followsAnsweredHeartbeat(machine: Machine): Boolean {
+    private fun followsHeartbeatWithResponse(machine: Machine): Boolean {
         val lastHeartbeatAtMs = machine.lease.heartbeatAtMs
-        return lastHeartbeatAtMs != Machine.NEVER && context.steady - lastHeartbeatAtMs < UNANSWERED_GAP_MS
+        return lastHeartbeatAtMs != Machine.NEVER && context.steady - lastHeartbeatAtMs < NO_RESPONSE_GAP_MS
     }
 
     /** [machine] did something that only a machine does that this controller's messages reach. */
@@ -90,7 +90,7 @@
          * A worker that gets no response waits 4 s for it and sends its next heartbeat 1 s later. On this controller's
          * clock that can be a little less.
          */
-        const val UNANSWERED_GAP_MS = 4500L
+        const val NO_RESPONSE_GAP_MS = 4500L
 
         /** A machine is probed after three heartbeat intervals without proof. */
         const val PROOF_AGE_MS_PER_INTERVAL_S = 3000
--- a/src/main/kotlin/org/chalkhollow/core/leadership/StepDownReason.kt
+++ b/src/main/kotlin/org/chalkhollow/core/leadership/StepDownReason.kt
@@ -10,7 +10,7 @@
         NOT_REACHED_BY_WORKERS("workers reach other controllers but not this one"),
         RECORD_MISSING("the leadership record does not exist"),
         ATTEMPT_NUMBERS_EXHAUSTED("attempt numbers are exhausted"),
-        UNANSWERED_COMMANDS("a higher fencing token is needed to resolve direct starts without a reply"),
+        COMMANDS_WITHOUT_REPLY("a higher fencing token is needed to resolve direct starts without a reply"),
     }
 
     /** The leadership record differs from the one that this leader wrote last. */
--- a/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `a lease counts from the start of the term, since an earlier leader may have answered until then`() {
+    fun `a lease counts from the start of the term, since an earlier leader may have responded until then`() {
         table.getOrAdd("n-1").markUp()
         expireAt(LEASE_MS + 515)
         assertEquals(emptyList<String>(), goneMachines)
--- a/src/test/kotlin/org/chalkhollow/runtime/HttpServerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/runtime/HttpServerTest.kt
@@ -20,7 +20,7 @@
     private val address = Address("127.0.0.1", freePort())
 
     /** Requests that [handler] does not respond to, by path. */
-    private val unanswered = HashMap<String, HttpResponder>()
+    private val pendingResponders = HashMap<String, HttpResponder>()
 
     private val handler =
         object : HttpHandler {
@@ -30,7 +30,7 @@
 
             override fun handle(request: HttpMessage<RequestHead>, responder: HttpResponder) {
                 if (request.head.path == "/held") {
-                    unanswered[request.head.path] = responder
+                    pendingResponders[request.head.path] = responder
                 } else {
                     responder.respond(HttpResponse(200, request.body))
                 }
