--- a/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
+++ b/src/main/kotlin/org/chalkhollow/core/LateEffects.kt
@@ -7,21 +7,21 @@
 import org.chalkhollow.peer.PeerMessage
 
 /**
- * Checks effects that are executed late. If this controller is no longer entitled to act as the leader by then, it must
- * not send what only an entitled leader may send. That includes rejections, because another leader may have accepted
- * the job in the meantime. Writes need no check, because they are conditional. Called by [Controller].
+ * Checks effects that are executed late. If this controller may no longer act as the leader by then, it must not send
+ * what only the leader may send. That includes rejections, because another leader may have accepted the job in the
+ * meantime. Writes need no check, because they are conditional. Called by [Controller].
  */
 internal class LateEffects(private val leadership: Leadership) {
-    private var entitledAtStep = false
+    private var mayActAsLeaderAtStep = false
 
     /** A step has ended; its effects may be passed to [check] later. */
     fun stepDone() {
-        entitledAtStep = leadership.mayActAsLeader()
+        mayActAsLeaderAtStep = leadership.mayActAsLeader()
     }
 
     /** Returns what to execute instead of [effect], an effect of the last step; null for nothing. */
     fun check(effect: Effect): Effect? {
-        if (!entitledAtStep || leadership.mayActAsLeader()) return effect
+        if (!mayActAsLeaderAtStep || leadership.mayActAsLeader()) return effect
         return when (effect) {
             is Effect.Response -> if (isDecided(effect.status)) unavailable(effect) else effect
             is Effect.Send -> checkMessage(effect)
--- a/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
+++ b/src/main/kotlin/org/chalkhollow/core/fleet/Fleet.kt
@@ -12,7 +12,7 @@
 import org.chalkhollow.settings.PlatformSettings
 
 /**
- * Owns what heartbeats tell about each machine: its state, and its worker's epoch and lease. A machine that sends no
+ * Owns what heartbeats show about each machine: its state, and its worker's epoch and lease. A machine that sends no
  * heartbeats may still run its attempts: they are confirmed absent only when its lease has certainly expired, its epoch
  * has ended, or its deletion is confirmed. [CloudInventory] reads the cloud's lists, [ScaleOut] and [ScaleIn] scale the
  * fleet. Called by the controller; other modules read the machines here.
@@ -75,7 +75,7 @@
 
     /**
      * Records a heartbeat and returns its machine; null if the machine was removed or the epoch has ended. A heartbeat
-     * that is no newer than the last one answered, such as a delayed copy, changes nothing.
+     * that is no newer than the last one with a response, such as a delayed copy, changes nothing.
      */
     fun observe(heartbeat: WorkerHeartbeat): Machine? {
         if (table.isRemoved(heartbeat.machine)) return drop(DroppedInput.HEARTBEAT_OTHER_INCARNATION)
@@ -98,14 +98,14 @@
         return null
     }
 
-    /** Records a heartbeat that is newer than all that were answered. */
+    /** Records a heartbeat that is newer than all that got a response. */
     private fun update(machine: Machine, heartbeat: WorkerHeartbeat) {
         machine.describe(names.types.intern(heartbeat.type), names.zones.intern(heartbeat.zone), heartbeat.spot)
         machine.address = heartbeat.address
         val isNewEpoch = heartbeat.epoch > machine.lease.epoch
         if (isNewEpoch) beginEpoch(machine, heartbeat.epoch)
         val hasCurrentToken = heartbeat.fencingToken >= table.fencingToken
-        val isFirstWithToken = !hasShownCurrentToken(machine) && hasCurrentToken
+        val isFirstWithToken = !hasSentCurrentToken(machine) && hasCurrentToken
         reachability.onHeartbeat(machine, isNewEpoch, isFirstWithToken, hasCurrentToken)
         if (machine.state != Machine.State.UP || isFirstWithToken) context.changed()
         machine.markUp()
@@ -113,10 +113,10 @@
         terminationNotices.onHeartbeat(machine, heartbeat.spotNoticeS)
     }
 
-    private fun hasShownCurrentToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
+    private fun hasSentCurrentToken(machine: Machine): Boolean = machine.lease.fencingToken >= table.fencingToken
 
     private fun beginEpoch(machine: Machine, epoch: Long) {
-        if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasShownCurrentToken(machine))
+        if (machine.lease.epoch > 0) events.onNewEpoch(machine, hasSentCurrentToken(machine))
         machine.lease.beginEpoch(epoch)
         machine.availability.endQuarantine()
         machine.lastReconciledTasks = null
@@ -129,7 +129,7 @@
 
     /** Whether [machine] is to be probed with a direct command now; if so, the probe is recorded as sent. */
     fun beginProbeIfDue(machine: Machine): Boolean {
-        if (machine.state != Machine.State.UP || !hasShownCurrentToken(machine)) return false
+        if (machine.state != Machine.State.UP || !hasSentCurrentToken(machine)) return false
         return context.steady - machine.lease.heartbeatAtMs < leaseMs && reachability.beginProbeIfDue(machine)
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/fleet/LeaseExpiryTest.kt
@@ -17,7 +17,7 @@
                 goneMachines.add(machine.name)
             }
 
-            override fun onNewEpoch(machine: Machine, hadShownCurrentFencingToken: Boolean) = Unit
+            override fun onNewEpoch(machine: Machine, hadSentCurrentFencingToken: Boolean) = Unit
         }
     private val context = CoreContext(1).also { it.now = Now(0, 0) }
     private val table = MachineTable(context, Interners(), LEASE_MS, events).also { it.start(1) }
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `a lease and its epoch expire after its length, clock drift and a margin without an answer`() {
+    fun `a lease and its epoch expire after its length, clock drift and a margin without a response`() {
         val machine = table.getOrAdd("n-1")
         machine.markUp()
         machine.lease.beginEpoch(1)
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `a lease counts from the start of the term, since an earlier leader may have answered until then`() {
+    fun `a lease counts from the start of the term, since an earlier leader may have responded until then`() {
         table.getOrAdd("n-1").markUp()
         expireAt(LEASE_MS + 515)
         assertEquals(emptyList<String>(), goneMachines)
