--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
@@ -3,8 +3,8 @@
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.DeliberateErrors
 import org.chalkhollow.simulation.FaultScenario
-import org.chalkhollow.simulation.Sabotage
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.simulation.withReliableNetwork
@@ -25,7 +25,11 @@
     fun `work that waits though there is room is noticed`() {
         fun played(factor: Double): Set<String> {
             val simulation =
-                Simulation(3, OperatorSettings(idleReturnS = 900.0), sabotage = Sabotage(toldLimitFactor = factor))
+                Simulation(
+                    3,
+                    OperatorSettings(idleReturnS = 900.0),
+                    deliberateErrors = DeliberateErrors(configuredLimitFactor = factor),
+                )
             quiet(simulation)
             simulation.begin(0, 1)
             simulation.clock.after(8000) {
@@ -38,7 +42,7 @@
                     )
                 }
             }
-            simulation.rules.calmFrom = 20_000
+            simulation.rules.faultFreeFromMs = 20_000
             simulation.clock.runUntil(150_000)
             return rules(simulation)
         }
@@ -49,10 +53,10 @@
     @Test
     fun `a job that fits no machine and is accepted is noticed`() {
         fun played(phantom: MachineType?): Set<String> {
-            val simulation = Simulation(5, sabotage = Sabotage(phantomType = phantom))
+            val simulation = Simulation(5, deliberateErrors = DeliberateErrors(nonexistentType = phantom))
             quiet(simulation)
             simulation.begin(0, 1)
-            repeat(10) { i -> simulation.clock.after(10_000L + i * 100) { simulation.users.submitUnfit() } }
+            repeat(10) { i -> simulation.clock.after(10_000L + i * 100) { simulation.users.submitTooLargeJob() } }
             simulation.clock.runUntil(20_000)
             return rules(simulation)
         }
@@ -65,16 +69,16 @@
     fun `a start that is sent after a confirmed cancellation is noticed at once`() {
         val scenario = FaultScenario(7)
         quiet(scenario.simulation)
-        scenario.begin(jobs = 0, long = 2)
-        scenario.at(20_000) { scenario.cancel(scenario.long.first()) }
+        scenario.begin(jobs = 0, longJobs = 2)
+        scenario.at(20_000) { scenario.cancel(scenario.longJobs.first()) }
         scenario.clock.runUntil(24_000)
         assertEquals(1, scenario.rules.cancelledCount)
         assertEquals(emptySet<String>(), rules(scenario.simulation))
         val machine =
             scenario.cloud.workers
                 .first { it.present }
-        machine.mute(5000) // or the leader would stop the task before it has its image
-        machine.startUnasked(scenario.long.first())
+        machine.blockConnections(5000) // or the leader would stop the task before it has its image
+        machine.startUnrequested(scenario.longJobs.first())
         scenario.clock.runUntil(28_500)
         assertEquals(setOf("ran_cancelled"), rules(scenario.simulation))
     }
@@ -86,7 +90,7 @@
             val scenario = FaultScenario(seed)
             scenario.state.ignoresConditions = true
             scenario.begin()
-            scenario.at(FaultScenario.START_MS) { scenario.state.lateWrites(0.4, 40_000) }
+            scenario.at(FaultScenario.START_MS) { scenario.state.delayCommits(0.4, 40_000) }
             try {
                 scenario.clock.runUntil(120_000)
             } catch (expected: IllegalStateException) {
@@ -104,10 +108,10 @@
     fun `a cancellation that nobody answers is noticed`() {
         val scenario = FaultScenario(8)
         quiet(scenario.simulation)
-        scenario.begin(jobs = 0, long = 2)
+        scenario.begin(jobs = 0, longJobs = 2)
         scenario.at(20_000) { scenario.state.outage(1_000_000) }
-        scenario.at(25_000) { scenario.cancel(scenario.long.first()) }
-        scenario.rules.calmFrom = 30_000
+        scenario.at(25_000) { scenario.cancel(scenario.longJobs.first()) }
+        scenario.rules.faultFreeFromMs = 30_000
         scenario.clock.runUntil(110_000)
         assertTrue(
             scenario.rules.violations
--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
@@ -16,23 +16,23 @@
      */
     private fun refusedThenOut(seed: Long, leaseMs: Long, slowMs: Long, offsetMs: Long?): Long {
         val scenario = FaultScenario(seed, leaseMs)
-        scenario.begin(jobs = 16, long = 6, overMs = 60_000)
+        scenario.begin(jobs = 16, longJobs = 6, overMs = 60_000)
         scenario.clock.runUntil(START_MS)
         val first = scenario.leader()
-        scenario.long.take(3).forEach { id ->
+        scenario.longJobs.take(3).forEach { id ->
             scenario.at(START_MS + scenario.clock.between(0, 300)) { scenario.cancel(id) }
         }
-        if (slowMs > 0) scenario.state.slow(slowMs, 15_000)
+        if (slowMs > 0) scenario.state.slowDown(slowMs, 15_000)
         scenario.clock.runUntil(START_MS + 300)
-        scenario.state.refuse(checkNotNull(first).label, 12_000)
+        scenario.state.rejectRequestsOf(checkNotNull(first).label, 12_000)
         var handover = 0L
 
         fun watch() {
             val now = scenario.leader()
-            if (now != null && now !== first) handover = scenario.clock.time else scenario.clock.after(10) { watch() }
+            if (now != null && now !== first) handover = scenario.clock.timeMs else scenario.clock.after(10) { watch() }
         }
         watch()
-        scenario.long.drop(3).forEachIndexed {
+        scenario.longJobs.drop(3).forEachIndexed {
             i,
             id,
             ->
@@ -44,7 +44,7 @@
         }
         scenario.at(offsetMs) { scenario.state.outage(40_000) }
         scenario.clock.runUntil(offsetMs + 75_000)
-        scenario.holds()
+        scenario.assertRulesHold()
         return handover
     }
 
@@ -77,11 +77,11 @@
         val broken = ArrayList<String>()
         for (offset in 0L..5000L step 50) {
             val scenario = FaultScenario(seed, leaseMs)
-            scenario.begin(jobs = 16, long = 6, overMs = 60_000)
+            scenario.begin(jobs = 16, longJobs = 6, overMs = 60_000)
             scenario.clock.runUntil(START_MS - 300)
-            scenario.cancelNow(2)
-            scenario.at(START_MS - 100) { scenario.cancelNow(2) }
-            scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 15_000) } }
+            scenario.cancelRunningJobs(2)
+            scenario.at(START_MS - 100) { scenario.cancelRunningJobs(2) }
+            scenario.at(START_MS) { scenario.leader()?.let { scenario.state.rejectRequestsOf(it.label, 15_000) } }
             scenario.at(START_MS + offset) { scenario.state.outage(40_000) }
             scenario.clock.runUntil(START_MS + 75_000)
             if (scenario.rules.violations
@@ -100,10 +100,10 @@
     fun `transactions without an answer are carried out late`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin()
-        scenario.at(START_MS) { scenario.state.lateWrites(0.3, 45_000) }
-        for (i in 0L..4L) scenario.at(START_MS + 2000 + i * 8000) { scenario.cancelNow(1) }
+        scenario.at(START_MS) { scenario.state.delayCommits(0.3, 45_000) }
+        for (i in 0L..4L) scenario.at(START_MS + 2000 + i * 8000) { scenario.cancelRunningJobs(1) }
         scenario.at(START_MS + 20_000) { scenario.crashLeader(3000) }
-        scenario.play(START_MS + 60_000)
+        scenario.runToEnd(START_MS + 60_000)
     }
 
     @ParameterizedTest
@@ -111,11 +111,11 @@
     fun `the state service is slow and then unavailable while users cancel and query`(seed: Long, slowMs: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin()
-        scenario.at(START_MS) { scenario.state.slow(slowMs, 15_000) }
-        for (i in 0L..4L) scenario.at(START_MS + 1000 + i * 3500) { scenario.cancelNow(1) }
+        scenario.at(START_MS) { scenario.state.slowDown(slowMs, 15_000) }
+        for (i in 0L..4L) scenario.at(START_MS + 1000 + i * 3500) { scenario.cancelRunningJobs(1) }
         scenario.at(START_MS + 15_000) { scenario.state.outage(38_000) }
-        scenario.at(START_MS + 30_000) { scenario.cancelNow(1) }
-        scenario.play(START_MS + 60_000)
+        scenario.at(START_MS + 30_000) { scenario.cancelRunningJobs(1) }
+        scenario.runToEnd(START_MS + 60_000)
     }
 
     @ParameterizedTest
@@ -126,11 +126,13 @@
     ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
-        scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 7000 + seed % 5 * 500) } }
-        for (i in 0L..3L) scenario.at(START_MS + 200 + i * 2000) { scenario.cancelNow(1) }
+        scenario.at(
+            START_MS,
+        ) { scenario.leader()?.let { scenario.state.rejectRequestsOf(it.label, 7000 + seed % 5 * 500) } }
+        for (i in 0L..3L) scenario.at(START_MS + 200 + i * 2000) { scenario.cancelRunningJobs(1) }
         scenario.at(START_MS + 5000 + seed % 5 * 800) { scenario.state.outage(38_000) }
-        scenario.at(START_MS + 25_000) { scenario.cancelNow(2) }
-        scenario.play(START_MS + 60_000)
+        scenario.at(START_MS + 25_000) { scenario.cancelRunningJobs(2) }
+        scenario.runToEnd(START_MS + 60_000)
     }
 
     @ParameterizedTest
@@ -143,11 +145,11 @@
             for (outAfter in listOf(800L, 1000L, 1300L)) {
                 val scenario = FaultScenario(seed, leaseMs)
                 scenario.begin(jobs = 16, overMs = 60_000)
-                scenario.at(START_MS - lead) { scenario.cancelNow(5, if (seed % 3 == 0L) 6000 else 0) }
-                scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 10_000) } }
+                scenario.at(START_MS - lead) { scenario.cancelRunningJobs(5, if (seed % 3 == 0L) 6000 else 0) }
+                scenario.at(START_MS) { scenario.leader()?.let { scenario.state.rejectRequestsOf(it.label, 10_000) } }
                 scenario.at(START_MS + outAfter) { scenario.state.outage(35_000) }
                 scenario.clock.runUntil(START_MS + 80_000)
-                scenario.holds()
+                scenario.assertRulesHold()
             }
         }
     }
@@ -158,23 +160,23 @@
     fun `a held up start of a cancelled job meets an outage, and costs its machine's lease alone`(seed: Long) {
         val scenario = FaultScenario(seed, 22_000)
         scenario.simulation.withReliableNetwork()
-        scenario.begin(jobs = 0, long = 6)
+        scenario.begin(jobs = 0, longJobs = 6)
         scenario.clock.runUntil(START_MS)
         val before = scenario.rules.starts
         assertTrue(before > 0 && scenario.busy().size > 1, "the long jobs run on ${scenario.busy().size} machines")
-        scenario.network.heldMs = 33_000L..33_000L
-        scenario.network.held = 1.0
-        val id = scenario.users.submit { scenario.plain(it, "red").copy(tasks = 1) }
+        scenario.network.holdMs = 33_000L..33_000L
+        scenario.network.holdProbability = 1.0
+        val id = scenario.users.submit { scenario.longJob(it, "red").copy(tasks = 1) }
         scenario.at(START_MS + 1200) { scenario.cancel(id) }
-        scenario.at(START_MS + 2200) { scenario.network.held = 0.0 }
+        scenario.at(START_MS + 2200) { scenario.network.holdProbability = 0.0 }
         scenario.at(START_MS + 2500) { scenario.state.outage(40_000) }
         scenario.at(START_MS + 32_500) {
             scenario.cloud.workers
-                .forEach { it.mute(5000) }
+                .forEach { it.blockConnections(5000) }
         } // so that what begins is not stopped at once
         scenario.at(START_MS + 42_000) { assertTrue(scenario.leader() != null, "nobody leads in the outage") }
         scenario.clock.runUntil(START_MS + 70_000)
-        scenario.holds()
+        scenario.assertRulesHold()
         val again = scenario.rules.starts - before
         assertTrue(again <= 9, "$again of $before tasks began again")
     }
--- a/src/test/kotlin/org/chalkhollow/ConcurrentLeaderFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentLeaderFaultsTest.kt
@@ -18,7 +18,7 @@
         scenario.begin()
         scenario.at(START_MS) { scenario.crashLeader(400) }
         scenario.at(START_MS + 4000) { scenario.crashLeader(400) }
-        scenario.at(START_MS + 8000) { scenario.cancelNow(2) }
+        scenario.at(START_MS + 8000) { scenario.cancelRunningJobs(2) }
         scenario.at(START_MS + 8300) {
             scenario.nodes.forEach { it.crash() }
             scenario.clock.after(100 + 250 * (seed % 5)) { scenario.nodes[(seed % 3).toInt()].start() }
@@ -28,9 +28,9 @@
             scenario.nodes.forEach { it.crash() }
             for (node in scenario.nodes) scenario.clock.after(scenario.clock.between(50, 900)) { node.start() }
         }
-        scenario.at(START_MS + 30_000) { scenario.cancelNow(2) }
-        scenario.at(START_MS + 30_200) { scenario.leader()?.let { scenario.faults.flap(it, 4) } }
-        scenario.play(START_MS + 50_000)
+        scenario.at(START_MS + 30_000) { scenario.cancelRunningJobs(2) }
+        scenario.at(START_MS + 30_200) { scenario.leader()?.let { scenario.faults.crashRepeatedly(it, 4) } }
+        scenario.runToEnd(START_MS + 50_000)
     }
 
     @ParameterizedTest
@@ -38,7 +38,7 @@
     fun `all controllers are down for longer than the lease`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
-        scenario.at(START_MS - 100) { scenario.cancelNow(2) }
+        scenario.at(START_MS - 100) { scenario.cancelRunningJobs(2) }
         scenario.at(START_MS) {
             scenario.nodes.forEach { it.crash() }
             for (node in scenario.nodes) {
@@ -47,8 +47,8 @@
                 ) { node.start() }
             }
         }
-        scenario.at(START_MS + leaseMs - 1000) { scenario.cancelNow(2) }
-        scenario.play(START_MS + leaseMs + 15_000)
+        scenario.at(START_MS + leaseMs - 1000) { scenario.cancelRunningJobs(2) }
+        scenario.runToEnd(START_MS + leaseMs + 15_000)
     }
 
     @ParameterizedTest
@@ -61,8 +61,8 @@
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS) { scenario.leader()?.let { scenario.faults.isolate(it, 32_000, holds) } }
-        for (i in 0L..4L) scenario.at(START_MS + 500 + i * 2500) { scenario.cancelNow(1) }
-        scenario.play(START_MS + 45_000)
+        for (i in 0L..4L) scenario.at(START_MS + 500 + i * 2500) { scenario.cancelRunningJobs(1) }
+        scenario.runToEnd(START_MS + 45_000)
     }
 
     @ParameterizedTest
@@ -77,25 +77,25 @@
             if (i % 3 ==
                 1L
             ) {
-                scenario.at(START_MS + i * 12_000 - scenario.clock.between(0, 800)) { scenario.cancelNow(1) }
+                scenario.at(START_MS + i * 12_000 - scenario.clock.between(0, 800)) { scenario.cancelRunningJobs(1) }
             }
         }
         if (outage) scenario.at(START_MS + 47_000) { scenario.state.outage(30_000) }
-        scenario.play(START_MS + 135_000)
+        scenario.runToEnd(START_MS + 135_000)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `jobs of two or three tasks end far apart across a change of leader`(seed: Long) {
         val scenario = FaultScenario(seed)
-        scenario.begin(jobs = 10, long = 8) { it.copy(tasks = 2 + (it.tasks + seed.toInt()) % 2, expectedS = 40.0) }
+        scenario.begin(jobs = 10, longJobs = 8) { it.copy(tasks = 2 + (it.tasks + seed.toInt()) % 2, expectedS = 40.0) }
         for (i in 0L..4L) {
             scenario.at(START_MS + 2000 + i * 11_000) {
                 scenario.crashLeader(1500)
             }
         }
         scenario.at(START_MS + 24_100) { scenario.state.outage(9000) }
-        scenario.play(START_MS + 60_000)
+        scenario.runToEnd(START_MS + 60_000)
     }
 
     /**
@@ -106,19 +106,19 @@
     private fun voterReturns(seed: Long, awayMs: Long) {
         val scenario = FaultScenario(seed)
         scenario.simulation.withReliableNetwork()
-        scenario.begin(jobs = 0, long = 2)
+        scenario.begin(jobs = 0, longJobs = 2)
         scenario.clock.runUntil(START_MS)
         val leader = checkNotNull(scenario.leader())
         val (voter, candidate) = scenario.nodes.filter { it !== leader }
-        scenario.network.cut(leader.label, candidate.label, CUT_MS, holds = false)
-        for (node in listOf(leader, voter)) scenario.state.refuse(node.label, CUT_MS)
+        scenario.network.cut(leader.label, candidate.label, CUT_MS, deliversLater = false)
+        for (node in listOf(leader, voter)) scenario.state.rejectRequestsOf(node.label, CUT_MS)
         scenario.clock.runUntil(START_MS + 2500)
         assertTrue(leader.leads, "the lead was lost before its voter ended")
         voter.crash()
         scenario.clock.after(awayMs) { voter.start() }
         scenario.clock.runUntil(START_MS + 6000)
         assertTrue(candidate.leads, "nobody was elected")
-        scenario.holds()
+        scenario.assertRulesHold()
     }
 
     @ParameterizedTest
@@ -134,29 +134,34 @@
      */
     private fun oldLeaderAsks(seed: Long, ends: Boolean, unheardFrom: Long?): Long {
         val scenario = FaultScenario(seed)
-        scenario.begin(jobs = 0, long = 2)
+        scenario.begin(jobs = 0, longJobs = 2)
         scenario.clock.runUntil(START_MS)
         val old = checkNotNull(scenario.leader())
         val (voter, candidate) = scenario.nodes.filter { it !== old }
-        for (node in listOf(voter, candidate)) scenario.network.cut(old.label, node.label, CUT_MS, holds = false)
-        for (node in listOf(old, voter)) scenario.state.refuse(node.label, CUT_MS)
+        for (node in listOf(
+            voter,
+            candidate,
+        )) {
+            scenario.network.cut(old.label, node.label, CUT_MS, deliversLater = false)
+        }
+        for (node in listOf(old, voter)) scenario.state.rejectRequestsOf(node.label, CUT_MS)
         unheardFrom?.let { from ->
-            scenario.at(from) { scenario.network.cut(voter.label, candidate.label, 4000, holds = false) }
+            scenario.at(from) { scenario.network.cut(voter.label, candidate.label, 4000, deliversLater = false) }
         }
         while (!candidate.leads &&
-            scenario.clock.time < START_MS + 10_000
+            scenario.clock.timeMs < START_MS + 10_000
         ) {
-            scenario.clock.runUntil(scenario.clock.time + 1)
+            scenario.clock.runUntil(scenario.clock.timeMs + 1)
         }
         assertTrue(candidate.leads, "nobody was elected")
-        val electedAt = scenario.clock.time
-        scenario.network.cut(old.label, voter.label, 0, holds = false)
+        val electedAt = scenario.clock.timeMs
+        scenario.network.cut(old.label, voter.label, 0, deliversLater = false)
         if (ends) {
             voter.crash()
             scenario.clock.after(100) { voter.start() }
         }
         scenario.clock.runUntil(electedAt + 6000)
-        scenario.holds()
+        scenario.assertRulesHold()
         return electedAt
     }
 
--- a/src/test/kotlin/org/chalkhollow/ConcurrentMachineFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentMachineFaultsTest.kt
@@ -18,13 +18,13 @@
         holds: Boolean,
     ) {
         val scenario = FaultScenario(seed, leaseMs)
-        scenario.begin(jobs = 8, long = 0)
+        scenario.begin(jobs = 8, longJobs = 0)
         val ids = ArrayList<String>()
         repeat(5) {
             scenario.at(6000L + it * 200) {
                 ids.add(
                     scenario.users.submit { j ->
-                        scenario.plain(j, "red").copy(tasks = 4)
+                        scenario.longJob(j, "red").copy(tasks = 4)
                     },
                 )
             }
@@ -37,25 +37,25 @@
         repeat(4) {
             scenario.at(START_MS + 1000 + it * 1500L) {
                 scenario.users.submit { j ->
-                    scenario.plain(j, "red").copy(tasks = 5, expectedS = 30.0)
+                    scenario.longJob(j, "red").copy(tasks = 5, expectedS = 30.0)
                 }
             }
         }
         scenario.at(START_MS + 9000) { ids.drop(2).take(1).forEach(scenario::cancel) }
         scenario.at(START_MS + 14_000) { scenario.crashLeader(2000) }
-        scenario.play(START_MS + 40_000)
+        scenario.runToEnd(START_MS + 40_000)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
     fun `jobs bound to a zone, together or spread lose machines`(seed: Long) {
         val scenario = FaultScenario(seed)
-        scenario.begin(jobs = 10, long = 3)
+        scenario.begin(jobs = 10, longJobs = 3)
         repeat(3) { i ->
             scenario.at(7000L + i * 300) {
                 scenario.users.submit {
                     scenario
-                        .plain(
+                        .longJob(
                             it,
                         ).copy(workload = "bound", tasks = 5, zone = "east", expectedS = 50.0)
                 }
@@ -63,7 +63,7 @@
             scenario.at(7100L + i * 300) {
                 scenario.users.submit {
                     scenario
-                        .plain(
+                        .longJob(
                             it,
                         ).copy(workload = "together", tasks = 4, together = true, expectedS = 50.0)
                 }
@@ -71,7 +71,7 @@
             scenario.at(7200L + i * 300) {
                 scenario.users.submit {
                     scenario
-                        .plain(
+                        .longJob(
                             it,
                         ).copy(workload = "spread", tasks = 5, spread = true, expectedS = 50.0)
                 }
@@ -81,7 +81,7 @@
             scenario.cloud.workers
                 .filter {
                     it.present && it.zone == "east" && scenario.clock.chance(0.7)
-                }.forEach { scenario.cloud.kill(it.name) }
+                }.forEach { scenario.cloud.failMachine(it.name) }
         }
         scenario.at(START_MS + 8000) {
             scenario.cloud.workers
@@ -94,9 +94,9 @@
             scenario.cloud.workers
                 .filter {
                     it.present && it.zone == "east" && scenario.clock.chance(0.5)
-                }.forEach { scenario.cloud.kill(it.name) }
+                }.forEach { scenario.cloud.failMachine(it.name) }
         }
-        scenario.play(START_MS + 40_000)
+        scenario.runToEnd(START_MS + 40_000)
     }
 
     @ParameterizedTest
@@ -104,18 +104,18 @@
     fun `machines that reach no controller are reached by direct commands`(seed: Long, leaseMs: Long) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
-        scenario.at(START_MS) { scenario.busy().take(4).forEach { it.mute(leaseMs + 8000) } }
-        scenario.at(START_MS + 1000) { scenario.cancelNow(3) }
+        scenario.at(START_MS) { scenario.busy().take(4).forEach { it.blockConnections(leaseMs + 8000) } }
+        scenario.at(START_MS + 1000) { scenario.cancelRunningJobs(3) }
         scenario.at(START_MS + 3000) { scenario.crashLeader(3000) }
-        scenario.at(START_MS + 6000) { scenario.cancelNow(1) }
+        scenario.at(START_MS + 6000) { scenario.cancelRunningJobs(1) }
         scenario.at(
             START_MS + 20_000,
         ) {
             scenario.cloud.workers
                 .filter { it.present && scenario.clock.chance(0.4) }
-                .forEach { it.mute(5000) }
+                .forEach { it.blockConnections(5000) }
         }
-        scenario.play(START_MS + leaseMs + 20_000)
+        scenario.runToEnd(START_MS + leaseMs + 20_000)
     }
 
     @ParameterizedTest
@@ -124,22 +124,22 @@
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
         scenario.at(START_MS) { scenario.faults.cutZone("west", leaseMs + 12_000) }
-        scenario.at(START_MS + 500) { scenario.cancelNow(2) }
-        scenario.at(START_MS + leaseMs / 2) { scenario.cancelNow(2) }
-        scenario.play(START_MS + leaseMs + 20_000)
+        scenario.at(START_MS + 500) { scenario.cancelRunningJobs(2) }
+        scenario.at(START_MS + leaseMs / 2) { scenario.cancelRunningJobs(2) }
+        scenario.runToEnd(START_MS + leaseMs + 20_000)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `there is more work than room, urgent and not, over slow links`(seed: Long) {
         val scenario = FaultScenario(seed)
-        scenario.network.late = 0.02
-        scenario.network.loss = 0.01
-        scenario.begin(jobs = 40, long = 4)
+        scenario.network.lateProbability = 0.02
+        scenario.network.lossProbability = 0.01
+        scenario.begin(jobs = 40, longJobs = 4)
         repeat(14) { i ->
             scenario.at(START_MS + i * 2500L) {
                 scenario.users.submit {
-                    scenario.plain(it).copy(
+                    scenario.longJob(it).copy(
                         workload =
                             if (i % 2 ==
                                 0
@@ -160,12 +160,12 @@
             }
         }
         scenario.at(START_MS + 20_000) { scenario.crashLeader(3000) }
-        scenario.at(START_MS + 25_000) { scenario.cancelNow(2) }
+        scenario.at(START_MS + 25_000) { scenario.cancelRunningJobs(2) }
         scenario.at(START_MS + 70_000) {
-            scenario.network.late = 0.002
-            scenario.network.loss = 0.002
+            scenario.network.lateProbability = 0.002
+            scenario.network.lossProbability = 0.002
         }
-        scenario.play(START_MS + 100_000)
+        scenario.runToEnd(START_MS + 100_000)
     }
 
     @ParameterizedTest
@@ -181,7 +181,7 @@
             scenario.busy().forEachIndexed { i, worker ->
                 if (i % 2 == 0) return@forEachIndexed
                 if (deaf) {
-                    scenario.deafen(worker, leaseMs + 9000)
+                    scenario.cutOffResponses(worker, leaseMs + 9000)
                 } else {
                     scenario.cutOff(
                         worker,
@@ -198,8 +198,8 @@
             }
         }
         scenario.at(START_MS) { scenario.crashLeader(5000) }
-        scenario.at(START_MS + 2500) { scenario.cancelNow(2) }
+        scenario.at(START_MS + 2500) { scenario.cancelRunningJobs(2) }
         scenario.at(START_MS + 7000) { scenario.crashLeader(1000) }
-        scenario.play(START_MS + leaseMs + 25_000)
+        scenario.runToEnd(START_MS + leaseMs + 25_000)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/DuplicateMessagesTest.kt
@@ -28,13 +28,17 @@
             }
         }
         simulation.clock.runUntil(18_000)
-        val dead = simulation.cloud.workers.first { it.onMachine().isNotEmpty() }
-        simulation.cloud.kill(dead.name)
+        val dead = simulation.cloud.workers.first { it.activeTasks().isNotEmpty() }
+        simulation.cloud.failMachine(dead.name)
         for (at in 0L..90_000L step 1500) simulation.clock.after(at) { dead.repeatLastHeartbeat() }
         simulation.clock.after(5000) { simulation.nodes.filter { it.leads }.forEach { it.crash() } }
         simulation.clock.runUntil(66_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(9, simulation.rules.completions, "still waiting for a dead machine: ${simulation.rules.pending()}")
+        assertEquals(
+            9,
+            simulation.rules.completedTaskCount,
+            "still waiting for a dead machine: ${simulation.rules.unfinishedJobs()}",
+        )
     }
 
     // A worker that has forgotten an attempt begins it again when a copy of its start comes; seed 5361 of the random
--- a/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
+++ b/src/test/kotlin/org/chalkhollow/EffectDigestTest.kt
@@ -33,12 +33,12 @@
                     objectives = objectives,
                 ),
             )
-        simulation.network.copies = 0.01
+        simulation.network.copyProbability = 0.01
         simulation.begin(60, 150_000)
         repeat(4) { i -> simulation.clock.after(20_000L + 30_000 * i) { simulation.users.submitService() } }
         FaultInjection(simulation).apply {
-            draw(12, 30_000, 170_000)
-            simulation.clock.after(90_000) { mass(MassFault.entries[(seed % 7).toInt()]) }
+            injectRandom(12, 30_000, 170_000)
+            simulation.clock.after(90_000) { injectMassFault(MassFault.entries[(seed % 7).toInt()]) }
         }
         simulation.clock.runUntil(300_000)
         return digest
@@ -51,8 +51,8 @@
         digest.watch(scenario.simulation)
         scenario.begin()
         scenario.at(FaultScenario.START_MS) {
-            scenario.cancelNow(3)
-            scenario.leader()?.let { scenario.faults.flap(it, 3) }
+            scenario.cancelRunningJobs(3)
+            scenario.leader()?.let { scenario.faults.crashRepeatedly(it, 3) }
         }
         scenario.clock.runUntil(150_000)
         return digest
--- a/src/test/kotlin/org/chalkhollow/LargeFleetTest.kt
+++ b/src/test/kotlin/org/chalkhollow/LargeFleetTest.kt
@@ -30,34 +30,40 @@
         simulation.clock.after(40_000) { simulation.nodes.filter { it.leads }.forEach { it.crash() } }
         simulation.clock.runUntil(90_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertTrue(simulation.rules.completions > 200, "only ${simulation.rules.completions} tasks were completed")
+        assertTrue(
+            simulation.rules.completedTaskCount > 200,
+            "only ${simulation.rules.completedTaskCount} tasks were completed",
+        )
     }
 
     @Test
     fun `a day of several hundred machines and five controllers`() {
-        val simulation = Simulation(9, size = SimulationSize(controllers = 5, capacity = 380, scale = 25))
-        simulation.network.copies = 0.005
+        val simulation = Simulation(9, size = SimulationSize(controllers = 5, maxMachines = 380, limitFactor = 25))
+        simulation.network.copyProbability = 0.005
         simulation.begin(20, 40_000, machines = 300)
         repeat(30) {
             simulation.clock.after(
                 simulation.clock.between(0, 60_000),
             ) { simulation.users.submit { it.copy(tasks = it.tasks * 8, together = false) } }
         }
-        FaultInjection(simulation).draw(12, 10_000, 80_000)
-        simulation.clock.after(90_000) { simulation.network.copies = 0.0 }
-        simulation.rules.calmFrom = 130_000
+        FaultInjection(simulation).injectRandom(12, 10_000, 80_000)
+        simulation.clock.after(90_000) { simulation.network.copyProbability = 0.0 }
+        simulation.rules.faultFreeFromMs = 130_000
         simulation.clock.runUntil(220_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(emptyList<String>(), simulation.rules.starved())
-        assertEquals(emptyList<String>(), simulation.rules.pending(), "jobs without an end")
-        assertTrue(simulation.rules.completions > 1400, "only ${simulation.rules.completions} tasks were completed")
+        assertEquals(emptyList<String>(), simulation.rules.unfinishedJobs(), "jobs without an end")
+        assertTrue(
+            simulation.rules.completedTaskCount > 1400,
+            "only ${simulation.rules.completedTaskCount} tasks were completed",
+        )
     }
 
     @ParameterizedTest
     @ValueSource(ints = [3, 5])
     fun `mass failures of 1,600 machines break no rule and lose no job`(controllers: Int) {
         val simulation = largeFleet(20L + controllers, controllers, 1600)
-        simulation.network.copies = 0.002
+        simulation.network.copyProbability = 0.002
         simulation.begin(20, 60_000, machines = 800)
         repeat(800) { simulation.cloud.add(simulation.types[it % 2], simulation.zones[it / 2 % 2], true, 0) }
         repeat(80) {
@@ -68,10 +74,10 @@
         val faults = FaultInjection(simulation)
         val massFaults =
             listOf(
-                MassFault.MACHINES_DIE,
+                MassFault.MACHINES_FAIL,
                 MassFault.MACHINES_HANG,
                 MassFault.CONTROLLERS_RESTART,
-                MassFault.SPOT_MACHINES_TAKEN,
+                MassFault.SPOT_MACHINES_TERMINATED,
                 MassFault.ZONE_CUT_OFF,
                 MassFault.LEADER_CUT_FROM_MACHINES,
                 MassFault.ROLLING_RESTART,
@@ -79,14 +85,17 @@
             )
         for ((i, kind) in massFaults.withIndex()) {
             simulation.clock.after(12_000L + i * 13_000) {
-                faults.mass(kind)
+                faults.injectMassFault(kind)
             }
         }
-        simulation.clock.after(150_000) { simulation.network.copies = 0.0 }
-        simulation.rules.calmFrom = 190_000
+        simulation.clock.after(150_000) { simulation.network.copyProbability = 0.0 }
+        simulation.rules.faultFreeFromMs = 190_000
         simulation.clock.runUntil(280_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(emptyList<String>(), simulation.rules.starved())
-        assertTrue(simulation.rules.completions > 5000, "only ${simulation.rules.completions} tasks were completed")
+        assertTrue(
+            simulation.rules.completedTaskCount > 5000,
+            "only ${simulation.rules.completedTaskCount} tasks were completed",
+        )
     }
 }
--- a/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
@@ -35,7 +35,7 @@
             }
         }
         simulation.clock.runUntil(25_000)
-        val again = fault(simulation, simulation.cloud.workers.first { it.onMachine().isNotEmpty() })
+        val again = fault(simulation, simulation.cloud.workers.first { it.activeTasks().isNotEmpty() })
         simulation.clock.runUntil(until)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(again, simulation.rules.starts - 30)
@@ -46,15 +46,15 @@
     fun `tasks of a dead machine start elsewhere before its lease would have expired`() {
         beginAgain(
             25_000 + 16_000,
-        ) { simulation, busy -> busy.onMachine().size.also { simulation.cloud.kill(busy.name) } }
+        ) { simulation, busy -> busy.activeTasks().size.also { simulation.cloud.failMachine(busy.name) } }
     }
 
     @Test
     fun `tasks that cannot finish before the cloud takes their machine start elsewhere at once`() {
         beginAgain(25_000 + 9000) { simulation, busy ->
-            busy.onMachine().size.also {
-                busy.noticeAt =
-                    simulation.clock.time + 15_000
+            busy.activeTasks().size.also {
+                busy.terminationAtMs =
+                    simulation.clock.timeMs + 15_000
             }
         }
     }
@@ -86,7 +86,9 @@
                 )
             }
         }
-        simulation.clock.after(25_000) { FaultInjection(simulation).mass(MassFault.LEADER_CUT_FROM_MACHINES) }
+        simulation.clock.after(
+            25_000,
+        ) { FaultInjection(simulation).injectMassFault(MassFault.LEADER_CUT_FROM_MACHINES) }
         simulation.clock.runUntil(62_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(30, simulation.rules.starts, "tasks were lost with their machines' leases and started again")
--- a/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/PreemptionTest.kt
@@ -21,7 +21,7 @@
         val simulation =
             Simulation(
                 21,
-                size = SimulationSize(capacity = 4),
+                size = SimulationSize(maxMachines = 4),
                 objectives = listOf(Objective("guarantee", null, 60.0, 0.9)),
             )
         simulation.withReliableNetwork()
--- a/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMigrationDayTest.kt
@@ -19,12 +19,12 @@
     /** A service on spot machines, of which there are no more to be rented. */
     private class Day(seed: Long, machines: Int, tasks: Int, taskResources: Resources, spread: Boolean = true) {
         val simulation =
-            Simulation(seed, OperatorSettings(idleReturnS = 900.0), size = SimulationSize(capacity = machines))
+            Simulation(seed, OperatorSettings(idleReturnS = 900.0), size = SimulationSize(maxMachines = machines))
         val id: String
 
         init {
             simulation.withReliableNetwork()
-            simulation.begin(0, 1, machines = 0, firstMs = 4000)
+            simulation.begin(0, 1, machines = 0, controllerDelayMs = 4000)
             simulation.addSpotMachines(machines)
             simulation.clock.runUntil(12_000)
             id =
@@ -36,22 +36,22 @@
                         spotAllowed = true,
                     )
                 }
-            simulation.rules.calmFrom = READY_MS
+            simulation.rules.faultFreeFromMs = READY_MS
             simulation.clock.runUntil(READY_MS)
-            assertEquals(tasks, simulation.rules.services.up(id))
+            assertEquals(tasks, simulation.rules.services.upCount(id))
         }
 
-        fun replicasOn(worker: FakeWorker) = worker.onMachine().filter { it.job == id }
+        fun replicasOn(worker: FakeWorker) = worker.activeTasks().filter { it.job == id }
 
         fun mostLoaded(): FakeWorker = simulation.cloud.workers.maxBy { replicasOn(it).size }
 
         fun takeIn(worker: FakeWorker, ms: Long) {
-            worker.noticeAt = simulation.clock.time + ms
-            simulation.clock.after(ms) { simulation.cloud.kill(worker.name) }
+            worker.terminationAtMs = simulation.clock.timeMs + ms
+            simulation.clock.after(ms) { simulation.cloud.failMachine(worker.name) }
         }
 
         fun submitBatch(priority: Priority, tasks: Int, cpus: Double, expectedS: Double): String {
-            val id = "j-${simulation.clock.time + 1}"
+            val id = "j-${simulation.clock.timeMs + 1}"
             simulation.users.submit { drawn ->
                 drawn.anywhere().copy(
                     id = id,
@@ -70,7 +70,7 @@
 
         fun holds() {
             assertEquals(emptyList<String>(), simulation.rules.violations)
-            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.up(id))
+            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.upCount(id))
         }
     }
 
@@ -90,7 +90,7 @@
         assertEquals(
             1,
             day.simulation.rules.services
-                .mostDownAtOnce(day.id, READY_MS),
+                .maxDownCount(day.id, READY_MS),
             "seed $seed",
         )
         day.simulation.clock.runUntil(READY_MS + 60_000)
@@ -104,7 +104,7 @@
         val day = Day(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
         val faulty = day.mostLoaded()
         assertTrue(day.replicasOn(faulty).size > 1)
-        faulty.sick = true // what starts there from now on fails; the replicas run on
+        faulty.isFaulty = true // what starts there from now on fails; the replicas run on
         repeat(4) { i -> day.simulation.clock.after(i * 2500L) { day.submitBatch(Priority.HIGH, 12, 2.0, 4.0) } }
         day.simulation.clock.runUntil(READY_MS + 60_000)
         assertEquals(0, day.replicasOn(faulty).size, "seed $seed")
@@ -112,7 +112,7 @@
         assertEquals(
             1,
             day.simulation.rules.services
-                .mostDownAtOnce(day.id, READY_MS),
+                .maxDownCount(day.id, READY_MS),
             "seed $seed",
         )
         assertTrue(day.simulation.cloud.worker(faulty.name) == null, "${faulty.name} is still rented")
@@ -133,7 +133,7 @@
         assertEquals(
             2,
             day.simulation.rules.services
-                .up(day.id),
+                .upCount(day.id),
         )
     }
 
@@ -151,7 +151,7 @@
         assertEquals(
             4,
             day.simulation.rules.services
-                .up(day.id),
+                .upCount(day.id),
         )
         val down =
             day.simulation.rules.services
@@ -160,7 +160,7 @@
         assertEquals(
             1,
             day.simulation.rules.services
-                .mostDownAtOnce(day.id, READY_MS + 15_000),
+                .maxDownCount(day.id, READY_MS + 15_000),
             "seed $seed",
         )
     }
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -28,12 +28,12 @@
     private val next = StateLimits(40.0, 12.0, 2048, 6)
 
     private fun day(simulation: Simulation, upgrade: RollingUpgrade, faults: Int): Simulation {
-        if (faults > 0) simulation.network.copies = 0.01
+        if (faults > 0) simulation.network.copyProbability = 0.01
         simulation.begin(40, 180_000)
         upgrade.begin(30_000)
-        FaultInjection(simulation).draw(faults, 10_000, 170_000)
-        simulation.clock.after(210_000) { simulation.network.copies = 0.0 }
-        simulation.rules.calmFrom = 260_000
+        FaultInjection(simulation).injectRandom(faults, 10_000, 170_000)
+        simulation.clock.after(210_000) { simulation.network.copyProbability = 0.0 }
+        simulation.rules.faultFreeFromMs = 260_000
         simulation.clock.runUntil(480_000)
         return simulation
     }
@@ -43,7 +43,7 @@
         assertEquals(emptyList<String>(), simulation.rules.starved())
         assertTrue(simulation.rules.acceptedCount >= 36, "only ${simulation.rules.acceptedCount} jobs were accepted")
         assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were told to be done")
-        assertTrue(upgrade.loweredAt < 240_000, "the limits were not lowered")
+        assertTrue(upgrade.limitsLoweredAtMs < 240_000, "the limits were not lowered")
         for (node in simulation.nodes) {
             assertEquals(
                 true,
@@ -72,17 +72,17 @@
                     ),
                 stateLimits = now,
             )
-        val upgrade = RollingUpgrade(simulation, next, atOnce = 1 + (seed % 2).toInt())
+        val upgrade = RollingUpgrade(simulation, next, batchSize = 1 + (seed % 2).toInt())
         day(simulation, upgrade, faults = 12)
         served(simulation, upgrade)
-        assertEquals(0, simulation.state.rejections, "transactions beyond limits that were announced")
+        assertEquals(0, simulation.state.rejectedCount, "transactions beyond limits that were announced")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
     fun `limits that fall below what was announced are tolerated`(seed: Long) {
         val simulation = Simulation(seed, stateLimits = now)
-        val upgrade = RollingUpgrade(simulation, next, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
+        val upgrade = RollingUpgrade(simulation, next, batchSize = 1, finalLimits = StateLimits(40.0, 10.0, 1024, 3))
         day(simulation, upgrade, faults = 6)
         served(simulation, upgrade)
     }
@@ -90,7 +90,7 @@
     @Test
     fun `until the last controller is new, status says that an upgrade is under way`() {
         val simulation = Simulation(41, stateLimits = now)
-        val upgrade = RollingUpgrade(simulation, next, atOnce = 1)
+        val upgrade = RollingUpgrade(simulation, next, batchSize = 1)
         simulation.begin(5, 20_000)
         upgrade.begin(30_000)
         simulation.clock.runUntil(38_000)
@@ -105,10 +105,10 @@
         val simulation =
             Simulation(
                 seed,
-                size = SimulationSize(capacity = 60, scale = 12),
+                size = SimulationSize(maxMachines = 60, limitFactor = 12),
                 stateLimits = StateLimits(80.0, 40.0, 4096, 12),
             )
-        val upgrade = RollingUpgrade(simulation, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
+        val upgrade = RollingUpgrade(simulation, StateLimits(60.0, 30.0, 1024, 8), batchSize = 1)
         simulation.begin(6, 100_000, machines = 40)
         var id = ""
         // Tasks of half a second end sooner than starts can follow, also without an upgrade, so that there is always
@@ -145,22 +145,22 @@
                     "${written.cardinality()} of $most completions are left in the records",
                 )
                 most = written.cardinality()
-                if (simulation.clock.time < UPGRADE_MS) atUpgrade = most
+                if (simulation.clock.timeMs < UPGRADE_MS) atUpgrade = most
                 checks++
             }
             simulation.clock.after(100) { watch() }
         }
         simulation.clock.after(10_000) { watch() }
-        simulation.rules.calmFrom = 250_000
+        simulation.rules.faultFreeFromMs = 250_000
         simulation.clock.runUntil(900_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(0, simulation.state.rejections)
+        assertEquals(0, simulation.state.rejectedCount)
         assertTrue(checks > 500 && most > 10_000, "$most completions seen in $checks checks")
         assertTrue(
             atUpgrade in 4000..18_000,
             "$atUpgrade completions were in the records when the first new leader could read them",
         )
-        assertTrue(simulation.rules.isDone(id), "${simulation.rules.completions} tasks were completed")
+        assertTrue(simulation.rules.isDone(id), "${simulation.rules.completedTaskCount} tasks were completed")
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
@@ -1,10 +1,10 @@
 package org.chalkhollow
 
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.DeliberateErrors
 import org.chalkhollow.simulation.FaultInjection
-import org.chalkhollow.simulation.Sabotage
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.simulation.playRandomDay
+import org.chalkhollow.simulation.runRandomScenario
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
@@ -15,7 +15,7 @@
         for (seed in 1L..12L) {
             val simulation = make(seed)
             try {
-                playRandomDay(simulation, faults = 14)
+                runRandomScenario(simulation, faults = 14)
             } catch (expected: IllegalStateException) {
                 seen.add("fake") // a fake found its protocol broken
             }
@@ -32,7 +32,10 @@
 
     @Test
     fun `a lease taken for shorter than it is makes tasks run twice`() {
-        val seen = violations { seed -> Simulation(seed, leaseMs = 40_000, sabotage = Sabotage(toldLeaseS = 3.0)) }
+        val seen =
+            violations { seed ->
+                Simulation(seed, leaseMs = 40_000, deliberateErrors = DeliberateErrors(configuredLeaseS = 3.0))
+            }
         assertTrue("ran_twice" in seen, "only $seen")
     }
 
@@ -40,8 +43,8 @@
     fun `late copies of heartbeats that pass for new ones are noticed`() {
         val seen = HashSet<String>()
         for (seed in 1L..6L) {
-            val simulation = Simulation(seed, sabotage = Sabotage(copiesLookNew = true))
-            simulation.network.copies = 0.05
+            val simulation = Simulation(seed, deliberateErrors = DeliberateErrors(copiesLookNew = true))
+            simulation.network.copyProbability = 0.05
             simulation.begin(40, 100_000)
             simulation.clock.runUntil(200_000)
             simulation.rules.violations.mapTo(seen) { it.substringBefore(' ') }
@@ -54,7 +57,10 @@
         val seen = HashSet<String>()
         for (seed in 1L..12L) {
             val simulation =
-                Simulation(seed, sabotage = Sabotage(oddOptions = OperatorSettings(followerLeaseMs = 20_000)))
+                Simulation(
+                    seed,
+                    deliberateErrors = DeliberateErrors(differingOptions = OperatorSettings(followerLeaseMs = 20_000)),
+                )
             simulation.begin(0, 1)
             simulation.clock.after(
                 15_000,
@@ -72,7 +78,7 @@
         simulation.clock.after(25_000) { simulation.state.outage(1_000_000) }
         simulation.clock.after(30_000) { simulation.nodes.forEach { it.crash() } }
         simulation.clock.after(35_000) { simulation.nodes.forEach { it.start() } }
-        simulation.rules.calmFrom = 40_000
+        simulation.rules.faultFreeFromMs = 40_000
         simulation.clock.runUntil(160_000)
         assertTrue(
             simulation.rules.violations.any { it.startsWith("forgotten") },
@@ -82,7 +88,10 @@
 
     @Test
     fun `a limit taken for higher than it is breaks the quota`() {
-        val seen = violations { seed -> Simulation(seed, sabotage = Sabotage(toldLimitFactor = 2.0)) }
+        val seen =
+            violations { seed ->
+                Simulation(seed, deliberateErrors = DeliberateErrors(configuredLimitFactor = 2.0))
+            }
         assertTrue("quota" in seen, "only $seen")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.simulation.SimulatedController
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.simulation.quietSimulation
+import org.chalkhollow.simulation.faultFreeSimulation
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -15,16 +15,16 @@
 class ServiceAdmissionTest {
     private fun answer(simulation: Simulation, node: SimulatedController, map: Map<String, Any?>): Int {
         var status = -1
-        simulation.users.submitRaw(Pack.encode(map), node) { status = it }
-        simulation.clock.runUntil(simulation.clock.time + 3000)
+        simulation.users.submitBody(Pack.encode(map), node) { status = it }
+        simulation.clock.runUntil(simulation.clock.timeMs + 3000)
         return status
     }
 
     @Test
     fun `a service that can never run whole is refused, by every controller`() {
-        val simulation = quietSimulation(5)
+        val simulation = faultFreeSimulation(5)
         val service =
-            simulation.users.drawService().copy(
+            simulation.users.randomService().copy(
                 team = "red",
                 tasks = 5,
                 taskResources = Resources(8.0, 0.0, 1.6),
@@ -68,8 +68,8 @@
 
     @Test
     fun `a service that lacks a field or has an invalid one is malformed, also for a follower`() {
-        val simulation = quietSimulation(6)
-        val whole = UserCodec.map(simulation.users.drawService())
+        val simulation = faultFreeSimulation(6)
+        val whole = UserCodec.map(simulation.users.randomService())
         val lacking =
             listOf(
                 "nameId",
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.simulation.Sabotage
+import org.chalkhollow.simulation.DeliberateErrors
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -19,7 +19,7 @@
 
     private fun started(simulation: Simulation): Simulation {
         simulation.withReliableNetwork()
-        simulation.begin(0, 1, machines = 6, firstMs = 4000)
+        simulation.begin(0, 1, machines = 6, controllerDelayMs = 4000)
         simulation.clock.runUntil(12_000)
         return simulation
     }
@@ -29,7 +29,7 @@
     private fun played(untilMs: Long, sentAs: (JobSpec) -> JobSpec, change: (JobSpec) -> JobSpec): Played {
         val simulation = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
         val id = simulation.users.submitService(sentAs) { change(it.copy(tasks = 4)) }
-        simulation.rules.calmFrom = 20_000
+        simulation.rules.faultFreeFromMs = 20_000
         simulation.clock.runUntil(untilMs)
         return Played(simulation, id)
     }
@@ -38,7 +38,7 @@
     fun `a service that is said to be done is noticed`() {
         for (sabotaged in listOf(false, true)) {
             val day = played(20_000) { if (sabotaged) it.copy(shape = Shape.ARRAY) else it }
-            for (worker in day.simulation.cloud.workers) for (i in 0..3) worker.end(day.id, i, ExitCause.DONE)
+            for (worker in day.simulation.cloud.workers) for (i in 0..3) worker.endReplica(day.id, i, ExitCause.DONE)
             day.simulation.clock.runUntil(40_000)
             assertEquals(if (sabotaged) setOf("not_done") else emptySet(), day.rules)
         }
@@ -52,9 +52,9 @@
         assertEquals(
             4,
             well.simulation.rules.services
-                .up(well.id),
+                .upCount(well.id),
         )
-        assertEquals(1.0, well.simulation.rules.upShare(well.id, 6000), 1e-9)
+        assertEquals(1.0, well.simulation.rules.availability(well.id, 6000), 1e-9)
         val poor = played(56_000) { it.copy(tasks = 3) }
         assertEquals(setOf("replica_down"), poor.rules)
         assertTrue(
@@ -66,9 +66,9 @@
         assertEquals(
             3,
             poor.simulation.rules.services
-                .up(poor.id),
+                .upCount(poor.id),
         )
-        assertEquals(0.75, poor.simulation.rules.upShare(poor.id, 6000), 1e-9)
+        assertEquals(0.75, poor.simulation.rules.availability(poor.id, 6000), 1e-9)
     }
 
     @Test
@@ -91,7 +91,7 @@
                         Simulation(
                             4,
                             OperatorSettings(idleReturnS = 900.0),
-                            sabotage = Sabotage(toldLimitFactor = factor),
+                            deliberateErrors = DeliberateErrors(configuredLimitFactor = factor),
                         ),
                     )
                 repeat(2) { simulation.users.submitService { it.copy(team = "red", tasks = 24, spread = false) } }
@@ -110,12 +110,12 @@
                         4,
                         OperatorSettings(idleReturnS = 900.0),
                         leaseMs = 100_000,
-                        sabotage = Sabotage(toldLeaseS = 8.0),
+                        deliberateErrors = DeliberateErrors(configuredLeaseS = 8.0),
                     ),
                 )
             val id = simulation.users.submitService { it.copy(tasks = 4, spread = false) }
             simulation.clock.runUntil(20_000)
-            val worker = simulation.cloud.workers.first { it.onMachine().isNotEmpty() }
+            val worker = simulation.cloud.workers.first { it.activeTasks().isNotEmpty() }
             for (node in simulation.nodes) simulation.network.cut(node.label, worker.name, 60_000, true)
             if (withdrawn) simulation.users.cancel(id)
             simulation.clock.runUntil(60_000)
@@ -151,8 +151,8 @@
         val day = played(20_000) { it }
         val worker =
             day.simulation.cloud.workers
-                .first { it.onMachine().isNotEmpty() }
-        val replicas = worker.onMachine().size
+                .first { it.activeTasks().isNotEmpty() }
+        val replicas = worker.activeTasks().size
         worker.hang(4000)
         day.simulation.clock.runUntil(30_000)
         assertEquals(
@@ -165,7 +165,7 @@
         assertEquals(
             1 - 0.1 * replicas,
             day.simulation.rules.services
-                .share(day.id, 20_000, 30_000),
+                .availability(day.id, 20_000, 30_000),
             0.01,
         )
         assertEquals(4, day.simulation.rules.starts)
@@ -176,9 +176,9 @@
         val simulation = started(Simulation(4, OperatorSettings(idleReturnS = 900.0)))
         for (tasks in listOf(40, 4)) {
             simulation.users.submitService { it.copy(team = "red", tasks = tasks, spread = false) }
-            simulation.clock.runUntil(simulation.clock.time + 10_000)
+            simulation.clock.runUntil(simulation.clock.timeMs + 10_000)
         }
-        simulation.rules.calmFrom = 30_000
+        simulation.rules.faultFreeFromMs = 30_000
         simulation.clock.runUntil(150_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(40, simulation.rules.starts)
--- a/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceMovesTest.kt
@@ -22,33 +22,33 @@
      */
     private class Running(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
         val simulation =
-            Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, size = SimulationSize(capacity = 20))
+            Simulation(seed, OperatorSettings(idleReturnS = 900.0), leaseMs, size = SimulationSize(maxMachines = 20))
         val id: String
 
         init {
             simulation.withReliableNetwork()
-            simulation.begin(0, 1, if (spot) 0 else machines, firstMs = 4000)
+            simulation.begin(0, 1, if (spot) 0 else machines, controllerDelayMs = 4000)
             if (spot) simulation.addSpotMachines(machines)
             simulation.clock.runUntil(12_000)
             id = simulation.users.submitService { it.copy(tasks = tasks, spotAllowed = spot) }
-            simulation.rules.calmFrom = READY_MS
+            simulation.rules.faultFreeFromMs = READY_MS
             simulation.clock.runUntil(READY_MS)
-            assertEquals(tasks, simulation.rules.services.up(id))
+            assertEquals(tasks, simulation.rules.services.upCount(id))
         }
 
-        fun at(ms: Long, run: () -> Unit) = simulation.clock.after(ms - simulation.clock.time, run)
+        fun at(ms: Long, run: () -> Unit) = simulation.clock.after(ms - simulation.clock.timeMs, run)
 
         fun holds() {
             assertEquals(emptyList<String>(), simulation.rules.violations)
             assertEquals(emptyList<String>(), simulation.rules.starved())
-            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.up(id))
+            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.upCount(id))
         }
     }
 
     /** What befalls a machine, and whether its lease has to be over before its replicas may begin elsewhere. */
     enum class Fault(private val waitsForLease: Boolean, private val heartbeatMs: Long = 2500) {
         DIES(true) {
-            override fun strike(simulation: Simulation, worker: FakeWorker) = simulation.cloud.kill(worker.name)
+            override fun strike(simulation: Simulation, worker: FakeWorker) = simulation.cloud.failMachine(worker.name)
         },
         HANGS(true) {
             override fun strike(simulation: Simulation, worker: FakeWorker) = worker.hang(60_000)
@@ -72,14 +72,14 @@
         /** The cloud says 15 s before that it takes the machine. */
         TAKEN(false) {
             override fun strike(simulation: Simulation, worker: FakeWorker) {
-                worker.noticeAt = simulation.clock.time + 15_000
-                simulation.clock.after(15_000) { simulation.cloud.kill(worker.name) }
+                worker.terminationAtMs = simulation.clock.timeMs + 15_000
+                simulation.clock.after(15_000) { simulation.cloud.failMachine(worker.name) }
             }
         },
         SICK(false) {
             override fun strike(simulation: Simulation, worker: FakeWorker) {
-                worker.sick = true
-                for (t in worker.onMachine()) worker.end(t.job, t.index, ExitCause.ERROR)
+                worker.isFaulty = true
+                for (t in worker.activeTasks()) worker.endReplica(t.job, t.index, ExitCause.ERROR)
             }
         }, ;
 
@@ -102,11 +102,11 @@
             val running = Running(seed, leaseMs, spot = fault == Fault.TAKEN)
             val struck =
                 running.simulation.cloud.workers
-                    .first { it.onMachine().isNotEmpty() }
+                    .first { it.activeTasks().isNotEmpty() }
             fault.strike(running.simulation, struck)
             running.simulation.clock.runUntil(READY_MS + leaseMs + 30_000)
             running.holds()
-            assertTrue(struck.onMachine().isEmpty(), "seed $seed: replicas are back on ${struck.name}")
+            assertTrue(struck.activeTasks().isEmpty(), "seed $seed: replicas are back on ${struck.name}")
             val down =
                 running.simulation.rules.services
                     .longestDownMs(running.id, READY_MS)
@@ -159,7 +159,7 @@
             assertEquals(starts, simulation.rules.starts, "$loss, seed $seed: replicas began again")
             assertEquals(
                 1.0,
-                simulation.rules.services.share(running.id, READY_MS, simulation.clock.time),
+                simulation.rules.services.availability(running.id, READY_MS, simulation.clock.timeMs),
                 1e-9,
                 "$loss, seed $seed",
             )
@@ -178,7 +178,7 @@
     ): Pair<Simulation, List<String>> {
         val running = Running(seed, 8000, machines = 8, tasks = 6)
         val simulation = running.simulation
-        neverUp?.let { simulation.cloud.neverUp = it }
+        neverUp?.let { simulation.cloud.neverUpProbability = it }
         val other =
             simulation.users.submitService {
                 it.copy(
@@ -189,16 +189,16 @@
                 )
             }
         simulation.clock.runUntil(READY_MS + 10_000)
-        assertEquals(5, simulation.rules.services.up(other))
+        assertEquals(5, simulation.rules.services.upCount(other))
         for (at in 0L until 300_000 step everyMs) {
             running.at(READY_MS + 10_000 + at) {
-                val up = simulation.cloud.workers.filter { it.onMachine().isNotEmpty() }
-                if (up.isNotEmpty()) simulation.cloud.kill(up[simulation.clock.random.nextInt(up.size)].name)
+                val up = simulation.cloud.workers.filter { it.activeTasks().isNotEmpty() }
+                if (up.isNotEmpty()) simulation.cloud.failMachine(up[simulation.clock.random.nextInt(up.size)].name)
             }
         }
         simulation.clock.runUntil(READY_MS + 360_000)
         running.holds()
-        assertEquals(5, simulation.rules.services.up(other))
+        assertEquals(5, simulation.rules.services.upCount(other))
         return simulation to listOf(running.id, other)
     }
 
@@ -240,7 +240,7 @@
     fun `a service withdrawn while its machines are out of reach is gone in time`(seed: Long) {
         val running = Running(seed, 16_000)
         val simulation = running.simulation
-        val busy = simulation.cloud.workers.filter { it.onMachine().isNotEmpty() }
+        val busy = simulation.cloud.workers.filter { it.activeTasks().isNotEmpty() }
         for (worker in busy) {
             for (node in simulation.nodes) {
                 simulation.network.cut(
@@ -254,8 +254,8 @@
         simulation.users.cancel(running.id)
         simulation.clock.runUntil(READY_MS + 2000 + simulation.cancelMs)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals("aborted", simulation.users.statesTold(running.id).last())
-        assertTrue(simulation.cloud.workers.all { it.onMachine().isEmpty() })
+        assertEquals("aborted", simulation.users.reportedStates(running.id).last())
+        assertTrue(simulation.cloud.workers.all { it.activeTasks().isEmpty() })
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/ServicePriorityTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServicePriorityTest.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.asBatch
 import org.chalkhollow.simulation.assertRulesHold
-import org.chalkhollow.simulation.quietSimulation
+import org.chalkhollow.simulation.faultFreeSimulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -30,9 +30,9 @@
         val late = ArrayList<String>()
         for (seed in 1L..3L) {
             val simulation =
-                quietSimulation(
+                faultFreeSimulation(
                     seed,
-                    capacity =
+                    maxMachines =
                         if (full ==
                             Full.ITS_LIMIT
                         ) {
@@ -47,14 +47,14 @@
             simulation.clock.runUntil(25_000)
             assertEquals(full.red + full.blue, simulation.rules.starts, "the machines are not full")
             val id = simulation.users.submitService { it.copy(team = "red", tasks = 4) }
-            simulation.rules.calmFrom = 25_000
+            simulation.rules.faultFreeFromMs = 25_000
             simulation.clock.runUntil(60_000)
             simulation.rules.violations.mapTo(late) { "seed $seed: ${it.substringBefore(" since")}" }
             val down = simulation.rules.services.longestDownMs(id, 25_000)
             if (down >
                 10_000
             ) {
-                late.add("seed $seed: a replica began after $down ms, ${simulation.rules.services.up(id)} run")
+                late.add("seed $seed: a replica began after $down ms, ${simulation.rules.services.upCount(id)} run")
             }
         }
         assertEquals(emptyList<String>(), late)
@@ -62,7 +62,7 @@
 
     /** A day of one team's batch work, with or without services that take 8 of its 40 CPUs. */
     private fun batchDay(seed: Long, services: Int): Simulation {
-        val simulation = quietSimulation(seed)
+        val simulation = faultFreeSimulation(seed)
         repeat(services) { simulation.users.submitService { it.copy(team = "red", tasks = 4) } }
         for (i in 0L..29L) {
             simulation.clock.after(2000 + i * 4000) {
@@ -81,7 +81,7 @@
                 }
             }
         }
-        simulation.rules.calmFrom = 25_000
+        simulation.rules.faultFreeFromMs = 25_000
         simulation.clock.runUntil(260_000)
         return simulation
     }
@@ -93,14 +93,14 @@
         assertEquals(30, without.rules.doneCount)
         val with = batchDay(seed, 2)
         with.assertRulesHold()
-        assertEquals(30, with.rules.doneCount, "with services ${with.rules.pending()}")
+        assertEquals(30, with.rules.doneCount, "with services ${with.rules.unfinishedJobs()}")
         assertEquals(30, without.rules.onTimeCount)
         assertEquals(30, with.rules.onTimeCount)
     }
 
     @Test
     fun `urgent, late and patient batch work goes on beside services`() {
-        val simulation = quietSimulation(6, patienceS = 90.0, machines = 4)
+        val simulation = faultFreeSimulation(6, patienceS = 90.0, machines = 4)
         val services = List(3) { i -> simulation.users.submitService { it.copy(team = if (i == 0) "red" else "blue") } }
         for (i in 0 until 500) {
             simulation.clock.after(1000 + i * 800L) {
@@ -116,14 +116,14 @@
                 }
             }
         }
-        simulation.rules.calmFrom = 30_000
+        simulation.rules.faultFreeFromMs = 30_000
         simulation.clock.runUntil(420_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(emptyList<String>(), simulation.rules.starved().filter { "wide" in it || "portal" in it })
         for (id in services) {
             assertTrue(
-                simulation.rules.upShare(id, 15_000) > 0.998,
-                "$id served ${simulation.rules.upShare(id, 15_000)}",
+                simulation.rules.availability(id, 15_000) > 0.998,
+                "$id served ${simulation.rules.availability(id, 15_000)}",
             )
         }
     }
--- a/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
@@ -39,7 +39,7 @@
         simulation.clock.runUntil(90_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(0, sentToDeaf, "seed $seed: commands went to a machine that hears nothing")
-        val waiting = simulation.rules.pending()
+        val waiting = simulation.rules.unfinishedJobs()
         assertEquals(1, simulation.rules.doneCount, "a job waits for a machine that hears nothing: $waiting")
     }
 
@@ -72,13 +72,13 @@
                 expectedS = 5.0,
             )
         }
-        val acceptedBy = simulation.clock.time
+        val acceptedBy = simulation.clock.timeMs
         simulation.clock.runUntil(acceptedBy + 25_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(
             1,
             simulation.rules.doneCount,
-            "a job waits for a machine that hears nothing: ${simulation.rules.pending()}",
+            "a job waits for a machine that hears nothing: ${simulation.rules.unfinishedJobs()}",
         )
         simulation.clock.runUntil(120_000)
         assertTrue(simulation.cloud.workers.none { it.name == deaf.name }, "it is still paid for")
--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -38,14 +38,14 @@
         FIRST(1),
         ;
 
-        val recorded: List<Recording.Line> by lazy { Recording.kept("version-$number") }
+        val recorded: List<Recording.Line> by lazy { Recording.load("version-$number") }
 
-        val frames: List<Recording.Line> get() = recorded.filter { it.of == "peer" }
+        val frames: List<Recording.Line> get() = recorded.filter { it.source == "peer" }
 
         fun records(prefix: String): List<Recording.Line> =
             recorded
                 .filter {
-                    it.of == "state" && it.name.startsWith(prefix)
+                    it.source == "state" && it.name.startsWith(prefix)
                 }.also { assertTrue(it.isNotEmpty(), "no $prefix") }
     }
 
@@ -72,7 +72,7 @@
                 "fleet/images",
             ),
             version.recorded
-                .filter { it.of == "state" }
+                .filter { it.source == "state" }
                 .map { Recording.kind(it.name, it.bytes) }
                 .toSet(),
         )
@@ -198,12 +198,12 @@
     fun `a version's own recording is within what production reads`(version: Version) {
         for (line in version.recorded) {
             assertNull(
-                if (line.of ==
+                if (line.source ==
                     "peer"
                 ) {
-                    ProductionForm.frame(line.bytes)
+                    ProductionFormat.frame(line.bytes)
                 } else {
-                    ProductionForm.record(line.name, line.bytes)
+                    ProductionFormat.record(line.name, line.bytes)
                 },
             )
         }
@@ -215,29 +215,29 @@
         var writes = 0
         var frames = 0
         for (seed in 31L..33L) {
-            Recording.day(
+            Recording.simulate(
                 seed,
                 { key, bytes ->
                     writes++
-                    ProductionForm.record(key, bytes)?.let(foreign::add)
+                    ProductionFormat.record(key, bytes)?.let(foreign::add)
                 },
                 { frame ->
                     frames++
-                    ProductionForm.frame(frame)?.let(foreign::add)
+                    ProductionFormat.frame(frame)?.let(foreign::add)
                 },
             )
         }
         assertEquals(emptySet<String>(), foreign)
         assertTrue(writes > 1000 && frames > 1000, "$writes writes, $frames frames")
-        assertNull(ProductionForm.frame(Frames.encode(PeerMessage.Hello("b", 1, PeerMessage.VERSION))))
+        assertNull(ProductionFormat.frame(Frames.encode(PeerMessage.Hello("b", 1, PeerMessage.VERSION))))
     }
 
     @Test
     fun `a form that production does not read is found`() {
         fun foreign(key: String, value: Map<String, Any?>) =
-            assertNotNull(ProductionForm.record(key, Pack.encode(value)), "$key $value")
+            assertNotNull(ProductionFormat.record(key, Pack.encode(value)), "$key $value")
         val lead = mapOf("owner" to "a", "life" to 1L, "generation" to 1L, "writes" to 0L)
-        assertNull(ProductionForm.record("ch/lead", Pack.encode(lead)))
+        assertNull(ProductionFormat.record("ch/lead", Pack.encode(lead)))
         foreign("ch/lead", lead - "writes")
         foreign("ch/lead", lead + ("version" to 1L))
         foreign("ch/lead", lead + ("life" to "x"))
@@ -260,9 +260,9 @@
         )) {
             foreign(open.name, fields(open).map + ("j" to spec + change))
         }
-        assertNotNull(ProductionForm.frame(Frames.encode(PeerMessage.ForwardedRequest(1, 4, "j-1", ByteArray(0)))))
-        assertNotNull(ProductionForm.frame(NewMessages.gossip()))
-        assertNotNull(ProductionForm.frame(NewMessages.releaseWithReason()))
+        assertNotNull(ProductionFormat.frame(Frames.encode(PeerMessage.ForwardedRequest(1, 4, "j-1", ByteArray(0)))))
+        assertNotNull(ProductionFormat.frame(FutureMessages.gossip()))
+        assertNotNull(ProductionFormat.frame(FutureMessages.releaseWithReason()))
     }
 
     @Test
--- a/src/test/kotlin/org/chalkhollow/compat/NewMessages.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/FutureMessages.kt
@@ -7,7 +7,7 @@
 
 /** Messages in forms that no version has had so far. */
 @OptIn(ExperimentalSerializationApi::class)
-object NewMessages {
+object FutureMessages {
     @Serializable
     private sealed interface Later {
         @Serializable
--- a/src/test/kotlin/org/chalkhollow/compat/ProductionForm.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/ProductionFormat.kt
@@ -15,7 +15,7 @@
  * it, else why not. It is stricter than production, which ignores unknown fields: a new field has to be entered here as
  * one of those ([IGNORED]), by somebody who has thought of what becomes of it when production writes the record again.
  */
-object ProductionForm {
+object ProductionFormat {
     private class Foreign(why: String) : Exception(why)
 
     /** Kinds of records and messages with the fields that production does not know and ignores. */
--- a/src/test/kotlin/org/chalkhollow/compat/Recording.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/Recording.kt
@@ -19,16 +19,16 @@
  * BASE64` and `peer KIND BASE64`, one a line.
  */
 object Recording {
-    class Line(val of: String, val name: String, val bytes: ByteArray)
+    class Line(val source: String, val name: String, val bytes: ByteArray)
 
-    private const val EACH = 3
+    private const val LINES_PER_KIND = 3
 
     /** A field whose map has names of machines for keys. */
     private const val MACHINES = "held"
-    private val NAMED_VALUES = setOf("shape", "urgency")
+    private val ENUM_FIELDS = setOf("shape", "urgency")
 
     /** What a controller says first on a connection; its process makes it, which takes no part in the recorded days. */
-    private val GREETING = PeerMessage.Hello("b", 12_345_678_901, PeerMessage.VERSION)
+    private val HELLO = PeerMessage.Hello("b", 12_345_678_901, PeerMessage.VERSION)
 
     /** What kind of record [value] under [key] is. */
     fun kind(key: String, value: ByteArray): String {
@@ -48,7 +48,7 @@
     }
 
     /** A day on which every kind is written; [onWrite] and [onFrame] get all of it. */
-    fun day(seed: Long, onWrite: (String, ByteArray) -> Unit, onFrame: (ByteArray) -> Unit): Simulation {
+    fun simulate(seed: Long, onWrite: (String, ByteArray) -> Unit, onFrame: (ByteArray) -> Unit): Simulation {
         val simulation = Simulation(seed)
         simulation.state.onWrite = { key, bytes -> if (bytes != null) onWrite(key, bytes) }
         simulation.onFrame = onFrame
@@ -71,7 +71,7 @@
                 )
             }
         }
-        FaultInjection(simulation).draw(4, 50_000, 70_000)
+        FaultInjection(simulation).injectRandom(4, 50_000, 70_000)
         simulation.clock.after(25_000) {
             // an election, and a leader that steps down
             simulation.nodes.firstOrNull { it.leads }?.let { n ->
@@ -80,15 +80,15 @@
             }
         }
         simulation.clock.after(40_000) {
-            simulation.nodes.firstOrNull { it.leads }?.let { simulation.state.refuse(it.label, 8000) }
+            simulation.nodes.firstOrNull { it.leads }?.let { simulation.state.rejectRequestsOf(it.label, 8000) }
         }
         simulation.clock.runUntil(120_000)
         return simulation
     }
 
     /**
-     * Records the days of [seeds] into [path]: the first [EACH] of each kind, and further ones that have a field
-     * or a named value which those before them lack.
+     * Runs a simulation for each of [seeds] and writes to [path] the first [LINES_PER_KIND] records or messages of each
+     * kind. Later ones are added if they have a field or an enum value that no earlier one has.
      */
     fun record(seeds: LongRange, path: Path) {
         val found = sortedMapOf<String, ArrayList<String>>()
@@ -97,7 +97,7 @@
         fun note(kind: String, name: String, bytes: ByteArray, features: Set<String>) {
             val lines = found.getOrPut(kind) { ArrayList() }
             val adds = covered.addAll(features.map { "$kind $it" })
-            if (lines.size < EACH || adds) lines.add("$name ${Base64.getEncoder().encodeToString(bytes)}")
+            if (lines.size < LINES_PER_KIND || adds) lines.add("$name ${Base64.getEncoder().encodeToString(bytes)}")
         }
 
         fun noteFrame(frame: ByteArray) {
@@ -106,13 +106,13 @@
             note(kind, kind, frame, features(message, frame))
         }
         for (seed in seeds) {
-            day(
+            simulate(
                 seed,
                 { key, bytes -> note("state ${kind(key, bytes)}", "state $key", bytes, features(Pack.decode(bytes))) },
                 ::noteFrame,
             )
         }
-        noteFrame(Frames.encode(GREETING))
+        noteFrame(Frames.encode(HELLO))
         Files.createDirectories(path.parent)
         Files.write(path, found.values.flatten())
     }
@@ -137,7 +137,7 @@
         val fields = (value as? Map<*, *>).orEmpty()
         return fields.entries
             .flatMap { (name, inner) ->
-                val named = if (name in NAMED_VALUES) setOf("$name=$inner") else emptySet()
+                val named = if (name in ENUM_FIELDS) setOf("$name=$inner") else emptySet()
                 val within = if (name == MACHINES) emptySet() else features(inner)
                 named + name.toString() + within
             }.toSet()
@@ -165,14 +165,14 @@
     }
 
     /** The recordings kept with the tests, by version. */
-    fun kept(name: String): List<Line> {
+    fun load(name: String): List<Line> {
         val text =
             checkNotNull(
                 Recording::class.java.getResource("/compat/$name.txt"),
             ) { "no recording $name" }.readText()
         return text.lines().filter { it.isNotBlank() }.map { line ->
-            val (of, key, bytes) = line.split(' ')
-            Line(of, key, Base64.getDecoder().decode(bytes))
+            val (source, key, bytes) = line.split(' ')
+            Line(source, key, Base64.getDecoder().decode(bytes))
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/WaitingTest.kt
@@ -19,7 +19,7 @@
             Simulation(
                 17,
                 OperatorSettings(idleReturnS = 900.0),
-                size = SimulationSize(capacity = capacity),
+                size = SimulationSize(maxMachines = capacity),
                 objectives = objectives,
             ).withReliableNetwork()
         simulation.begin(0, 1, machines = 0)
@@ -33,7 +33,7 @@
 
     private fun Simulation.assertDone(jobs: Int) {
         assertEquals(emptyList<String>(), rules.violations)
-        assertEquals(jobs, rules.doneCount, "jobs still pending: ${rules.pending()}")
+        assertEquals(jobs, rules.doneCount, "jobs still pending: ${rules.unfinishedJobs()}")
     }
 
     // Guards against a permanent exclusion: machines on which a job had failed were never used for it again, although
@@ -52,7 +52,7 @@
             )
         }
         simulation.clock.runUntil(40_000)
-        simulation.cloud.workers.forEach { it.sick = true }
+        simulation.cloud.workers.forEach { it.isFaulty = true }
         simulation.users.submit {
             it.unconstrained().copy(
                 id = "j-1",
@@ -62,7 +62,7 @@
             )
         }
         simulation.clock.runUntil(52_000)
-        simulation.cloud.workers.forEach { it.sick = false }
+        simulation.cloud.workers.forEach { it.isFaulty = false }
         simulation.clock.runUntil(140_000)
         simulation.assertDone(jobs = 1)
     }
@@ -115,7 +115,7 @@
                 )
             }
         simulation.clock.runUntil(25_000)
-        assertEquals(4, simulation.rules.services.up(service))
+        assertEquals(4, simulation.rules.services.upCount(service))
         simulation.users.submit {
             it.unconstrained().copy(
                 id = "j-2",
@@ -128,7 +128,7 @@
                 dueS = null,
             )
         }
-        simulation.rules.calmFrom = 25_000
+        simulation.rules.faultFreeFromMs = 25_000
         simulation.clock.runUntil(125_000)
         simulation.assertDone(jobs = 1)
     }
--- a/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/common/DroppedInputsTest.kt
@@ -66,8 +66,8 @@
         val simulation = electedSimulation(1)
         simulation.users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 300.0) }
         simulation.clock.runUntil(40_000)
-        val worker = simulation.cloud.workers.single { it.onMachine().isNotEmpty() }
-        val sendOldHeartbeat = worker.keepHeartbeat()
+        val worker = simulation.cloud.workers.single { it.activeTasks().isNotEmpty() }
+        val sendOldHeartbeat = worker.captureHeartbeat()
         simulation.clock.runUntil(50_000)
         assertEquals(
             mapOf(DroppedInput.HEARTBEAT_LATE to 1L),
@@ -90,8 +90,8 @@
     @Test
     fun `the reply to a command with a heartbeat that is older than the last one is counted`() {
         val simulation = electedSimulation(2)
-        simulation.network.heldMs = 1400L..1450L
-        simulation.network.held = 1.0
+        simulation.network.holdMs = 1400L..1450L
+        simulation.network.holdProbability = 1.0
         val drops =
             dropsOf(simulation.leader) {
                 repeat(20) { simulation.users.submit { it.copy(types = null, zone = null, expectedS = 1.0) } }
@@ -107,16 +107,19 @@
         val leader = simulation.indexAt(follower.label, simulation.leader.label)
         val responses = ArrayList<PeerMessage.ForwardedResponse>()
         simulation.onFrame = { frame -> (Frames.decode(frame) as? PeerMessage.ForwardedResponse)?.let(responses::add) }
-        follower.user(UserRequest.Query("j-000001")) {}
+        follower.receiveRequest(UserRequest.Query("j-000001")) {}
         simulation.clock.runUntil(16_000)
         val response = responses.single()
         val repeated = Frames.encode(response)
-        assertEquals(mapOf(DroppedInput.MESSAGE_LATE to 1L), dropsOf(follower) { follower.peer(leader, repeated) })
+        assertEquals(
+            mapOf(DroppedInput.MESSAGE_LATE to 1L),
+            dropsOf(follower) { follower.receiveFrame(leader, repeated) },
+        )
         val ofOtherIncarnation =
             Frames.encode(PeerMessage.ForwardedResponse(response.seq - 1_000_000, 200, ByteArray(0), 0))
         assertEquals(
             mapOf(DroppedInput.MESSAGE_OTHER_INCARNATION to 1L),
-            dropsOf(follower) { follower.peer(leader, ofOtherIncarnation) },
+            dropsOf(follower) { follower.receiveFrame(leader, ofOtherIncarnation) },
         )
     }
 
--- a/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
@@ -25,7 +25,7 @@
     @Test
     fun `the leader tells of jobs, teams and machines`() {
         val id = simulation.users.submit { it.copy(tasks = 3, types = null, zone = null, expectedS = 100.0) }
-        simulation.clock.runUntil(simulation.clock.time + 60_000)
+        simulation.clock.runUntil(simulation.clock.timeMs + 60_000)
         val status = checkNotNull(leader.status()) { "does not run" }
         assertTrue(status.leads && status.ready)
         assertEquals(leader.label, status.leader)
--- a/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/requests/RequestHandlerTest.kt
@@ -36,8 +36,8 @@
         waitMs: Long = 1900,
     ): Effect.Response {
         var response: Effect.Response? = null
-        node.user(request) { response = it }
-        clock.runUntil(clock.time + waitMs)
+        node.receiveRequest(request) { response = it }
+        clock.runUntil(clock.timeMs + waitMs)
         return checkNotNull(response) { "no response" }
     }
 
@@ -55,7 +55,7 @@
     /** A job that the workers know, carried out. */
     private fun Simulation.done(): String {
         val id = users.submit { it.copy(tasks = 1, types = null, zone = null, expectedS = 1.0) }
-        clock.runUntil(clock.time + 40_000)
+        clock.runUntil(clock.timeMs + 40_000)
         return id
     }
 
@@ -69,15 +69,15 @@
     @Test
     fun `a job whose record the state service refuses is answered 503 and not accepted, and others are`() {
         val simulation = electedSimulation(4)
-        simulation.state.lowered = StateLimits(80.0, 20.0, 400, 12)
+        simulation.state.loweredLimits = StateLimits(80.0, 20.0, 400, 12)
         val large = body("j-000004", "flavours" to List(12) { "type-$it-" + "x".repeat(40) } + "small")
         assertEquals(503, simulation.response(simulation.leader, submission(large)).status)
         assertEquals(201, simulation.response(simulation.leader, submission(body("j-000005"))).status)
         assertEquals(404, simulation.response(simulation.leader, UserRequest.Query("j-000004")).status)
-        assertTrue(simulation.state.rejections > 0)
-        simulation.state.lowered = null
+        assertTrue(simulation.state.rejectedCount > 0)
+        simulation.state.loweredLimits = null
         assertEquals(201, simulation.response(simulation.leader, submission(large)).status)
-        simulation.state.lowered = StateLimits(80.0, 20.0, 400, 12)
+        simulation.state.loweredLimits = StateLimits(80.0, 20.0, 400, 12)
         val gone = simulation.response(simulation.leader, UserRequest.Cancel("j-000004"))
         assertEquals(200 to "aborted", gone.status to state(gone))
     }
@@ -85,7 +85,7 @@
     @Test
     fun `tasks start although the state service refuses large markers, and hints it refuses are dropped`() {
         val simulation = electedSimulation(5)
-        simulation.state.lowered = StateLimits(80.0, 20.0, 600, 3)
+        simulation.state.loweredLimits = StateLimits(80.0, 20.0, 600, 3)
         repeat(6) {
             simulation.users.submit {
                 it.copy(
@@ -99,12 +99,12 @@
                 )
             }
         }
-        simulation.clock.runUntil(simulation.clock.time + 150_000)
-        assertTrue(simulation.state.rejections > 0)
+        simulation.clock.runUntil(simulation.clock.timeMs + 150_000)
+        assertTrue(simulation.state.rejectedCount > 0)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(6, simulation.rules.acceptedCount)
-        val completions = simulation.rules.completions
-        assertTrue(completions >= 72, "$completions tasks were completed: ${simulation.rules.pending()}")
+        val completions = simulation.rules.completedTaskCount
+        assertTrue(completions >= 72, "$completions tasks were completed: ${simulation.rules.unfinishedJobs()}")
     }
 
     @Test
@@ -131,7 +131,7 @@
             it.crash()
             simulation.clock.after(3000) { it.start() }
         }
-        simulation.clock.runUntil(simulation.clock.time + 30_000)
+        simulation.clock.runUntil(simulation.clock.timeMs + 30_000)
         for (bad in malformed(id)) simulation.expectResponse(200, "done", submission(bad))
     }
 
@@ -140,11 +140,11 @@
         val simulation = electedSimulation(4)
         simulation.state.outage(10_000)
         var accepted: Effect.Response? = null
-        simulation.leader.user(submission(body("j-000004"))) { accepted = it }
+        simulation.leader.receiveRequest(submission(body("j-000004"))) { accepted = it }
         simulation.expectResponse(503, null, submission(malformed("j-000004").first()))
         simulation.expectResponse(400, null, submission(malformed("j-000005").first()))
         assertEquals(503, accepted?.status)
-        simulation.clock.runUntil(simulation.clock.time + 20_000)
+        simulation.clock.runUntil(simulation.clock.timeMs + 20_000)
         simulation.expectResponse(200, "queued", submission(malformed("j-000004").first()))
     }
 
@@ -160,7 +160,7 @@
             )
         for (bad in never) simulation.expectResponse(422, null, submission(bad))
         simulation.state.outage(25_000)
-        simulation.clock.runUntil(simulation.clock.time + 3000)
+        simulation.clock.runUntil(simulation.clock.timeMs + 3000)
         for (bad in never) simulation.expectResponse(422, null, submission(bad))
         simulation.expectResponse(503, null, submission(body("j-000006")))
     }
@@ -196,8 +196,8 @@
     fun `a request of a kind that only a newer version knows is put off and does nothing`() {
         val simulation = electedSimulation(8)
         assertEquals(201, simulation.response(simulation.leader, submission(body("j-000010"))).status)
-        simulation.leader.peer(0, Frames.encode(PeerMessage.ForwardedRequest(1, 9, "j-000010", ByteArray(0))))
-        simulation.clock.runUntil(simulation.clock.time + 1000)
+        simulation.leader.receiveFrame(0, Frames.encode(PeerMessage.ForwardedRequest(1, 9, "j-000010", ByteArray(0))))
+        simulation.clock.runUntil(simulation.clock.timeMs + 1000)
         assertTrue(state(simulation.response(simulation.leader, UserRequest.Query("j-000010"))) != "aborted")
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -14,8 +14,8 @@
 
     private val keys = TreeMap<String, Entry>()
     private var revision = 1L
-    private var outageUntil = 0L
-    private val refusedUntil = HashMap<String, Long>()
+    private var outageUntilMs = 0L
+    private val rejectedUntilMs = HashMap<String, Long>()
 
     /** Sabotage for tests of the checks: conditions always hold. */
     var ignoresConditions = false
@@ -25,20 +25,20 @@
      * Limits that hold from now on, in the way of the real service: what is beyond them is refused and not a fault of
      * the test.
      */
-    var lowered: StateLimits? = null
+    var loweredLimits: StateLimits? = null
         set(value) {
             field = value
             tokens = value?.writeRps ?: 0.0
-            refilledAt = clock.time
+            refilledAtMs = clock.timeMs
         }
 
     /** How many transactions were refused for their size and for the rate since the limits were [lowered]. */
-    var rejections = 0
+    var rejectedCount = 0
         private set
-    var throttled = 0
+    var throttledCount = 0
         private set
     private var tokens = 0.0
-    private var refilledAt = 0L
+    private var refilledAtMs = 0L
 
     /** What is stored under [prefix]. */
     fun stored(prefix: String): Map<String, Any?> =
@@ -47,17 +47,17 @@
         }
 
     /** What the [lowered] limits say to [op]; null when it is within them. */
-    private fun beyondLowered(op: StateOp.Commit): StateReply? {
-        val now = lowered ?: return null
+    private fun checkLoweredLimits(op: StateOp.Commit): StateReply? {
+        val now = loweredLimits ?: return null
         val large = op.changes.firstOrNull { c -> (c.value?.let { Pack.encode(it).size } ?: 0) > now.valueBytes }
         if (large != null || op.changes.size > now.txnOps || op.conditions.size > now.txnOps * 4) {
-            rejections++
+            rejectedCount++
             return StateReply.Rejected(if (large != null) "value of ${large.key} is too large" else "too many changes")
         }
-        tokens = minOf(now.writeRps, tokens + (clock.time - refilledAt) * now.writeRps / 1000)
-        refilledAt = clock.time
+        tokens = minOf(now.writeRps, tokens + (clock.timeMs - refilledAtMs) * now.writeRps / 1000)
+        refilledAtMs = clock.timeMs
         if (tokens < op.changes.size) {
-            throttled++
+            throttledCount++
             return StateReply.Unavailable
         }
         tokens -= op.changes.size
@@ -68,73 +68,76 @@
     var onWrite: (String, ByteArray?) -> Unit = { _, _ -> }
 
     fun outage(forMs: Long) {
-        outageUntil = clock.time + forMs
+        outageUntilMs = clock.timeMs + forMs
     }
 
-    fun refuse(node: String, forMs: Long) {
-        refusedUntil[node] = clock.time + forMs
+    fun rejectRequestsOf(node: String, forMs: Long) {
+        rejectedUntilMs[node] = clock.timeMs + forMs
     }
 
-    private var lateUntil = 0L
-    private var lateShare = 0.0
-    private var slowUntil = 0L
-    private var slowMs = 0L
+    private var delayUntilMs = 0L
+    private var delayedFraction = 0.0
+    private var slowUntilMs = 0L
+    private var slowResponseMs = 0L
 
     /** For [forMs], [share] of the commits get no answer and are carried out 2 to 12 s later, after newer ones. */
-    fun lateWrites(share: Double, forMs: Long) {
-        lateShare = share
-        lateUntil = clock.time + forMs
+    fun delayCommits(fraction: Double, forMs: Long) {
+        delayedFraction = fraction
+        delayUntilMs = clock.timeMs + forMs
     }
 
     /** For [forMs], answers take about [ms]; requests are carried out somewhere on the way. */
-    fun slow(ms: Long, forMs: Long) {
-        slowMs = ms
-        slowUntil = clock.time + forMs
+    fun slowDown(responseMs: Long, forMs: Long) {
+        slowResponseMs = responseMs
+        slowUntilMs = clock.timeMs + forMs
     }
 
     /** Runs [op] for [node]; [reply] comes once, at the latest after the caller's time-out. */
     fun call(node: String, op: StateOp, reply: (StateReply) -> Unit) {
-        var answered = false
+        var replied = false
 
-        fun answer(result: StateReply) {
-            if (!answered) {
-                answered = true
+        fun replyOnce(result: StateReply) {
+            if (!replied) {
+                replied = true
                 reply(result)
             }
         }
-        clock.after(TIMEOUT_MS) { answer(StateReply.NoResponse) }
+        clock.after(TIMEOUT_MS) { replyOnce(StateReply.NoResponse) }
         network.send(node, NAME) {
             if (op is StateOp.Commit) {
-                network.copyAfter()?.let { late ->
-                    clock.after(late) { if (clock.time >= outageUntil) execute(op) }
+                network.drawCopyDelayMs()?.let { delayMs ->
+                    clock.after(delayMs) { if (clock.timeMs >= outageUntilMs) execute(op) }
                 }
             }
-            if (clock.time < slowUntil) {
-                clock.after(clock.between(slowMs / 4, slowMs / 2)) {
-                    serve(node, op) { result -> clock.after(clock.between(slowMs / 4, slowMs)) { answer(result) } }
+            if (clock.timeMs < slowUntilMs) {
+                clock.after(clock.between(slowResponseMs / 4, slowResponseMs / 2)) {
+                    serve(
+                        node,
+                        op,
+                    ) { result -> clock.after(clock.between(slowResponseMs / 4, slowResponseMs)) { replyOnce(result) } }
                 }
             } else {
-                serve(node, op, ::answer)
+                serve(node, op, ::replyOnce)
             }
         }
     }
 
-    private fun serve(node: String, op: StateOp, answer: (StateReply) -> Unit) {
-        if (clock.time < outageUntil || clock.time < (refusedUntil[node] ?: 0)) {
-            network.send(NAME, node) { answer(StateReply.Unavailable) }
+    private fun serve(node: String, op: StateOp, respond: (StateReply) -> Unit) {
+        if (clock.timeMs < outageUntilMs || clock.timeMs < (rejectedUntilMs[node] ?: 0)) {
+            network.send(NAME, node) { respond(StateReply.Unavailable) }
             return
         }
-        if (op is StateOp.Commit && clock.time < lateUntil && clock.chance(lateShare)) {
-            clock.after(clock.between(2000, 12_000)) { executeOnceUp(op) }
+        if (op is StateOp.Commit && clock.timeMs < delayUntilMs && clock.chance(delayedFraction)) {
+            clock.after(clock.between(2000, 12_000)) { executeAfterOutage(op) }
             return
         }
         val result = execute(op)
-        network.send(NAME, node) { answer(result) }
+        network.send(NAME, node) { respond(result) }
     }
 
-    private fun executeOnceUp(op: StateOp) {
-        if (clock.time < outageUntil) {
-            clock.after(outageUntil - clock.time + clock.between(1, 50)) { executeOnceUp(op) }
+    private fun executeAfterOutage(op: StateOp) {
+        if (clock.timeMs < outageUntilMs) {
+            clock.after(outageUntilMs - clock.timeMs + clock.between(1, 50)) { executeAfterOutage(op) }
         } else {
             execute(op)
         }
@@ -154,15 +157,15 @@
                         .takeWhile {
                             it.key.startsWith(op.prefix)
                         }.map { KeyValue(it.key, it.value.value, it.value.revision) }
-                        .take(PAGE + 1)
+                        .take(PAGE_SIZE + 1)
                         .toList()
-                StateReply.Page(KeyValuePage(rows.take(PAGE), rows.size > PAGE))
+                StateReply.Page(KeyValuePage(rows.take(PAGE_SIZE), rows.size > PAGE_SIZE))
             }
             is StateOp.Commit -> commit(op)
         }
 
     private fun commit(op: StateOp.Commit): StateReply {
-        beyondLowered(op)?.let { return it }
+        checkLoweredLimits(op)?.let { return it }
         check(op.changes.size <= limits.txnOps) { "${op.changes.size} changes in a transaction" }
         check(op.conditions.size <= limits.txnOps * 4) { "${op.conditions.size} conditions in a transaction" }
         for (change in op.changes) onWrite(change.key, change.value?.let(Pack::encode))
@@ -188,6 +191,6 @@
     companion object {
         const val NAME = "state"
         private const val TIMEOUT_MS = 1500L
-        private const val PAGE = 20
+        private const val PAGE_SIZE = 20
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeTask.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeTask.kt
@@ -3,10 +3,10 @@
 import org.chalkhollow.model.ExitCause
 import org.chalkhollow.model.TaskStatus
 
-/** A task by the start that a controller sent at [sentAt]. */
-class FakeTask(val job: String, val index: Int, val attempt: Long, val sentAt: Long) {
+/** A task by the start that a controller sent at [sentAtMs]. */
+class FakeTask(val job: String, val index: Int, val attempt: Long, val sentAtMs: Long) {
     /** When it will have completed, once it runs. */
-    var endsAt = 0L
+    var endsAtMs = 0L
     var phase = TaskStatus.Phase.FETCHING
     var cause: ExitCause? = null
     val name get() = "$job/$index"
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
@@ -11,7 +11,7 @@
     private val clock = simulation.clock
     private val byAttempt = LinkedHashMap<String, FakeTask>()
 
-    /** Names of tasks that were completed here. */
+    /** Names of tasks that were completed counted. */
     private val completed = HashSet<String>()
 
     /** Every task, also those that have exited and were not forgotten yet. */
@@ -19,16 +19,16 @@
 
     fun clear() = byAttempt.clear()
 
-    /** Carries out [command], which a controller sent at [sentAt]. */
-    fun execute(command: Command, sentAt: Long) {
+    /** Carries out [command], which a controller sent at [sentAtMs]. */
+    fun execute(command: Command, sentAtMs: Long) {
         val key = "${command.jobId}/${command.index}#${command.attempt}"
         val known = byAttempt[key]
         when (command) {
-            is Command.Start -> if (known == null) start(key, command, sentAt)
+            is Command.Start -> if (known == null) start(key, command, sentAtMs)
             is Command.Stop -> if (known != null && !known.exited) stop(known, command.graceS, key)
             is Command.Forget -> if (known?.exited == true) byAttempt.remove(key)
         }
-        worker.changed()
+        worker.requestHeartbeat()
     }
 
     /**
@@ -41,38 +41,39 @@
             task.phase == TaskStatus.Phase.SAVING -> if (graceS <= 0.0) exit(task, ExitCause.HALTED)
             task.phase == TaskStatus.Phase.RUNNING && spec != null && spec.checkpointS > 0 && graceS >= spec.saveS -> {
                 task.phase = TaskStatus.Phase.SAVING
-                at(task, (spec.saveS * 1000).toLong(), key) { exit(task, ExitCause.HALTED) }
+                later(task, (spec.saveS * 1000).toLong(), key) { exit(task, ExitCause.HALTED) }
             }
             else -> exit(task, ExitCause.HALTED)
         }
     }
 
-    private fun start(key: String, command: Command.Start, sentAt: Long) {
-        val task = FakeTask(command.jobId, command.index, command.attempt, sentAt)
-        val same = all.any { it.name == task.name && !it.exited }
+    private fun start(key: String, command: Command.Start, sentAtMs: Long) {
+        val task = FakeTask(command.jobId, command.index, command.attempt, sentAtMs)
+        val alreadyRuns = all.any { it.name == task.name && !it.exited }
         val spec = simulation.users.spec(command.jobId)
         byAttempt[key] = task
         when {
             spec == null -> exit(task, ExitCause.NO_SUCH)
-            same -> exit(task, ExitCause.BUSY)
-            usedCpus() > worker.type.room.cpus + ROUNDING -> exit(task, ExitCause.FULL)
-            else -> at(task, clock.between(200, 3000), key) { begin(task, spec, key) }
+            alreadyRuns -> exit(task, ExitCause.BUSY)
+            usedCpus() > worker.type.room.cpus + ROUNDING_TOLERANCE -> exit(task, ExitCause.FULL)
+            else -> later(task, clock.between(200, 3000), key) { startRunning(task, spec, key) }
         }
     }
 
     /**
-     * Whether fetching, running and saving tasks leave room for a task of [spec]; with [stopsLower], those of lower
+     * Whether fetching, running and saving tasks leave room for a task of [spec]; with [preemptsLower], those of lower
      * priority do not count.
      */
-    fun hasRoomFor(spec: JobSpec, stopsLower: Boolean = false): Boolean {
+    fun hasCapacityFor(spec: JobSpec, preemptsLower: Boolean = false): Boolean {
         val room = worker.type.room
-        val here =
+        val counted =
             all
                 .filter { !it.exited }
                 .mapNotNull { simulation.users.spec(it.job) }
-                .filter { !stopsLower || it.priority <= spec.priority }
-        return here.sumOf { it.taskResources.cpus } + spec.taskResources.cpus <= room.cpus + ROUNDING &&
-            here.sumOf { it.taskResources.memoryGb } + spec.taskResources.memoryGb <= room.memoryGb + ROUNDING
+                .filter { !preemptsLower || it.priority <= spec.priority }
+        return counted.sumOf { it.taskResources.cpus } + spec.taskResources.cpus <= room.cpus + ROUNDING_TOLERANCE &&
+            counted.sumOf { it.taskResources.memoryGb } + spec.taskResources.memoryGb <=
+            room.memoryGb + ROUNDING_TOLERANCE
     }
 
     private fun usedCpus(): Double {
@@ -80,34 +81,34 @@
         return specs.sumOf { it?.taskResources?.cpus ?: 0.0 }
     }
 
-    private fun begin(task: FakeTask, spec: JobSpec, key: String) {
+    private fun startRunning(task: FakeTask, spec: JobSpec, key: String) {
         task.phase = TaskStatus.Phase.RUNNING
-        simulation.rules.touched()
+        simulation.rules.machinesChanged()
         simulation.rules.started(task, spec, worker)
-        worker.changed()
-        if (spec.shape == Shape.SERVICE) return serve(task, key)
+        worker.requestHeartbeat()
+        if (spec.shape == Shape.SERVICE) return runReplica(task, key)
         if (task.name in completed) return exit(task, ExitCause.DONE)
         val ms = (spec.expectedS * 1000 * (0.5 + clock.random.nextDouble())).toLong()
-        task.endsAt = clock.time + ms
-        simulation.users.runs(task, ms)
-        at(task, if (worker.sick) FAILS_AFTER_MS else ms, key) {
-            if (task.phase != TaskStatus.Phase.RUNNING) return@at // it was told to save and ends by that
-            if (!worker.sick) {
+        task.endsAtMs = clock.timeMs + ms
+        simulation.users.taskStarted(task, ms)
+        later(task, if (worker.isFaulty) FAULTY_RUN_MS else ms, key) {
+            if (task.phase != TaskStatus.Phase.RUNNING) return@later // it was told to save and ends by that
+            if (!worker.isFaulty) {
                 completed.add(task.name)
                 simulation.rules.completed(task)
             }
-            exit(task, if (worker.sick) ExitCause.ERROR else ExitCause.DONE)
+            exit(task, if (worker.isFaulty) ExitCause.ERROR else ExitCause.DONE)
         }
     }
 
     /** A replica runs until it is stopped, or until [end]; on a sick machine it fails. */
-    private fun serve(task: FakeTask, key: String) {
-        task.endsAt = Long.MAX_VALUE
-        if (worker.sick) at(task, FAILS_AFTER_MS, key) { exit(task, ExitCause.ERROR) }
+    private fun runReplica(task: FakeTask, key: String) {
+        task.endsAtMs = Long.MAX_VALUE
+        if (worker.isFaulty) later(task, FAULTY_RUN_MS, key) { exit(task, ExitCause.ERROR) }
     }
 
-    /** Replica [index] of service [job] ends by itself here; false if it does not run here. */
-    fun end(job: String, index: Int, cause: ExitCause): Boolean {
+    /** Replica [index] of service [job] ends by itself here; false if it does not run counted. */
+    fun endReplica(job: String, index: Int, cause: ExitCause): Boolean {
         val task =
             all.firstOrNull { it.job == job && it.index == index && it.phase == TaskStatus.Phase.RUNNING }
                 ?: return false
@@ -116,11 +117,11 @@
     }
 
     /** Goes on with [task] later, if it is still there; a hanging machine goes on when it resumes. */
-    private fun at(task: FakeTask, ms: Long, key: String, run: () -> Unit) {
+    private fun later(task: FakeTask, ms: Long, key: String, run: () -> Unit) {
         clock.after(ms) {
             if (worker.dead || byAttempt[key] !== task || task.exited) return@after
             if (worker.hanging) {
-                at(task, worker.hangUntil - clock.time + 1, key, run)
+                later(task, worker.hangUntilMs - clock.timeMs + 1, key, run)
             } else {
                 worker.expire()
                 if (byAttempt[key] === task) run()
@@ -131,7 +132,7 @@
     private fun exit(task: FakeTask, cause: ExitCause) {
         task.phase = TaskStatus.Phase.EXITED
         task.cause = cause
-        worker.changed()
+        worker.requestHeartbeat()
     }
 
     /** Tasks that run or save. */
@@ -140,9 +141,9 @@
 
     private companion object {
         /** Sums of floating-point numbers may be this much off. */
-        const val ROUNDING = 1e-6
+        const val ROUNDING_TOLERANCE = 1e-6
 
         /** How long a task on a sick machine runs. */
-        const val FAILS_AFTER_MS = 300L
+        const val FAULTY_RUN_MS = 300L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -24,81 +24,81 @@
     private var up = false
     var dead = false
         private set
-    var hangUntil = 0L
+    var hangUntilMs = 0L
         private set
     private var epoch = 1L
     private var seq = 0L
     private var fencingToken = 0L
-    private var target = 0
-    private var leaseFrom = 0L
+    private var targetIndex = 0
+    private var leaseStartMs = 0L
     private var inFlight = false
-    private var lastHeartbeatAt = 0L
-    private var heartbeatDueAt = 0L
-    private val repeated = HashSet<Effect.WorkerCommand>()
-    var sick = false
-    var noticeAt = 0L
+    private var lastHeartbeatAtMs = 0L
+    private var heartbeatDueAtMs = 0L
+    private val duplicatedCommands = HashSet<Effect.WorkerCommand>()
+    var isFaulty = false
+    var terminationAtMs = 0L
 
     val present: Boolean get() = up && !dead
 
     fun boot() {
         up = true
-        leaseFrom = clock.time
-        target = clock.random.nextInt(simulation.nodes.size)
+        leaseStartMs = clock.timeMs
+        targetIndex = clock.random.nextInt(simulation.nodes.size)
         tick()
     }
 
-    fun gone() {
+    fun shutDown() {
         dead = true
         tasks.clear()
     }
 
     fun hang(forMs: Long) {
-        hangUntil = clock.time + forMs
-        if (simulation.verbose) println("${clock.time} $name hangs for $forMs")
+        hangUntilMs = clock.timeMs + forMs
+        if (simulation.verbose) println("${clock.timeMs} $name hangs for $forMs")
     }
 
-    private var muteUntil = 0L
+    private var blockedUntilMs = 0L
 
     /** For [forMs] no connection to any controller can be opened, while direct commands come and are answered. */
-    fun mute(forMs: Long) {
-        muteUntil = clock.time + forMs
-        if (simulation.verbose) println("${clock.time} $name is mute for $forMs")
+    fun blockConnections(forMs: Long) {
+        blockedUntilMs = clock.timeMs + forMs
+        if (simulation.verbose) println("${clock.timeMs} $name is mute for $forMs")
     }
 
-    /** Up, awake, well, not to be taken, and answered lately: a machine that work can be given to. */
+    /** Up, awake, well, not to be taken, and answered lately: a machine that work can be receivedToken to. */
     val usable: Boolean
         get() =
-            present && !hanging && !sick && noticeAt == 0L && clock.time >= muteUntil &&
-                clock.time - leaseFrom < simulation.heartbeatMs * 2 + 1000
+            present && !hanging && !isFaulty && terminationAtMs == 0L && clock.timeMs >= blockedUntilMs &&
+                clock.timeMs - leaseStartMs < simulation.heartbeatMs * 2 + 1000
 
-    val hanging: Boolean get() = clock.time < hangUntil
+    val hanging: Boolean get() = clock.timeMs < hangUntilMs
 
     private fun tick() {
         if (dead) return
         clock.after(100) { tick() }
         expire() // a machine that hangs resumes within its lease or not at all with these tasks
         if (hanging) return
-        if (!inFlight && clock.time >= heartbeatDueAt) heartbeat()
+        if (!inFlight && clock.timeMs >= heartbeatDueAtMs) heartbeat()
     }
 
     /** Ends this epoch and its tasks if the lease has expired. */
     fun expire() {
-        if (clock.time - leaseFrom <= leaseMs) return
-        if (simulation.verbose) println("${clock.time} $name lease expired, epoch $epoch ends")
+        if (clock.timeMs - leaseStartMs <= leaseMs) return
+        if (simulation.verbose) println("${clock.timeMs} $name lease expired, epoch $epoch ends")
         tasks.clear()
         epoch++
-        leaseFrom = clock.time
-        changed()
+        leaseStartMs = clock.timeMs
+        requestHeartbeat()
     }
 
     /** What is on this machine has changed: the next heartbeat is due soon. */
-    fun changed() {
-        heartbeatDueAt = minOf(heartbeatDueAt, maxOf(clock.time, lastHeartbeatAt + 500))
+    fun requestHeartbeat() {
+        heartbeatDueAtMs = minOf(heartbeatDueAtMs, maxOf(clock.timeMs, lastHeartbeatAtMs + 500))
     }
 
     private fun snapshot(): WorkerHeartbeat {
         seq++
-        val notice = if (noticeAt > 0) (noticeAt - clock.time) / 1000.0 else null
+        val notice = if (terminationAtMs > 0) (terminationAtMs - clock.timeMs) / 1000.0 else null
         return WorkerHeartbeat(
             name,
             name,
@@ -119,17 +119,17 @@
         tasks.clear()
         epoch++
         fencingToken = 0
-        leaseFrom = clock.time
-        lastHeartbeatAt = 0
-        heartbeatDueAt = clock.time
+        leaseStartMs = clock.timeMs
+        lastHeartbeatAtMs = 0
+        heartbeatDueAtMs = clock.timeMs
     }
 
-    /** A copy of a heartbeat turns up late, at whichever controller; nobody waits for the answer. */
-    private fun copyLater(heartbeat: WorkerHeartbeat) {
-        val late = simulation.network.copyAfter() ?: return
-        clock.after(late) {
-            val looks =
-                if (simulation.sabotage.copiesLookNew) {
+    /** A copy of a heartbeat turns up late, at whichever controller; nobody waits for the response. */
+    private fun deliverCopyLater(heartbeat: WorkerHeartbeat) {
+        val delayMs = simulation.network.drawCopyDelayMs() ?: return
+        clock.after(delayMs) {
+            val copy =
+                if (simulation.deliberateErrors.copiesLookNew) {
                     heartbeat.copy(
                         seq = seq + 1,
                         epoch = epoch,
@@ -137,115 +137,124 @@
                 } else {
                     heartbeat
                 }
-            simulation.nodes[clock.random.nextInt(simulation.nodes.size)].heartbeat(name, WorkerForm.encode(looks)) {}
+            simulation.nodes[
+                clock.random.nextInt(
+                    simulation.nodes.size,
+                ),
+            ].receiveHeartbeat(name, WorkerWireFormat.encode(copy)) {}
         }
     }
 
     /**
      * Holds the heartbeat of now back and delivers it [afterMs] later to whoever leads then, though others came before.
      */
-    fun holdHeartbeat(afterMs: Long) {
-        val body = WorkerForm.encode(snapshot())
+    fun delayHeartbeat(afterMs: Long) {
+        val body = WorkerWireFormat.encode(snapshot())
         clock.after(afterMs) {
             val node = simulation.nodes.firstOrNull { it.leads } ?: simulation.nodes.first()
-            node.heartbeat(name, body) {}
+            node.receiveHeartbeat(name, body) {}
         }
     }
 
     /** Keeps a heartbeat as it is now, to be delivered whenever what is returned is called. */
-    fun keepHeartbeat(): (SimulatedController) -> Unit {
-        val body = WorkerForm.encode(snapshot())
-        return { it.heartbeat(name, body) {} }
+    fun captureHeartbeat(): (SimulatedController) -> Unit {
+        val body = WorkerWireFormat.encode(snapshot())
+        return { it.receiveHeartbeat(name, body) {} }
     }
 
     /** Sabotage for tests of the checks: takes a start for [job] as if a controller had sent it now. */
-    fun startUnasked(job: String) {
-        execute(Command.Start(job, 0, 1_000_000L + clock.time), clock.time)
+    fun startUnrequested(job: String) {
+        execute(Command.Start(job, 0, 1_000_000L + clock.timeMs), clock.timeMs)
     }
 
     /** Delivers its last heartbeat once more, to every controller. */
     fun repeatLastHeartbeat() {
-        val body = WorkerForm.encode(lastHeartbeat ?: return)
-        simulation.nodes.forEach { it.heartbeat(name, body) {} }
+        val body = WorkerWireFormat.encode(lastHeartbeat ?: return)
+        simulation.nodes.forEach { it.receiveHeartbeat(name, body) {} }
     }
 
     private var lastHeartbeat: WorkerHeartbeat? = null
 
     /** Delivers the last direct start once more, though it was carried out. */
     fun repeatLastStart() {
-        direct(lastStart ?: return, 0) {}
+        receiveCommand(lastStart ?: return, 0) {}
     }
 
     private var lastStart: Effect.WorkerCommand? = null
 
     private fun heartbeat() {
-        if (clock.time < muteUntil) return nextNode()
+        if (clock.timeMs < blockedUntilMs) return tryNextController()
         val heartbeat = snapshot()
         lastHeartbeat = heartbeat
-        copyLater(heartbeat)
-        val sentAt = clock.time
-        lastHeartbeatAt = sentAt
-        heartbeatDueAt = sentAt + clock.between(simulation.heartbeatMs * 3 / 4, simulation.heartbeatMs * 5 / 4)
+        deliverCopyLater(heartbeat)
+        val sentAtMs = clock.timeMs
+        lastHeartbeatAtMs = sentAtMs
+        heartbeatDueAtMs = sentAtMs + clock.between(simulation.heartbeatMs * 3 / 4, simulation.heartbeatMs * 5 / 4)
         inFlight = true
-        val node = simulation.nodes[target]
-        var settled = false
+        val node = simulation.nodes[targetIndex]
+        var finished = false
 
-        fun settle(run: () -> Unit) {
-            if (settled || dead) return
-            settled = true
+        fun finishOnce(run: () -> Unit) {
+            if (finished || dead) return
+            finished = true
             inFlight = false
             run()
         }
-        clock.after(4000) { settle(::nextNode) }
+        clock.after(4000) { finishOnce(::tryNextController) }
         simulation.network.send(name, node.label) {
-            val heard =
-                node.heartbeat(name, WorkerForm.encode(heartbeat)) { answer ->
-                    val answeredAt = clock.time
+            val delivered =
+                node.receiveHeartbeat(name, WorkerWireFormat.encode(heartbeat)) { response ->
+                    val respondedAtMs = clock.timeMs
                     simulation.network.send(node.label, name) {
-                        if (!hanging) settle { answered(answer, heartbeat, sentAt, answeredAt) }
+                        if (!hanging) finishOnce { handleResponse(response, heartbeat, sentAtMs, respondedAtMs) }
                     }
                 }
-            if (!heard) simulation.network.send(node.label, name) { settle(::nextNode) }
+            if (!delivered) simulation.network.send(node.label, name) { finishOnce(::tryNextController) }
         }
     }
 
-    private fun nextNode() {
-        target = (target + 1) % simulation.nodes.size
-        heartbeatDueAt = clock.time + 1000
+    private fun tryNextController() {
+        targetIndex = (targetIndex + 1) % simulation.nodes.size
+        heartbeatDueAtMs = clock.timeMs + 1000
     }
 
-    private fun answered(answer: Effect.Response, heartbeat: WorkerHeartbeat, sentAt: Long, answeredAt: Long) {
-        val body = answer.body?.let(Pack::decodeMap)
-        if (answer.status == 421) {
-            val to = simulation.nodes.indexOfFirst { it.label == body?.textOrNull("overseer") }
-            if (to < 0 || to == target) return nextNode()
-            target = to
-            heartbeatDueAt = clock.time
+    private fun handleResponse(
+        response: Effect.Response,
+        heartbeat: WorkerHeartbeat,
+        sentAtMs: Long,
+        respondedAtMs: Long,
+    ) {
+        val body = response.body?.let(Pack::decodeMap)
+        if (response.status == 421) {
+            val leaderIndex = simulation.nodes.indexOfFirst { it.label == body?.textOrNull("overseer") }
+            if (leaderIndex < 0 || leaderIndex == targetIndex) return tryNextController()
+            targetIndex = leaderIndex
+            heartbeatDueAtMs = clock.timeMs
             return
         }
-        if (answer.status != 200 || body == null) return nextNode()
-        val given = body.longOrNull("mandate") ?: return
-        if (heartbeat.epoch != epoch || given < fencingToken) return
-        if (given > fencingToken) {
-            fencingToken = given
-            changed()
+        if (response.status != 200 || body == null) return tryNextController()
+        val receivedToken = body.longOrNull("mandate") ?: return
+        if (heartbeat.epoch != epoch || receivedToken < fencingToken) return
+        if (receivedToken > fencingToken) {
+            fencingToken = receivedToken
+            requestHeartbeat()
         }
-        leaseFrom = maxOf(leaseFrom, sentAt)
-        for (order in body.maps("orders")) execute(WorkerForm.command(order), answeredAt)
+        leaseStartMs = maxOf(leaseStartMs, sentAtMs)
+        for (order in body.maps("orders")) execute(WorkerWireFormat.command(order), respondedAtMs)
     }
 
-    /** A direct command that a controller sent at [sentAt] arrives, perhaps late. */
-    fun direct(message: Effect.WorkerCommand, sentAt: Long, reply: (CommandReply) -> Unit) {
+    /** A direct command that a controller sent at [sentAtMs] arrives, perhaps late. */
+    fun receiveCommand(message: Effect.WorkerCommand, sentAtMs: Long, reply: (CommandReply) -> Unit) {
         if (!present) return
         if (message.commands.any { it is Command.Start }) lastStart = message
-        if (message !in repeated) {
-            simulation.network.copyAfter()?.let { late ->
-                repeated.add(message)
-                clock.after(late) { direct(message, sentAt) {} }
+        if (message !in duplicatedCommands) {
+            simulation.network.drawCopyDelayMs()?.let { delayMs ->
+                duplicatedCommands.add(message)
+                clock.after(delayMs) { receiveCommand(message, sentAtMs) {} }
             }
         }
         if (hanging) {
-            clock.after(hangUntil - clock.time + 1) { direct(message, sentAt, reply) }
+            clock.after(hangUntilMs - clock.timeMs + 1) { receiveCommand(message, sentAtMs, reply) }
             return
         }
         expire()
@@ -253,21 +262,23 @@
             return reply(CommandReply.Rejected(snapshot()))
         }
         fencingToken = message.fencingToken
-        message.commands.forEach { execute(it, sentAt) }
+        message.commands.forEach { execute(it, sentAtMs) }
         reply(CommandReply.Executed(snapshot()))
     }
 
-    private fun execute(command: Command, sentAt: Long) {
-        if (simulation.verbose) println("${clock.time} $name $command token $fencingToken epoch $epoch")
-        tasks.execute(command, sentAt)
+    private fun execute(command: Command, sentAtMs: Long) {
+        if (simulation.verbose) println("${clock.timeMs} $name $command token $fencingToken epoch $epoch")
+        tasks.execute(command, sentAtMs)
     }
 
-    /** Whether the tasks here leave room for one of [spec], see [FakeTasks.hasRoomFor]. */
-    fun hasRoomFor(spec: JobSpec, stopsLower: Boolean = false): Boolean = tasks.hasRoomFor(spec, stopsLower)
+    /** Whether the tasks here leave room for one of [spec], see [FakeTasks.hasCapacityFor]. */
+    fun hasCapacityFor(spec: JobSpec, preemptsLower: Boolean = false): Boolean =
+        tasks.hasCapacityFor(spec, preemptsLower)
 
     /** Replica [index] of service [job] ends by itself here; false if it does not run here. */
-    fun end(job: String, index: Int, cause: ExitCause): Boolean = present && !hanging && tasks.end(job, index, cause)
+    fun endReplica(job: String, index: Int, cause: ExitCause): Boolean =
+        present && !hanging && tasks.endReplica(job, index, cause)
 
     /** Tasks that count as being on this machine. */
-    fun onMachine(): List<FakeTask> = if (present) tasks.running() else emptyList()
+    fun activeTasks(): List<FakeTask> = if (present) tasks.running() else emptyList()
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/QuietSimulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultFreeSimulation.kt
@@ -6,8 +6,8 @@
 /** Has the network lose and delay nothing by chance. */
 fun Simulation.withReliableNetwork(): Simulation =
     apply {
-        network.loss = 0.0
-        network.late = 0.0
+        network.lossProbability = 0.0
+        network.lateProbability = 0.0
     }
 
 /** Adds [count] spot machines of the first type that run at once, in turn in [zones]. */
@@ -16,10 +16,10 @@
 }
 
 /** A simulation without chance faults at 12 s: its [machines] are up, it has a leader and no job yet. */
-fun quietSimulation(seed: Long, patienceS: Double = 200.0, machines: Int = 6, capacity: Int = 14): Simulation {
+fun faultFreeSimulation(seed: Long, patienceS: Double = 200.0, machines: Int = 6, maxMachines: Int = 14): Simulation {
     val options = OperatorSettings(idleReturnS = 900.0, patienceS = patienceS)
-    val simulation = Simulation(seed, options, size = SimulationSize(capacity = capacity)).withReliableNetwork()
-    simulation.begin(0, 1, machines, firstMs = 4000)
+    val simulation = Simulation(seed, options, size = SimulationSize(maxMachines = maxMachines)).withReliableNetwork()
+    simulation.begin(0, 1, machines, controllerDelayMs = 4000)
     simulation.clock.runUntil(12_000)
     return simulation
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultInjection.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultInjection.kt
@@ -4,25 +4,25 @@
 class FaultInjection(private val simulation: Simulation) {
     private val clock = simulation.clock
 
-    fun draw(count: Int, fromMs: Long, toMs: Long) {
-        repeat(count) { clock.after(clock.between(fromMs, toMs)) { one() } }
+    fun injectRandom(count: Int, fromMs: Long, toMs: Long) {
+        repeat(count) { clock.after(clock.between(fromMs, toMs)) { injectOne() } }
     }
 
-    private fun one() {
-        if (simulation.verbose) println("${clock.time} -- fault")
+    private fun injectOne() {
+        if (simulation.verbose) println("${clock.timeMs} -- fault")
         val node = simulation.nodes[clock.random.nextInt(simulation.nodes.size)]
         val present = simulation.cloud.workers.filter { it.present }
         val worker = if (present.isEmpty()) null else present[clock.random.nextInt(present.size)]
         val kind = Kind.entries[clock.random.nextInt(Kind.entries.size)]
-        when (kind.of) {
-            Target.MACHINE -> worker?.let { strikeMachine(it, kind) }
-            Target.LINK -> strikeLinks(node, kind)
-            Target.CONTROLLER -> strikeController(node, kind)
+        when (kind.target) {
+            Target.MACHINE -> worker?.let { injectMachineFault(it, kind) }
+            Target.LINK -> injectLinkFault(node, kind)
+            Target.CONTROLLER -> injectControllerFault(node, kind)
         }
     }
 
     /** What befalls a controller. */
-    private fun strikeController(node: SimulatedController, kind: Kind) {
+    private fun injectControllerFault(node: SimulatedController, kind: Kind) {
         when (kind) {
             Kind.CRASH -> crash(node, clock.between(5000, 9000))
             Kind.QUICK_RESTART -> crash(node, clock.between(50, 500))
@@ -31,16 +31,16 @@
             Kind.FLAPPING ->
                 simulation.nodes
                     .filter { it.leads || clock.chance(0.3) }
-                    .forEach { flap(it, 1 + clock.random.nextInt(4)) }
+                    .forEach { crashRepeatedly(it, 1 + clock.random.nextInt(4)) }
             else -> throw IllegalArgumentException("$kind is no fault of a controller")
         }
     }
 
     /** What befalls the services, and a controller's links to them and to its peers. */
-    private fun strikeLinks(node: SimulatedController, kind: Kind) {
+    private fun injectLinkFault(node: SimulatedController, kind: Kind) {
         when (kind) {
             Kind.STATE_OUTAGE -> simulation.state.outage(clock.between(2000, 25_000))
-            Kind.STATE_REFUSES -> simulation.state.refuse(node.label, clock.between(3000, 20_000))
+            Kind.STATE_REJECTS_CONTROLLER -> simulation.state.rejectRequestsOf(node.label, clock.between(3000, 20_000))
             Kind.CUT_FROM_PEERS ->
                 for (peer in simulation.nodes.filter { it !== node }) {
                     simulation.network.cut(node.label, peer.label, clock.between(3000, 20_000), clock.chance(0.5))
@@ -55,19 +55,19 @@
     }
 
     /** What befalls a machine. */
-    private fun strikeMachine(worker: FakeWorker, kind: Kind) {
+    private fun injectMachineFault(worker: FakeWorker, kind: Kind) {
         when (kind) {
             Kind.MACHINE_CUT_OFF ->
                 for (node in simulation.nodes) {
                     simulation.network.cut(node.label, worker.name, clock.between(3000, 30_000), clock.chance(0.6))
                 }
             Kind.MACHINE_HANGS -> worker.hang(clock.between(1000, 15_000))
-            Kind.MACHINE_DIES -> simulation.cloud.kill(worker.name)
+            Kind.MACHINE_FAILS -> simulation.cloud.failMachine(worker.name)
             Kind.MACHINE_FAULTY -> {
-                worker.sick = true
-                clock.after(20_000) { worker.sick = false }
+                worker.isFaulty = true
+                clock.after(20_000) { worker.isFaulty = false }
             }
-            Kind.MACHINE_DEAF ->
+            Kind.MACHINE_UNREACHABLE ->
                 for (node in simulation.nodes) {
                     simulation.network.cutOneWay(node.label, worker.name, clock.between(5000, 40_000))
                 }
@@ -77,14 +77,14 @@
     }
 
     /** What strikes many at once. */
-    fun mass(fault: MassFault) {
+    fun injectMassFault(fault: MassFault) {
         val present = simulation.cloud.workers.filter { it.present }
 
-        fun oneIn(share: Int) = present.filter { clock.random.nextInt(share) == 0 }
+        fun oneIn(n: Int) = present.filter { clock.random.nextInt(n) == 0 }
         when (fault) {
-            MassFault.MACHINES_DIE -> oneIn(15).forEach { simulation.cloud.kill(it.name) }
+            MassFault.MACHINES_FAIL -> oneIn(15).forEach { simulation.cloud.failMachine(it.name) }
             MassFault.MACHINES_HANG -> oneIn(12).forEach { it.hang(clock.between(10_000, 35_000)) }
-            MassFault.SPOT_MACHINES_TAKEN -> takeSpotMachines()
+            MassFault.SPOT_MACHINES_TERMINATED -> terminateSpotMachines()
             MassFault.ZONE_CUT_OFF -> cutZone(simulation.zones.last(), 47_000)
             MassFault.CONTROLLERS_RESTART -> simulation.nodes.forEach { crash(it, clock.between(200, 8000)) }
             MassFault.ROLLING_RESTART ->
@@ -93,9 +93,9 @@
         }
     }
 
-    private fun takeSpotMachines() {
+    private fun terminateSpotMachines() {
         for (worker in simulation.cloud.workers.filter { it.present && it.spot && clock.chance(0.5) }) {
-            clock.after(clock.between(0, 5000)) { simulation.cloud.kill(worker.name) }
+            clock.after(clock.between(0, 5000)) { simulation.cloud.failMachine(worker.name) }
         }
     }
 
@@ -118,36 +118,43 @@
     }
 
     /** A controller loses the state service and its peers, while workers and users still reach it. */
-    fun isolate(node: SimulatedController, forMs: Long, holds: Boolean) {
-        simulation.network.cut(node.label, FakeStateService.NAME, forMs, holds)
-        simulation.nodes.filter { it !== node }.forEach { simulation.network.cut(node.label, it.label, forMs, holds) }
+    fun isolate(node: SimulatedController, forMs: Long, deliversLater: Boolean) {
+        simulation.network.cut(node.label, FakeStateService.NAME, forMs, deliversLater)
+        simulation.nodes.filter { it !== node }.forEach {
+            simulation.network.cut(
+                node.label,
+                it.label,
+                forMs,
+                deliversLater,
+            )
+        }
     }
 
     /** A process ends and is back in no time, over and over, so that some of it falls into an election. */
-    fun flap(node: SimulatedController, times: Int) {
+    fun crashRepeatedly(node: SimulatedController, times: Int) {
         crash(node, clock.between(50, 500))
-        if (times > 1) clock.after(clock.between(500, 3500)) { flap(node, times - 1) }
+        if (times > 1) clock.after(clock.between(500, 3500)) { crashRepeatedly(node, times - 1) }
     }
 
-    fun crash(node: SimulatedController, backAfterMs: Long) {
+    fun crash(node: SimulatedController, restartAfterMs: Long) {
         node.crash()
-        clock.after(backAfterMs) { node.start() }
+        clock.after(restartAfterMs) { node.start() }
     }
 
     /** The kinds of fault that [draw] chooses from; seeds depend on their order. */
-    private enum class Kind(val of: Target) {
+    private enum class Kind(val target: Target) {
         CRASH(Target.CONTROLLER),
         QUICK_RESTART(Target.CONTROLLER),
         LEADER_CRASH(Target.CONTROLLER),
         ALL_CRASH(Target.CONTROLLER),
         STATE_OUTAGE(Target.LINK),
-        STATE_REFUSES(Target.LINK),
+        STATE_REJECTS_CONTROLLER(Target.LINK),
         CUT_FROM_PEERS(Target.LINK),
         MACHINE_CUT_OFF(Target.MACHINE),
         MACHINE_HANGS(Target.MACHINE),
-        MACHINE_DIES(Target.MACHINE),
+        MACHINE_FAILS(Target.MACHINE),
         MACHINE_FAULTY(Target.MACHINE),
-        MACHINE_DEAF(Target.MACHINE),
+        MACHINE_UNREACHABLE(Target.MACHINE),
         ISOLATION(Target.LINK),
         FLAPPING(Target.CONTROLLER),
         MACHINE_REBOOTS(Target.MACHINE),
@@ -159,9 +166,9 @@
 
 /** Faults that strike many at once; seeds depend on their order. */
 enum class MassFault {
-    MACHINES_DIE,
+    MACHINES_FAIL,
     MACHINES_HANG,
-    SPOT_MACHINES_TAKEN,
+    SPOT_MACHINES_TERMINATED,
     ZONE_CUT_OFF,
     CONTROLLERS_RESTART,
     ROLLING_RESTART,
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
@@ -23,59 +23,59 @@
     val rules get() = simulation.rules
 
     /** Jobs that run for minutes. */
-    val long = ArrayList<String>()
+    val longJobs = ArrayList<String>()
 
-    private val called = ArrayList<String>()
-    private var calls = 0
+    private val cancelledIds = ArrayList<String>()
+    private var cancelCalls = 0
 
-    /** Calls off [count] jobs that run and have long to go, as [Users.cancelNow]. */
-    fun cancelNow(count: Int, hangMs: Long = 0) {
-        calls++
-        called.addAll(users.cancelNow(count, hangMs))
+    /** Calls off [count] jobs that run and have long to go, as [Users.cancelRunningJobs]. */
+    fun cancelRunningJobs(count: Int, hangMs: Long = 0) {
+        cancelCalls++
+        cancelledIds.addAll(users.cancelRunningJobs(count, hangMs))
     }
 
     fun cancel(id: String) {
-        calls++
-        called.add(id)
+        cancelCalls++
+        cancelledIds.add(id)
         users.cancel(id)
     }
 
     fun leader(): SimulatedController? = nodes.firstOrNull { it.leads }
 
-    /** Ends [node] and starts it again after [backMs]. */
-    fun crash(node: SimulatedController, backMs: Long) = faults.crash(node, backMs)
+    /** Ends [node] and starts it again after [restartAfterMs]. */
+    fun crash(node: SimulatedController, restartAfterMs: Long) = faults.crash(node, restartAfterMs)
 
-    /** Ends the leader, if there is one, and starts it again after [backMs]. */
-    fun crashLeader(backMs: Long) {
-        leader()?.let { crash(it, backMs) }
+    /** Ends the leader, if there is one, and starts it again after [restartAfterMs]. */
+    fun crashLeader(restartAfterMs: Long) {
+        leader()?.let { crash(it, restartAfterMs) }
     }
 
     /** Cuts [worker] off from every controller; with [holds], messages are delivered when that is over. */
-    fun cutOff(worker: FakeWorker, forMs: Long, holds: Boolean) {
-        for (node in nodes) network.cut(node.label, worker.name, forMs, holds)
+    fun cutOff(worker: FakeWorker, forMs: Long, deliversLater: Boolean) {
+        for (node in nodes) network.cut(node.label, worker.name, forMs, deliversLater)
     }
 
     /** Has [worker] hear no controller, while its own messages arrive. */
-    fun deafen(worker: FakeWorker, forMs: Long) {
+    fun cutOffResponses(worker: FakeWorker, forMs: Long) {
         for (node in nodes) network.cutOneWay(node.label, worker.name, forMs)
     }
 
     fun at(ms: Long, run: () -> Unit) {
-        clock.after(ms - clock.time, run)
+        clock.after(ms - clock.timeMs, run)
     }
 
     /** Machines that run something now. */
-    fun busy(): List<FakeWorker> = cloud.workers.filter { it.onMachine().isNotEmpty() }
+    fun busy(): List<FakeWorker> = cloud.workers.filter { it.activeTasks().isNotEmpty() }
 
     /** Short jobs that go on arriving, and [long] ones that run from before the faults. */
-    fun begin(jobs: Int = 24, long: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
+    fun begin(jobs: Int = 24, longJobs: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
         simulation.begin(jobs, overMs, machines = 6)
-        repeat(long) { i ->
+        repeat(longJobs) { i ->
             at(6000L + i * 300) {
-                this.long.add(
+                this.longJobs.add(
                     users.submit {
                         change(
-                            plain(it, if (i % 2 == 0) "red" else "blue"),
+                            longJob(it, if (i % 2 == 0) "red" else "blue"),
                         )
                     },
                 )
@@ -84,7 +84,7 @@
     }
 
     /** A job of three small tasks that may run anywhere, for one to four minutes. */
-    fun plain(spec: JobSpec, team: String = spec.team): JobSpec =
+    fun longJob(spec: JobSpec, team: String = spec.team): JobSpec =
         spec.anywhere().copy(
             team = team,
             workload = "long",
@@ -94,28 +94,32 @@
             dueS = null,
         )
 
-    /** Plays the day; its faults are over at [calmMs]. */
-    fun play(calmMs: Long, servesAll: Boolean = true) {
-        at(calmMs) {
-            network.copies = 0.0
-            network.held = 0.0
-            users.cancelAtEnd = 0.0
+    /** Plays the day; its faults are over at [faultsEndMs]. */
+    fun runToEnd(faultsEndMs: Long, checksStarvation: Boolean = true) {
+        at(faultsEndMs) {
+            network.copyProbability = 0.0
+            network.holdProbability = 0.0
+            users.cancelAtEndProbability = 0.0
         }
-        rules.calmFrom = calmMs
-        clock.runUntil(calmMs + AFTER_MS)
-        holds()
-        if (servesAll) assertEquals(emptyList<String>(), rules.starved())
+        rules.faultFreeFromMs = faultsEndMs
+        clock.runUntil(faultsEndMs + RUN_ON_MS)
+        assertRulesHold()
+        if (checksStarvation) assertEquals(emptyList<String>(), rules.starved())
     }
 
-    fun holds() {
+    fun assertRulesHold() {
         assertEquals(emptyList<String>(), rules.violations)
         assertTrue(rules.starts > 0, "nothing was started")
-        if (calls > 0) assertTrue(called.isNotEmpty(), "nothing was there to be called off")
-        assertEquals(emptyList<String>(), called.filter { !rules.isFinal(it) }, "cancellations without an answer")
+        if (cancelCalls > 0) assertTrue(cancelledIds.isNotEmpty(), "nothing was there to be called off")
+        assertEquals(
+            emptyList<String>(),
+            cancelledIds.filter { !rules.hasEnded(it) },
+            "cancellations without an answer",
+        )
     }
 
     companion object {
         const val START_MS = 30_000L
-        private const val AFTER_MS = 320_000L
+        private const val RUN_ON_MS = 320_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Network.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Network.kt
@@ -4,49 +4,63 @@
 class Network(private val clock: VirtualClock) {
     private val cuts = HashMap<Set<String>, Cut>()
 
-    class Cut(val until: Long, val holds: Boolean)
+    class Cut(val untilMs: Long, val deliversLater: Boolean)
 
     /** Chance that a message is lost outright, and that it comes much later than its sender waits. */
-    var loss = 0.002
-    var late = 0.002
+    var lossProbability = 0.002
+    var lateProbability = 0.002
 
-    fun cut(a: String, b: String, forMs: Long, holds: Boolean) {
-        cuts[setOf(a, b)] = Cut(clock.time + forMs, holds)
+    fun cut(a: String, b: String, forMs: Long, deliversLater: Boolean) {
+        cuts[setOf(a, b)] = Cut(clock.timeMs + forMs, deliversLater)
     }
 
     /** Stops what goes from [from] to [to], while the other direction works. */
     fun cutOneWay(from: String, to: String, forMs: Long) {
-        oneWay[from to to] = Cut(clock.time + forMs, holds = false)
+        oneWayCuts[from to to] = Cut(clock.timeMs + forMs, deliversLater = false)
     }
 
-    private val oneWay = HashMap<Pair<String, String>, Cut>()
+    private val oneWayCuts = HashMap<Pair<String, String>, Cut>()
 
     /** How often a message is delivered once more, and how much later at most. */
-    var copies = 0.0
-    var copiesMs = 40_000L
+    var copyProbability = 0.0
+    var maxCopyDelayMs = 40_000L
 
     /** How often a direct command, or its answer, is held up for seconds and then goes on its way. */
-    var held = 0.0
+    var holdProbability = 0.0
 
     /** How long a direct command or its answer is held up now; mostly not at all. */
-    fun holdUp(): Long = if (held > 0 && clock.chance(held)) clock.between(heldMs.first, heldMs.last) else 0
+    fun drawHoldMs(): Long =
+        if (holdProbability > 0 &&
+            clock.chance(holdProbability)
+        ) {
+            clock.between(holdMs.first, holdMs.last)
+        } else {
+            0
+        }
 
-    var heldMs = 2000L..9000L
+    var holdMs = 2000L..9000L
 
     /** Whether a message is to be delivered once more, and when. */
-    fun copyAfter(): Long? = if (copies > 0 && clock.chance(copies)) clock.between(1, copiesMs) else null
+    fun drawCopyDelayMs(): Long? =
+        if (copyProbability > 0 &&
+            clock.chance(copyProbability)
+        ) {
+            clock.between(1, maxCopyDelayMs)
+        } else {
+            null
+        }
 
     /** Delivers [run] at [to], or not. */
     fun send(from: String, to: String, run: () -> Unit) {
         val cut =
-            (cuts[setOf(from, to)] ?: oneWay[from to to])?.takeIf { it.until > clock.time }
-                ?: oneWay[from to to]?.takeIf { it.until > clock.time }
+            (cuts[setOf(from, to)] ?: oneWayCuts[from to to])?.takeIf { it.untilMs > clock.timeMs }
+                ?: oneWayCuts[from to to]?.takeIf { it.untilMs > clock.timeMs }
         if (cut != null) {
-            if (cut.holds) clock.after(cut.until - clock.time + clock.between(1, 50), run)
+            if (cut.deliversLater) clock.after(cut.untilMs - clock.timeMs + clock.between(1, 50), run)
             return
         }
-        if (clock.chance(loss)) return
-        val delay = if (clock.chance(late)) clock.between(2000, 30_000) else clock.between(1, 12)
+        if (clock.chance(lossProbability)) return
+        val delay = if (clock.chance(lateProbability)) clock.between(2000, 30_000) else clock.between(1, 12)
         clock.after(delay, run)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/DrawnJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RandomJobs.kt
@@ -6,12 +6,12 @@
 import org.chalkhollow.model.Shape
 
 /** Draws jobs and services at random. */
-class DrawnJobs(private val simulation: Simulation) {
+class RandomJobs(private val simulation: Simulation) {
     private val clock = simulation.clock
     private var next = 0
 
     /** An array of a few small tasks. */
-    fun draw(): JobSpec {
+    fun nextJob(): JobSpec {
         val id = "j-" + (clock.random.nextInt(1_000_000)).toString().padStart(6, '0') + (next++)
         val zone = if (clock.chance(0.1)) simulation.zones[clock.random.nextInt(2)] else null
         val checkpoint = if (clock.chance(0.3)) 2.0 else 0.0
@@ -38,8 +38,8 @@
     }
 
     /** A spread service of two to four small replicas, away from spot machines. */
-    fun drawService(): JobSpec =
-        draw().copy(
+    fun nextService(): JobSpec =
+        nextJob().copy(
             workload = "portal",
             shape = Shape.SERVICE,
             priority = Priority.PRODUCTION,
--- a/src/test/kotlin/org/chalkhollow/simulation/RollingUpgrade.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RollingUpgrade.kt
@@ -3,59 +3,60 @@
 import org.chalkhollow.settings.StateLimits
 
 /**
- * Controllers that begin as the version in production, which keeps within the old limits, are killed [atOnce] at a time
- * and come back keeping within [next]; one that dies before its turn comes back as it was. Some time after the last,
- * the state service has the limits [then].
+ * A rolling upgrade. All controllers start as the version in production, which keeps within the old limits of the state
+ * service. [begin] kills [batchSize] controllers at a time and restarts them as the new version, which keeps within
+ * [newLimits]. A controller that crashes before its upgrade restarts as the old version. 0.1 to 15 s after the last
+ * upgrade the state service enforces [finalLimits].
  */
 class RollingUpgrade(
     private val simulation: Simulation,
-    private val next: StateLimits,
-    private val atOnce: Int,
-    private val then: StateLimits = next,
+    private val newLimits: StateLimits,
+    private val batchSize: Int,
+    private val finalLimits: StateLimits = newLimits,
 ) {
     private val clock = simulation.clock
 
     /** When all controllers ran the new version, and when the limits were lowered. */
-    var allNewAt = Long.MAX_VALUE
+    var allUpgradedAtMs = Long.MAX_VALUE
         private set
-    var loweredAt = Long.MAX_VALUE
+    var limitsLoweredAtMs = Long.MAX_VALUE
         private set
 
     init {
-        simulation.onStart = ::greetings
+        simulation.onStart = ::exchangeHellos
     }
 
     /** Whoever starts connects to all that run, and they to it. */
-    private fun greetings(node: SimulatedController) {
+    private fun exchangeHellos(node: SimulatedController) {
         for (other in simulation.nodes) {
             if (other === node || !other.alive) continue
-            other.greet(simulation.indexAt(other.label, node.label), node.label, node.version)
-            node.greet(simulation.indexAt(node.label, other.label), other.label, other.version)
+            other.receiveHello(simulation.indexAt(other.label, node.label), node.label, node.version)
+            node.receiveHello(simulation.indexAt(node.label, other.label), other.label, other.version)
         }
     }
 
     fun begin(fromMs: Long) {
-        val order = simulation.nodes.sortedBy { clock.random.nextInt() }.chunked(atOnce)
-        var at = fromMs
+        val order = simulation.nodes.sortedBy { clock.random.nextInt() }.chunked(batchSize)
+        var atMs = fromMs
         for (group in order) {
-            clock.after(at) { group.forEach(::replace) }
-            at += clock.between(9000, 20_000)
+            clock.after(atMs) { group.forEach(::replace) }
+            atMs += clock.between(9000, 20_000)
         }
-        clock.after(at) { awaitNew() }
+        clock.after(atMs) { awaitUpgrade() }
     }
 
     private fun replace(node: SimulatedController) {
         node.crash()
-        node.upgrade(simulation.settingsWith(node.label, next))
+        node.upgrade(simulation.settingsWith(node.label, newLimits))
         clock.after(clock.between(4000, 8000)) { node.start() }
     }
 
-    private fun awaitNew() {
-        if (simulation.nodes.any { !it.alive }) return clock.after(200) { awaitNew() }
-        allNewAt = clock.time
+    private fun awaitUpgrade() {
+        if (simulation.nodes.any { !it.alive }) return clock.after(200) { awaitUpgrade() }
+        allUpgradedAtMs = clock.timeMs
         clock.after(clock.between(100, 15_000)) {
-            simulation.state.lowered = then
-            loweredAt = clock.time
+            simulation.state.loweredLimits = finalLimits
+            limitsLoweredAtMs = clock.timeMs
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
@@ -26,24 +26,24 @@
         private set
 
     /** When the last fault ends; what has to hold from then on is checked from then on. */
-    var calmFrom = Long.MAX_VALUE
+    var faultFreeFromMs = Long.MAX_VALUE
 
-    val completions: Int get() = history.completed.values.sumOf { it.size }
+    val completedTaskCount: Int get() = history.completedTasks.values.sumOf { it.size }
     val acceptedCount: Int get() = history.accepted.size
-    val doneCount: Int get() = history.endTold.values.count { it == UserRules.DONE }
+    val doneCount: Int get() = history.reportedEnd.values.count { it == UserRules.DONE }
 
     /** Jobs that their users were told to be cancelled. */
-    val cancelledCount: Int get() = history.endTold.values.count { it == UserRules.CANCELLED }
+    val cancelledCount: Int get() = history.reportedEnd.values.count { it == UserRules.CANCELLED }
 
     /** Accepted jobs that were complete by their deadline, counted from their acceptance. */
     val onTimeCount: Int get() = history.onTimeCount
 
-    fun broken(rule: String, what: String) {
-        if (violations.size < MAX_VIOLATIONS) violations.add("$rule at ${clock.time}: $what")
+    fun recordViolation(rule: String, detail: String) {
+        if (violations.size < MAX_VIOLATIONS) violations.add("$rule at ${clock.timeMs}: $detail")
     }
 
     /** Accepted jobs whose end nobody was told yet. */
-    fun pending(): List<String> = history.pending()
+    fun unfinishedJobs(): List<String> = history.unfinishedJobs()
 
     /** [task] of [spec] has begun on [worker]. */
     fun started(task: FakeTask, spec: JobSpec, worker: FakeWorker) {
@@ -55,68 +55,68 @@
     fun completed(task: FakeTask) = history.completed(task)
 
     /** Whether all other tasks of its job are done. */
-    fun isLast(task: FakeTask): Boolean = history.isLast(task)
+    fun isLastTask(task: FakeTask): Boolean = history.isLastTask(task)
 
     /** Whether a user was told that [id] is over. */
-    fun isFinal(id: String): Boolean = id in history.endTold
+    fun hasEnded(id: String): Boolean = id in history.reportedEnd
 
-    fun isDone(id: String): Boolean = history.endTold[id] == UserRules.DONE
+    fun isDone(id: String): Boolean = history.reportedEnd[id] == UserRules.DONE
 
     /** A job that no machine has room for was answered with [status], 0 for no answer. */
-    fun answeredUnfit(id: String, status: Int) = users.answeredUnfit(id, status)
+    fun tooLargeJobAnswered(id: String, status: Int) = users.tooLargeJobAnswered(id, status)
 
     /** Notes that a user was told that [id] is accepted; true the first time. */
     fun accepted(id: String): Boolean {
-        val first = history.acceptedAt.putIfAbsent(id, clock.time) == null
+        val first = history.acceptedAtMs.putIfAbsent(id, clock.timeMs) == null
         val spec = simulation.users.spec(id)
         if (first && spec?.shape == Shape.SERVICE) services.accepted(spec)
         return first
     }
 
     /** A poll about [id] was answered. */
-    fun answered(id: String) {
-        history.answeredAt[id] = clock.time
+    fun pollAnswered(id: String) {
+        history.lastPollAnsweredAtMs[id] = clock.timeMs
     }
 
-    fun refused(id: String, status: Int) = users.refused(id, status)
+    fun rejected(id: String, status: Int) = users.rejected(id, status)
 
-    /** A user gets word, given at [saidAt], that [id] is unknown. */
-    fun notFound(id: String, saidAt: Long) = users.notFound(id, saidAt)
+    /** A user gets word, given at [respondedAtMs], that [id] is unknown. */
+    fun notFound(id: String, respondedAtMs: Long) = users.notFound(id, respondedAtMs)
 
-    fun asksToCancel(id: String) = users.asksToCancel(id)
+    fun cancelRequested(id: String) = users.cancelRequested(id)
 
-    /** A user is told [status] in answer to what it asked at [askedAt]. */
-    fun told(id: String, status: String, askedAt: Long) = users.told(id, status, askedAt)
+    /** A user is told [status] in answer to what it asked at [requestedAtMs]. */
+    fun stateReported(id: String, status: String, requestedAtMs: Long) = users.stateReported(id, status, requestedAtMs)
 
     /**
      * The share of the replica time of service [id] that was served, from [afterMs] after its acceptance until it was
      * called off.
      */
-    fun upShare(id: String, afterMs: Long): Double {
-        val from = history.acceptedAt.getValue(id) + afterMs
-        return services.share(id, from, history.cancelRequestedAt[id] ?: clock.time)
+    fun availability(id: String, afterMs: Long): Double {
+        val from = history.acceptedAtMs.getValue(id) + afterMs
+        return services.availability(id, from, history.cancelRequestedAtMs[id] ?: clock.timeMs)
     }
 
     /** To be called when a day is over: what was put off for good. */
     fun starved(): List<String> = starvation.starved()
 
-    private var slowChecksAt = 0L
-    private var touched = true
-    private var fullCheckAt = 0L
+    private var nextSlowCheckMs = 0L
+    private var hasMachineChanges = true
+    private var nextFullCheckMs = 0L
 
     /** What is on some machine has changed. */
-    fun touched() {
-        touched = true
+    fun machinesChanged() {
+        hasMachineChanges = true
     }
 
     /** After each step; the machines are looked through when something on them has changed, and for time passing. */
     fun check() {
         checkLeaders()
         services.sample()
-        checkSlowly()
-        if (!touched && clock.time < fullCheckAt) return
-        touched = false
-        fullCheckAt = clock.time + FULL_CHECK_MS
+        checkEverySecond()
+        if (!hasMachineChanges && clock.timeMs < nextFullCheckMs) return
+        hasMachineChanges = false
+        nextFullCheckMs = clock.timeMs + FULL_CHECK_INTERVAL_MS
         placement.checkMachines()
     }
 
@@ -125,23 +125,23 @@
         var leading: SimulatedController? = null
         for (node in simulation.nodes) {
             if (!node.leads) continue
-            if (leading != null) broken("two_lead", "${leading.label}, ${node.label}")
+            if (leading != null) recordViolation("two_lead", "${leading.label}, ${node.label}")
             leading = node
         }
     }
 
-    /** Once a second, from [calmFrom] on. */
-    private fun checkSlowly() {
-        if (clock.time < slowChecksAt) return
-        slowChecksAt = clock.time + SLOW_CHECK_MS
-        if (clock.time < calmFrom) return
-        users.checkAnswers(calmFrom)
+    /** Once a second, from [faultFreeFromMs] on. */
+    private fun checkEverySecond() {
+        if (clock.timeMs < nextSlowCheckMs) return
+        nextSlowCheckMs = clock.timeMs + SLOW_CHECK_INTERVAL_MS
+        if (clock.timeMs < faultFreeFromMs) return
+        users.checkAnswers(faultFreeFromMs)
         waiting.check()
     }
 
     private companion object {
         const val MAX_VIOLATIONS = 20
-        const val FULL_CHECK_MS = 200L
-        const val SLOW_CHECK_MS = 1000L
+        const val FULL_CHECK_INTERVAL_MS = 200L
+        const val SLOW_CHECK_INTERVAL_MS = 1000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
@@ -12,10 +12,10 @@
     private val services = ArrayList<JobSpec>()
 
     /** Since when a replica runs, by name, and the spans of time in which it ran before. */
-    private val upSince = HashMap<String, Long>()
+    private val upSinceMs = HashMap<String, Long>()
     private val spans = HashMap<String, ArrayList<LongRange>>()
-    private val downSince = HashMap<String, Long>()
-    private var sampledAt = -SAMPLE_MS
+    private val downSinceMs = HashMap<String, Long>()
+    private var sampledAtMs = -SAMPLE_INTERVAL_MS
 
     fun accepted(spec: JobSpec) {
         services.add(spec)
@@ -23,12 +23,12 @@
 
     /** Notes which replicas run; one on a machine that hangs does not. */
     fun sample() {
-        if (services.isEmpty() || clock.time < sampledAt + SAMPLE_MS) return
-        sampledAt = clock.time
+        if (services.isEmpty() || clock.timeMs < sampledAtMs + SAMPLE_INTERVAL_MS) return
+        sampledAtMs = clock.timeMs
         val running =
             simulation.cloud.workers
                 .filter { !it.hanging }
-                .flatMap { it.onMachine() }
+                .flatMap { it.activeTasks() }
                 .filter { it.phase == TaskStatus.Phase.RUNNING }
                 .mapTo(HashSet()) { it.name }
         for (spec in services) {
@@ -37,39 +37,39 @@
     }
 
     private fun note(name: String, runs: Boolean) {
-        val since = upSince[name]
+        val since = upSinceMs[name]
         if (runs) {
-            if (since == null) upSince[name] = clock.time
+            if (since == null) upSinceMs[name] = clock.timeMs
         } else if (since != null) {
-            upSince.remove(name)
-            spans.getOrPut(name) { ArrayList() }.add(since..clock.time)
+            upSinceMs.remove(name)
+            spans.getOrPut(name) { ArrayList() }.add(since..clock.timeMs)
         }
     }
 
-    /** From calm on, no replica is down for long unless nothing [couldBegin] its like; to be called once a second. */
-    fun checkDown(isOpen: (String) -> Boolean, couldBegin: (JobSpec) -> Boolean) {
+    /** From calm on, no replica is down for long unless nothing [canStart] its like; to be called once a second. */
+    fun checkDown(isOpen: (String) -> Boolean, canStart: (JobSpec) -> Boolean) {
         for (spec in services) {
-            val down = if (isOpen(spec.id)) names(spec).filter { it !in upSince } else emptyList()
-            (names(spec) - down.toSet()).forEach(downSince::remove)
+            val down = if (isOpen(spec.id)) names(spec).filter { it !in upSinceMs } else emptyList()
+            (names(spec) - down.toSet()).forEach(downSinceMs::remove)
             if (down.isEmpty()) continue
-            if (!couldBegin(spec)) {
-                down.forEach(downSince::remove)
+            if (!canStart(spec)) {
+                down.forEach(downSinceMs::remove)
                 continue
             }
             for (name in down) {
-                val since = downSince.getOrPut(name) { clock.time }
-                if (clock.time - since <= DOWN_MS) continue
-                simulation.rules.broken("replica_down", "$name is down since $since: $spec")
-                downSince[name] = clock.time
+                val since = downSinceMs.getOrPut(name) { clock.timeMs }
+                if (clock.timeMs - since <= MAX_DOWN_MS) continue
+                simulation.rules.recordViolation("replica_down", "$name is down since $since: $spec")
+                downSinceMs[name] = clock.timeMs
             }
         }
     }
 
     /** How many replicas of [id] run now. */
-    fun up(id: String): Int = names(specOf(id)).count { it in upSince }
+    fun upCount(id: String): Int = names(specOf(id)).count { it in upSinceMs }
 
     /** The share of the replica time of [id], wanted from [fromMs] until [toMs], in which replicas ran. */
-    fun share(id: String, fromMs: Long, toMs: Long): Double {
+    fun availability(id: String, fromMs: Long, toMs: Long): Double {
         val names = names(specOf(id))
         val wanted = names.size * (toMs - fromMs)
         val served = names.sumOf { n -> ran(n).sumOf { maxOf(0L, minOf(it.last, toMs) - maxOf(it.first, fromMs)) } }
@@ -85,25 +85,25 @@
                 longest = maxOf(longest, span.first - last)
                 last = maxOf(last, span.last)
             }
-            maxOf(longest, clock.time - last)
+            maxOf(longest, clock.timeMs - last)
         }
 
     /** The most replicas of [id] that were down at the same time from [fromMs] on. */
-    fun mostDownAtOnce(id: String, fromMs: Long): Int {
+    fun maxDownCount(id: String, fromMs: Long): Int {
         val names = names(specOf(id))
-        val ends = names.flatMap { n -> ran(n).map { it.last } }.filter { it >= fromMs && it < clock.time }
+        val ends = names.flatMap { n -> ran(n).map { it.last } }.filter { it >= fromMs && it < clock.timeMs }
         return ends.maxOfOrNull { t -> names.count { n -> ran(n).none { t >= it.first && t < it.last } } } ?: 0
     }
 
     private fun ran(name: String): List<LongRange> =
-        (spans[name] ?: emptyList()) + listOfNotNull(upSince[name]?.let { it..clock.time })
+        (spans[name] ?: emptyList()) + listOfNotNull(upSinceMs[name]?.let { it..clock.timeMs })
 
     private fun specOf(id: String): JobSpec = services.first { it.id == id }
 
     private fun names(spec: JobSpec): List<String> = List(spec.tasks) { "${spec.id}/$it" }
 
     private companion object {
-        const val SAMPLE_MS = 100L
-        const val DOWN_MS = 30_000L
+        const val SAMPLE_INTERVAL_MS = 100L
+        const val MAX_DOWN_MS = 30_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -22,9 +22,9 @@
     private val options: OperatorSettings,
 ) {
     private val clock = simulation.clock
-    private val drift = 1.0 + clock.random.nextDouble() * 0.0005
-    private val offset = clock.between(0, 1_000_000)
-    private val skew = clock.between(-25, 25)
+    private val clockRate = 1.0 + clock.random.nextDouble() * 0.0005
+    private val monotonicOffsetMs = clock.between(0, 1_000_000)
+    private val wallClockSkewMs = clock.between(-25, 25)
     private var controller: Controller? = null
 
     /** Counts the processes of this controller, so that answers to an earlier one are dropped. */
@@ -44,7 +44,11 @@
 
     fun jobStatus(id: String): JobView? = controller?.jobStatus(now(), id)
 
-    private fun now() = Now(offset + (clock.time * drift).toLong(), 1_700_000_000_000 + clock.time + skew)
+    private fun now() =
+        Now(
+            monotonicOffsetMs + (clock.timeMs * clockRate).toLong(),
+            1_700_000_000_000 + clock.timeMs + wallClockSkewMs,
+        )
 
     /** The version that this process runs, as it tells the others. */
     var version = 0
@@ -57,7 +61,7 @@
     }
 
     /** Hears who calls, as with every new connection. */
-    fun greet(from: Int, label: String, version: Int) {
+    fun receiveHello(from: Int, label: String, version: Int) {
         if (alive) {
             feed(
                 Input.Peer(
@@ -85,57 +89,60 @@
         calls.clear()
     }
 
-    fun peer(from: Int, frame: ByteArray) {
+    fun receiveFrame(from: Int, frame: ByteArray) {
         val message = checkNotNull(Frames.decode(frame)) { "a frame that cannot be read" }
         feed(Input.Peer(from, message))
     }
 
     /** A worker's heartbeat in its wire form. */
-    fun heartbeat(worker: String, body: ByteArray, answer: (Effect.Response) -> Unit): Boolean {
-        if (controller?.isLeader(now()) == false) return call(answer) { Input.UnreadHeartbeat(it) }
+    fun receiveHeartbeat(worker: String, body: ByteArray, respond: (Effect.Response) -> Unit): Boolean {
+        if (controller?.isLeader(now()) == false) return call(respond) { Input.UnreadHeartbeat(it) }
         val heartbeat = heartbeats.getOrPut(worker) { HeartbeatReader() }.read(body)
-        return call(answer) { Input.Heartbeat(it, heartbeat) }
+        return call(respond) { Input.Heartbeat(it, heartbeat) }
     }
 
-    fun user(request: UserRequest, answer: (Effect.Response) -> Unit): Boolean =
-        call(answer) { Input.User(it, request) }
+    fun receiveRequest(request: UserRequest, respond: (Effect.Response) -> Unit): Boolean =
+        call(respond) { Input.User(it, request) }
 
-    private fun call(answer: (Effect.Response) -> Unit, input: (Int) -> Input): Boolean {
+    private fun call(respond: (Effect.Response) -> Unit, input: (Int) -> Input): Boolean {
         if (!alive) return false
         val id = nextCall++
-        calls[id] = answer
+        calls[id] = respond
         feed(input(id))
         return true
     }
 
     private fun feed(input: Input) {
         val effects = controller?.step(now(), input) ?: return
-        val askedBy = process
+        val processOfEffect = process
         for (effect in effects) {
-            simulation.onEffect(clock.time, label, effect)
-            carryOut(effect, askedBy)
+            simulation.onEffect(clock.timeMs, label, effect)
+            execute(effect, processOfEffect)
         }
     }
 
-    private fun carryOut(effect: Effect, askedBy: Int) {
+    private fun execute(effect: Effect, processOfEffect: Int) {
         when (effect) {
             is Effect.Response -> calls.remove(effect.call)?.invoke(effect)
             is Effect.State ->
-                simulation.state.call(label, effect.op) { feedBack(askedBy, Input.State(effect.ticket, it)) }
+                simulation.state.call(label, effect.op) { feedReply(processOfEffect, Input.State(effect.ticket, it)) }
             is Effect.Cloud ->
-                simulation.cloud.call(label, effect.op) { feedBack(askedBy, Input.Cloud(effect.ticket, it)) }
+                simulation.cloud.call(label, effect.op) { feedReply(processOfEffect, Input.Cloud(effect.ticket, it)) }
             is Effect.WorkerCommand ->
-                simulation.direct(label, effect) { feedBack(askedBy, Input.WorkerReply(effect.ticket, it)) }
+                simulation.sendCommand(
+                    label,
+                    effect,
+                ) { feedReply(processOfEffect, Input.WorkerReply(effect.ticket, it)) }
             is Effect.Send -> send(effect)
-            is Effect.Timer -> setTimer(effect, askedBy)
+            is Effect.Timer -> setTimer(effect, processOfEffect)
             is Effect.Timing -> Unit
-            is Effect.LogEvent -> if (simulation.verbose) println("${clock.time} $label ${effect.text}")
+            is Effect.LogEvent -> if (simulation.verbose) println("${clock.timeMs} $label ${effect.text}")
         }
     }
 
-    /** Feeds [input], the answer to an effect of the process [askedBy], unless another process runs by now. */
-    private fun feedBack(askedBy: Int, input: Input) {
-        if (process == askedBy) feed(input)
+    /** Feeds [input], the answer to an effect of the process [processOfEffect], unless another process runs by now. */
+    private fun feedReply(processOfEffect: Int, input: Input) {
+        if (process == processOfEffect) feed(input)
     }
 
     private fun send(effect: Effect.Send) {
@@ -143,14 +150,14 @@
         val frame = Frames.encode(effect.message)
         simulation.onFrame(frame)
         simulation.network.send(label, receiver.label) {
-            receiver.peer(simulation.indexAt(receiver.label, label), frame)
+            receiver.receiveFrame(simulation.indexAt(receiver.label, label), frame)
         }
     }
 
-    private fun setTimer(effect: Effect.Timer, askedBy: Int) {
+    private fun setTimer(effect: Effect.Timer, processOfEffect: Int) {
         val timer = ++timers
         clock.after(effect.atMs - now().steady + clock.between(0, 3)) {
-            if (timer == timers) feedBack(askedBy, Input.Tick)
+            if (timer == timers) feedReply(processOfEffect, Input.Tick)
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -16,23 +16,23 @@
 class SimulationSize(
     val controllers: Int = 3,
     /** How many machines there may be. */
-    val capacity: Int = 14,
+    val maxMachines: Int = 14,
     /** How many times the teams' usual limits hold. */
-    val scale: Int = 1,
+    val limitFactor: Int = 1,
 )
 
 /** What is wrong on purpose, so that tests of the checks see the rules broken. */
-class Sabotage(
+class DeliberateErrors(
     /** The lease that the controllers are told in place of the workers' true one. */
-    val toldLeaseS: Double? = null,
+    val configuredLeaseS: Double? = null,
     /** How much more than the teams' true limits the controllers are told. */
-    val toldLimitFactor: Double = 1.0,
+    val configuredLimitFactor: Double = 1.0,
     /** Late copies of heartbeats pass for new ones. */
     val copiesLookNew: Boolean = false,
     /** Options of one controller that differ from the others'. */
-    val oddOptions: OperatorSettings? = null,
+    val differingOptions: OperatorSettings? = null,
     /** A machine type that only the controllers believe in. */
-    val phantomType: MachineType? = null,
+    val nonexistentType: MachineType? = null,
 )
 
 /** Controllers, fakes and rules on one virtual clock; [FaultInjection] adds faults. */
@@ -45,12 +45,12 @@
     size: SimulationSize = SimulationSize(),
     private val stateLimits: StateLimits = StateLimits(80.0, 20.0, 8192, 12),
     private val objectives: List<Objective> = emptyList(),
-    val sabotage: Sabotage = Sabotage(),
+    val deliberateErrors: DeliberateErrors = DeliberateErrors(),
 ) {
     val clock = VirtualClock(seed)
     val network = Network(clock)
     val zones = listOf("east", "west")
-    val limits = listOf("red", "blue").map { Team(it, 16.0 * size.scale, 40.0 * size.scale, 0.0, 0.0) }
+    val teams = listOf("red", "blue").map { Team(it, 16.0 * size.limitFactor, 40.0 * size.limitFactor, 0.0, 0.0) }
     val cancelMs = 25_000L
     val types =
         listOf(
@@ -58,24 +58,24 @@
             MachineType("large", Resources(16.0, 0.0, 64.0), 1.0, 20.0, 1.2, 0.5, 6.0, zones),
         )
     private val labels = List(size.controllers) { "abcde"[it].toString() }
-    private val toldLeaseS = sabotage.toldLeaseS ?: (leaseMs / 1000.0)
-    val settings = settingsOf("a", toldLeaseS, sabotage.toldLimitFactor)
+    private val controllerLeaseS = deliberateErrors.configuredLeaseS ?: (leaseMs / 1000.0)
+    val settings = settingsOf("a", controllerLeaseS, deliberateErrors.configuredLimitFactor)
     val state = FakeStateService(clock, network, settings.stateLimits)
     val cloud =
         FakeCloud(
             clock,
             network,
             types,
-            types + listOfNotNull(sabotage.phantomType),
-            size.capacity,
+            types + listOfNotNull(deliberateErrors.nonexistentType),
+            size.maxMachines,
         ) { name, type, zone, spot -> FakeWorker(this, name, type, zone, spot, leaseMs) }
     val nodes =
         labels.map {
             SimulatedController(
                 this,
                 it,
-                settingsOf(it, toldLeaseS, sabotage.toldLimitFactor),
-                sabotage.oddOptions?.takeIf { _ -> it == "b" } ?: options,
+                settingsOf(it, controllerLeaseS, deliberateErrors.configuredLimitFactor),
+                deliberateErrors.differingOptions?.takeIf { _ -> it == "b" } ?: options,
             )
         }
     val users = Users(this)
@@ -108,7 +108,7 @@
             peers = labels.filter { it != label }.map { Peer(it, Address("127.0.0.1", 3)) },
             state = Address("127.0.0.1", 4),
             cloud = Address("127.0.0.1", 5),
-            teams = limits.map { it.copy(cpusMax = it.cpusMax * factor) },
+            teams = teams.map { it.copy(cpusMax = it.cpusMax * factor) },
             objectives = objectives,
             heartbeatIntervalS = heartbeatMs / 1000.0,
             leaseS = leaseS,
@@ -126,41 +126,42 @@
     fun indexAt(label: String, of: String): Int = labels.filter { it != label }.indexOf(of)
 
     /** Sends [message] of controller [node] to its worker; [reply] comes once, at the latest after the time-out. */
-    fun direct(node: String, message: Effect.WorkerCommand, reply: (CommandReply) -> Unit) {
-        var answered = false
+    fun sendCommand(node: String, message: Effect.WorkerCommand, reply: (CommandReply) -> Unit) {
+        var replied = false
 
-        fun answer(result: CommandReply) {
-            if (!answered) {
-                answered = true
+        fun replyOnce(result: CommandReply) {
+            if (!replied) {
+                replied = true
                 reply(result)
             }
         }
-        val sentAt = clock.time
-        clock.after(COMMAND_TIMEOUT_MS) { answer(CommandReply.NoResponse) }
+        val sentAtMs = clock.timeMs
+        clock.after(COMMAND_TIMEOUT_MS) { replyOnce(CommandReply.NoResponse) }
         network.send(node, message.address) {
-            afterHoldUp {
-                cloud.worker(message.address)?.direct(message, sentAt) { result ->
-                    network.send(message.address, node) { afterHoldUp { answer(result) } }
+            afterHold {
+                cloud.worker(message.address)?.receiveCommand(message, sentAtMs) { result ->
+                    network.send(message.address, node) { afterHold { replyOnce(result) } }
                 }
             }
         }
     }
 
     /** Runs [deliver] now, or later if the network holds it up. */
-    private fun afterHoldUp(deliver: () -> Unit) {
-        val held = network.holdUp()
-        if (held > 0) clock.after(held, deliver) else deliver()
+    private fun afterHold(deliver: () -> Unit) {
+        val holdMs = network.drawHoldMs()
+        if (holdMs > 0) clock.after(holdMs, deliver) else deliver()
     }
 
     /**
-     * Starts everything, the controllers after [firstMs]; [jobs] jobs arrive over [overMs]. Machines that the cloud
-     * lists when the controllers begin, 3 s after they were added, are the operator's own, and stay.
+     * Starts the simulation: adds [machines] machines, starts the controllers after [controllerDelayMs], and has users
+     * submit [jobs] random jobs within [overMs]. The cloud lists a machine 3 s after it is added. Machines that are
+     * listed when the controllers start become static machines, which are never deleted.
      */
-    fun begin(jobs: Int, overMs: Long, machines: Int = 4, firstMs: Long = 0) {
+    fun begin(jobs: Int, overMs: Long, machines: Int = 4, controllerDelayMs: Long = 0) {
         repeat(machines) { cloud.add(types[0], zones[it % 2], false, 0) }
-        for (node in nodes) clock.after(firstMs + clock.between(0, 500)) { node.start() }
-        repeat(jobs) { clock.after(clock.between(0, overMs)) { users.arrive() } }
-        repeat(jobs / 3) { clock.after(clock.between(0, overMs)) { users.askUnknown() } }
+        for (node in nodes) clock.after(controllerDelayMs + clock.between(0, 500)) { node.start() }
+        repeat(jobs) { clock.after(clock.between(0, overMs)) { users.submitRandomJob() } }
+        repeat(jobs / 3) { clock.after(clock.between(0, overMs)) { users.queryUnknownJob() } }
         clock.afterEach = rules::check
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/StarvationRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/StarvationRules.kt
@@ -7,7 +7,7 @@
 class StarvationRules(private val simulation: Simulation, private val history: JobHistory) {
     /** What was put off for good, by class, by team, and among a class's largest jobs. */
     fun starved(): List<String> {
-        val jobs = history.accepted.filter { it !in history.cancelRequestedAt }.mapNotNull(history::spec)
+        val jobs = history.accepted.filter { it !in history.cancelRequestedAtMs }.mapNotNull(history::spec)
         val out = ArrayList<String>()
         val groups = jobs.groupBy { "class " + it.workload } + jobs.groupBy { "team " + it.team }
         for ((name, group) in groups) checkServed(name, group, out)
@@ -22,7 +22,7 @@
     }
 
     private fun isServed(spec: JobSpec): Boolean {
-        val tasks = if (spec.shape == Shape.SERVICE) history.begun else history.completed
+        val tasks = if (spec.shape == Shape.SERVICE) history.startedTasks else history.completedTasks
         return (tasks[spec.id]?.size ?: 0) == spec.tasks
     }
 
@@ -31,12 +31,13 @@
         val largest = group.filter { it.tasks * 10 >= most * 9 }
         checkServed("largest of $name", largest, out)
         for (job in largest) {
-            val waited = (history.begunAt[job.id] ?: simulation.clock.time) - history.acceptedAt.getValue(job.id)
-            if (waited > BEGIN_MS) out.add("${job.id}, among the largest of $name, waited $waited ms")
+            val waited =
+                (history.firstStartAtMs[job.id] ?: simulation.clock.timeMs) - history.acceptedAtMs.getValue(job.id)
+            if (waited > MAX_WAIT_MS) out.add("${job.id}, among the largest of $name, waited $waited ms")
         }
     }
 
     private companion object {
-        const val BEGIN_MS = 240_000L
+        const val MAX_WAIT_MS = 240_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/UserRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/UserRules.kt
@@ -6,78 +6,89 @@
 class UserRules(private val simulation: Simulation, private val history: JobHistory) {
     private val clock = simulation.clock
 
-    private fun broken(rule: String, what: String) = simulation.rules.broken(rule, what)
+    private fun recordViolation(rule: String, detail: String) = simulation.rules.recordViolation(rule, detail)
 
     /** A job that no machine has room for was answered with [status], 0 for no answer. */
-    fun answeredUnfit(id: String, status: Int) {
-        if (status in 200..299) broken("accepted_unfit", "$id, which fits no machine, was answered with $status")
+    fun tooLargeJobAnswered(id: String, status: Int) {
+        if (status in
+            200..299
+        ) {
+            recordViolation("accepted_unfit", "$id, which fits no machine, was answered with $status")
+        }
     }
 
-    fun refused(id: String, status: Int) {
-        if (id in history.accepted) broken("forgotten", "$id was accepted and is now answered with $status")
+    fun rejected(id: String, status: Int) {
+        if (id in history.accepted) recordViolation("forgotten", "$id was accepted and is now answered with $status")
     }
 
-    /** A user gets word, given at [saidAt], that [id] is unknown; before its acceptance was told that was right. */
-    fun notFound(id: String, saidAt: Long) {
-        val acceptedAt = history.acceptedAt[id] ?: return
-        if (saidAt > acceptedAt) broken("forgotten", "$id was accepted and is now unknown")
+    /**
+     * A user receives the response, sent at [respondedAtMs], that [id] is unknown. That is allowed only if it was sent
+     * before the user learned that the job is accepted.
+     */
+    fun notFound(id: String, respondedAtMs: Long) {
+        val acceptedAt = history.acceptedAtMs[id] ?: return
+        if (respondedAtMs > acceptedAt) recordViolation("forgotten", "$id was accepted and is now unknown")
     }
 
-    fun asksToCancel(id: String) {
-        if (history.endTold[id] != DONE) history.cancelRequestedAt.putIfAbsent(id, clock.time)
+    fun cancelRequested(id: String) {
+        if (history.reportedEnd[id] != DONE) history.cancelRequestedAtMs.putIfAbsent(id, clock.timeMs)
     }
 
     /**
-     * A user is told [status] in answer to what it asked at [askedAt]; only what was asked after an end was told can go
-     * back.
+     * A user receives [status] in response to a request sent at [requestedAtMs]. A state other than the reported end is
+     * a violation only if the request was sent after that end was reported; older responses may arrive late.
      */
-    fun told(id: String, status: String, askedAt: Long) {
-        val before = history.endTold[id]
+    fun stateReported(id: String, status: String, requestedAtMs: Long) {
+        val before = history.reportedEnd[id]
         if (before != null && before != status) {
-            if (askedAt <= (history.endToldAt[id] ?: 0L)) return
-            broken("went_back", "$id was $before and is now $status")
+            if (requestedAtMs <= (history.endReportedAtMs[id] ?: 0L)) return
+            recordViolation("went_back", "$id was $before and is now $status")
         }
         when (status) {
-            DONE -> toldDone(id)
-            CANCELLED -> toldCancelled(id)
+            DONE -> doneReported(id)
+            CANCELLED -> cancelledReported(id)
         }
     }
 
-    private fun toldDone(id: String) {
+    private fun doneReported(id: String) {
         val spec = simulation.users.spec(id)
         val tasks = spec?.tasks ?: 0
         val completed = history.completedCount(id)
         if (spec?.shape == Shape.SERVICE) {
-            broken("not_done", "$id is a service, which is never done")
+            recordViolation("not_done", "$id is a service, which is never done")
         } else if (completed < tasks) {
-            broken("not_done", "$id has $completed of $tasks tasks done")
+            recordViolation("not_done", "$id has $completed of $tasks tasks done")
         }
-        toldEnd(id, DONE)
+        endReported(id, DONE)
     }
 
-    private fun toldCancelled(id: String) {
-        if (id !in history.cancelRequestedAt) broken("went_back", "$id was not cancelled by its user")
-        toldEnd(id, CANCELLED)
-        history.cancelledAt.putIfAbsent(id, clock.time)
+    private fun cancelledReported(id: String) {
+        if (id !in history.cancelRequestedAtMs) recordViolation("went_back", "$id was not cancelled by its user")
+        endReported(id, CANCELLED)
+        history.cancelledAtMs.putIfAbsent(id, clock.timeMs)
     }
 
-    private fun toldEnd(id: String, status: String) {
-        history.endTold[id] = status
-        history.endToldAt.putIfAbsent(id, clock.time)
+    private fun endReported(id: String, status: String) {
+        history.reportedEnd[id] = status
+        history.endReportedAtMs.putIfAbsent(id, clock.timeMs)
     }
 
-    /** From [calmFrom] on, when all faults are over, each open job's user gets answers, however others fare. */
-    fun checkAnswers(calmFrom: Long) {
+    /** From [faultFreeFromMs] on, when all faults are over, each open job's user gets answers, however others fare. */
+    fun checkAnswers(faultFreeFromMs: Long) {
         for (id in history.accepted) {
-            if (id in history.endTold) continue
-            val cancelRequestedAt = history.cancelRequestedAt[id]
+            if (id in history.reportedEnd) continue
+            val cancelRequestedAt = history.cancelRequestedAtMs[id]
             if (cancelRequestedAt != null) {
-                val since = maxOf(calmFrom, cancelRequestedAt)
-                if (clock.time - since <= UNANSWERED_MS) continue
-                broken("forgotten", "$id: its cancellation was not answered since $since")
+                val since = maxOf(faultFreeFromMs, cancelRequestedAt)
+                if (clock.timeMs - since <= MAX_UNANSWERED_MS) continue
+                recordViolation("forgotten", "$id: its cancellation was not answered since $since")
             } else {
-                val since = maxOf(calmFrom, history.acceptedAt[id] ?: 0, history.answeredAt[id] ?: 0)
-                if (clock.time - since > UNANSWERED_MS) broken("forgotten", "$id: no answer since $since")
+                val since = maxOf(faultFreeFromMs, history.acceptedAtMs[id] ?: 0, history.lastPollAnsweredAtMs[id] ?: 0)
+                if (clock.timeMs - since >
+                    MAX_UNANSWERED_MS
+                ) {
+                    recordViolation("forgotten", "$id: no answer since $since")
+                }
             }
         }
     }
@@ -86,6 +97,6 @@
         /** The ends of a job as the protocol spells them. */
         const val DONE = "done"
         const val CANCELLED = "aborted"
-        private const val UNANSWERED_MS = 75_000L
+        private const val MAX_UNANSWERED_MS = 75_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/WaitingRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/WaitingRules.kt
@@ -11,7 +11,7 @@
     private val services: ServiceRules,
 ) {
     private val clock = simulation.clock
-    private val waitingSince = HashMap<String, Long>()
+    private val pendingSinceMs = HashMap<String, Long>()
 
     /** A task and the machine that has it. */
     private class Placed(val task: FakeTask, val worker: FakeWorker)
@@ -39,12 +39,15 @@
 
         fun of(id: String): List<Placed> = byJob[id] ?: emptyList()
 
-        /** Whether a machine and the team's limit have room for one more task; [stopsLower] as in [FakeTasks]. */
-        fun couldBegin(spec: JobSpec, stopsLower: Boolean = false): Boolean {
+        /** Whether a machine and the team's limit have room for one more task; [preemptsLower] as in [FakeTasks]. */
+        fun canStart(spec: JobSpec, preemptsLower: Boolean = false): Boolean {
             val here = of(spec.id)
-            val limit = simulation.limits.first { it.name == spec.team }.cpusMax
-            if ((usedCpus[spec.team] ?: 0.0) + spec.taskResources.cpus > limit + ROUNDING) return false
-            return usable.any { allows(spec, it) && it.hasRoomFor(spec, stopsLower) && zoneAllows(spec, here, it.zone) }
+            val limit = simulation.teams.first { it.name == spec.team }.cpusMax
+            if ((usedCpus[spec.team] ?: 0.0) + spec.taskResources.cpus > limit + ROUNDING_TOLERANCE) return false
+            return usable.any {
+                allows(spec, it) && it.hasCapacityFor(spec, preemptsLower) &&
+                    zoneAllows(spec, here, it.zone)
+            }
         }
 
         private fun allows(spec: JobSpec, worker: FakeWorker): Boolean =
@@ -61,33 +64,33 @@
         val fleet = Fleet()
         for (id in history.accepted) {
             val spec = simulation.users.spec(id)
-            if (spec != null && waits(spec, fleet)) noteWaiting(spec, fleet) else waitingSince.remove(id)
+            if (spec != null && isPending(spec, fleet)) notePending(spec, fleet) else pendingSinceMs.remove(id)
         }
-        services.checkDown(history::isOpen) { fleet.couldBegin(it, stopsLower = true) }
+        services.checkDown(history::isOpen) { fleet.canStart(it, preemptsLower = true) }
     }
 
     /** Whether a task of [spec] is neither done nor on a machine, though it could begin. */
-    private fun waits(spec: JobSpec, fleet: Fleet): Boolean {
+    private fun isPending(spec: JobSpec, fleet: Fleet): Boolean {
         if (!history.isOpen(spec.id)) return false
-        val ended = history.completed[spec.id] ?: emptySet()
+        val ended = history.completedTasks[spec.id] ?: emptySet()
         val here = fleet.of(spec.id)
         val isMissing = (0 until spec.tasks).any { i -> i !in ended && here.none { it.task.index == i } }
-        return isMissing && fleet.couldBegin(spec)
+        return isMissing && fleet.canStart(spec)
     }
 
-    private fun noteWaiting(spec: JobSpec, fleet: Fleet) {
-        val since = waitingSince.getOrPut(spec.id) { clock.time }
-        if (clock.time - since <= WAITING_MS) return
+    private fun notePending(spec: JobSpec, fleet: Fleet) {
+        val since = pendingSinceMs.getOrPut(spec.id) { clock.timeMs }
+        if (clock.timeMs - since <= MAX_PENDING_MS) return
         val state = "${fleet.of(spec.id).size} of its tasks are on machines, ${history.completedCount(spec.id)} done"
-        simulation.rules.broken(
+        simulation.rules.recordViolation(
             "left_waiting",
             "${spec.id}: a machine that fits has had room since $since: $spec, $state",
         )
-        waitingSince[spec.id] = clock.time
+        pendingSinceMs[spec.id] = clock.timeMs
     }
 
     private companion object {
-        const val WAITING_MS = 90_000L
-        const val ROUNDING = 1e-6
+        const val MAX_PENDING_MS = 90_000L
+        const val ROUNDING_TOLERANCE = 1e-6
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/WorkerForm.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/WorkerWireFormat.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.wire.Pack
 
 /** The protocol's spellings on the side of a worker: heartbeats as it writes them, and commands as it reads them. */
-object WorkerForm {
+object WorkerWireFormat {
     fun encode(heartbeat: WorkerHeartbeat): ByteArray =
         Pack.encode(
             mapOf(
