--- a/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/CompatTest.kt
@@ -29,9 +29,12 @@
 import java.util.Base64
 import java.util.BitSet
 
-/** This version and those before it: each reads what the others write and say. */
+/**
+ * This version reads the records and messages of earlier versions, and production reads those of this version. A
+ * rolling upgrade needs both, because old and new controllers run at the same time.
+ */
 class CompatTest {
-    /** The versions whose stored values and messages are recorded; [number] is what they tell in their greeting. */
+    /** The versions whose records and messages are recorded. [number] is the version in their hello. */
     enum class Version(val number: Int) {
         /** The version in production. */
         PRODUCTION(0),
@@ -46,18 +49,18 @@
             recorded
                 .filter {
                     it.source == "state" && it.name.startsWith(prefix)
-                }.also { assertTrue(it.isNotEmpty(), "no $prefix") }
+                }.also { assertTrue(it.isNotEmpty(), "the recording has no record under $prefix") }
     }
 
     private val limits = StateLimits(80.0, 20.0, 4096, 8)
 
-    private fun row(line: Recording.Line) = KeyValue(line.name, Pack.decode(line.bytes), 1)
+    private fun keyValue(line: Recording.Line) = KeyValue(line.name, Pack.decode(line.bytes), 1)
 
     private fun fields(line: Recording.Line) = Pack.decodeMap(line.bytes)
 
     @ParameterizedTest
     @EnumSource
-    fun `a version's recording has every kind of record and message`(version: Version) {
+    fun `a version's recording contains every kind of record and message`(version: Version) {
         assertEquals(
             setOf(
                 "job open batch",
@@ -83,11 +86,15 @@
         val messages = version.frames.map { Frames.decode(it.bytes) }
         assertEquals(setOf(1, 2, 3), messages.filterIsInstance<PeerMessage.ForwardedRequest>().map { it.kind }.toSet())
         val promises = messages.filterIsInstance<PeerMessage.FollowerLeaseResponse>()
-        assertTrue(promises.any { it.heartbeats > 0 }, "no promise counts reports")
-        assertTrue(promises.any { it.prepared }, "no promise of a prepared peer")
+        assertTrue(promises.any { it.heartbeats > 0 }, "no recorded promise has a heartbeat count above 0")
+        assertTrue(promises.any { it.prepared }, "no recorded promise is from a prepared peer")
         val described = version.records(JobRecord.KEY_PREFIX).mapNotNull { fields(it).map["j"] as? Map<*, *> }
         val optional = setOf("bundle", "pullGb", "flavours", "site", "dueS")
-        assertEquals(emptySet<String>(), optional - described.flatMap { it.keys }.toSet(), "no job has these")
+        assertEquals(
+            emptySet<String>(),
+            optional - described.flatMap { it.keys }.toSet(),
+            "fields that no recorded job has",
+        )
         assertEquals(
             setOf("production", "high", "standard", "best_effort"),
             described.map { it["urgency"] }.toSet(),
@@ -96,11 +103,11 @@
 
     @ParameterizedTest
     @EnumSource
-    fun `a version's jobs are read as they were written`(version: Version) {
+    fun `a version's job records are decoded to the values that were written`(version: Version) {
         val names = Interners().apply { listOf("red", "blue").forEach(teams::intern) }
         val jobs = JobTable(CoreContext(1), names, limits)
         for (line in version.records(JobRecord.KEY_PREFIX)) {
-            jobs.loadJob(row(line))
+            jobs.loadJob(keyValue(line))
             val f = fields(line)
             val entry = checkNotNull(jobs.find(line.name.removePrefix(JobRecord.KEY_PREFIX)))
             val expected =
@@ -120,7 +127,7 @@
 
     @ParameterizedTest
     @EnumSource
-    fun `a version's pages count for the tasks that they name, also where ours are smaller`(version: Version) {
+    fun `a version's progress pages are read also when this version's pages are smaller`(version: Version) {
         for (line in version.records(ProgressPageRecord.KEY_PREFIX)) {
             val (id, from) = line.name.removePrefix(ProgressPageRecord.KEY_PREFIX).split('/')
             val bits = BitSet.valueOf(Base64.getDecoder().decode(fields(line).text("b")))
@@ -141,7 +148,7 @@
                     1,
                 ),
             )
-            jobs.loadPage(row(line))
+            jobs.loadPage(keyValue(line))
             val done = checkNotNull(jobs.find(id)?.open).progress.snapshot()
             assertEquals(
                 bits
@@ -156,10 +163,12 @@
 
     @ParameterizedTest
     @EnumSource
-    fun `a version's leadership record, markers and machines are read as they were written`(version: Version) {
+    fun `a version's leadership record, dispatch markers and static machines are decoded as they were written`(
+        version: Version,
+    ) {
         for (line in version.records(LeadershipRecord.KEY)) {
             val f = fields(line)
-            val lead = LeadershipRecord.of(row(line))
+            val lead = LeadershipRecord.of(keyValue(line))
             assertEquals(
                 LeadershipRecord(f.text("owner"), f.long("life"), f.long("generation"), f.long("writes")),
                 lead,
@@ -167,7 +176,7 @@
             assertArrayEquals(line.bytes, Pack.encode(lead.value()))
         }
         for (line in version.records(DispatchMarkerRecord.PREFIX)) {
-            val stored = row(line)
+            val stored = keyValue(line)
             val rows = DispatchMarkerRecord.rows(stored).toList()
             for (each in rows) {
                 assertEquals(each.ranges, IndexRanges.encode(IndexRanges.decode(each.ranges).toIntArray()))
@@ -176,7 +185,7 @@
             assertArrayEquals(line.bytes, Pack.encode(written))
         }
         for (line in version.records(StaticMachines.KEY)) {
-            val staticMachines = StaticMachines(CoreContext(1), limits).also { it.load(row(line)) }
+            val staticMachines = StaticMachines(CoreContext(1), limits).also { it.load(keyValue(line)) }
             assertEquals(fields(line).texts("names").toSet(), staticMachines.names)
             assertTrue(staticMachines.isKnown)
         }
@@ -184,7 +193,7 @@
 
     @ParameterizedTest
     @EnumSource
-    fun `a version's messages are read and would be said in the same bytes`(version: Version) {
+    fun `a version's messages are decoded and encode to the same bytes`(version: Version) {
         for (line in version.frames) {
             val message = checkNotNull(Frames.decode(line.bytes)) { line.name }
             assertEquals(line.name, Recording.label(message))
@@ -195,7 +204,7 @@
 
     @ParameterizedTest
     @EnumSource
-    fun `a version's own recording is within what production reads`(version: Version) {
+    fun `production can read a version's recording`(version: Version) {
         for (line in version.recorded) {
             assertNull(
                 if (line.source ==
@@ -210,8 +219,8 @@
     }
 
     @Test
-    fun `all that this version writes and says on a day is within what production reads`() {
-        val foreign = sortedSetOf<String>()
+    fun `production can read all records and messages of this version`() {
+        val problems = sortedSetOf<String>()
         var writes = 0
         var frames = 0
         for (seed in 31L..33L) {
@@ -219,36 +228,36 @@
                 seed,
                 { key, bytes ->
                     writes++
-                    ProductionFormat.record(key, bytes)?.let(foreign::add)
+                    ProductionFormat.record(key, bytes)?.let(problems::add)
                 },
                 { frame ->
                     frames++
-                    ProductionFormat.frame(frame)?.let(foreign::add)
+                    ProductionFormat.frame(frame)?.let(problems::add)
                 },
             )
         }
-        assertEquals(emptySet<String>(), foreign)
+        assertEquals(emptySet<String>(), problems)
         assertTrue(writes > 1000 && frames > 1000, "$writes writes, $frames frames")
         assertNull(ProductionFormat.frame(Frames.encode(PeerMessage.Hello("b", 1, PeerMessage.VERSION))))
     }
 
     @Test
-    fun `a form that production does not read is found`() {
-        fun foreign(key: String, value: Map<String, Any?>) =
+    fun `records and messages that production cannot read are detected`() {
+        fun assertUnreadable(key: String, value: Map<String, Any?>) =
             assertNotNull(ProductionFormat.record(key, Pack.encode(value)), "$key $value")
         val lead = mapOf("owner" to "a", "life" to 1L, "generation" to 1L, "writes" to 0L)
         assertNull(ProductionFormat.record("ch/lead", Pack.encode(lead)))
-        foreign("ch/lead", lead - "writes")
-        foreign("ch/lead", lead + ("version" to 1L))
-        foreign("ch/lead", lead + ("life" to "x"))
-        foreign("ch/other", lead)
-        foreign("job/j-1", mapOf("s" to "paused", "n" to 3L))
-        foreign("job/j-1", mapOf("s" to "done", "n" to "3"))
-        foreign("prog/j-1", mapOf("b" to "AA=="))
-        foreign("prog/j-1/0", mapOf("r" to "0-3"))
-        foreign("mark/000000000001/1", mapOf("n" to 65537L, "a" to listOf(listOf("j-1", "n-1", "0-3", 2L))))
-        foreign("fleet/spares", mapOf("names" to listOf("n-1")))
-        foreign("fleet/images/0", mapOf("images" to listOf("i"), "held" to mapOf("n-1" to "i")))
+        assertUnreadable("ch/lead", lead - "writes")
+        assertUnreadable("ch/lead", lead + ("version" to 1L))
+        assertUnreadable("ch/lead", lead + ("life" to "x"))
+        assertUnreadable("ch/other", lead)
+        assertUnreadable("job/j-1", mapOf("s" to "paused", "n" to 3L))
+        assertUnreadable("job/j-1", mapOf("s" to "done", "n" to "3"))
+        assertUnreadable("prog/j-1", mapOf("b" to "AA=="))
+        assertUnreadable("prog/j-1/0", mapOf("r" to "0-3"))
+        assertUnreadable("mark/000000000001/1", mapOf("n" to 65537L, "a" to listOf(listOf("j-1", "n-1", "0-3", 2L))))
+        assertUnreadable("fleet/spares", mapOf("names" to listOf("n-1")))
+        assertUnreadable("fleet/images/0", mapOf("images" to listOf("i"), "held" to mapOf("n-1" to "i")))
         val open = Version.PRODUCTION.records(JobRecord.KEY_PREFIX).first { fields(it).text("s") == "open" }
         val spec = Fields.of(fields(open).map["j"], "j").map
         for (change in listOf(
@@ -258,7 +267,7 @@
             "colour" to "blue",
             "flavours" to "g8",
         )) {
-            foreign(open.name, fields(open).map + ("j" to spec + change))
+            assertUnreadable(open.name, fields(open).map + ("j" to spec + change))
         }
         assertNotNull(ProductionFormat.frame(Frames.encode(PeerMessage.ForwardedRequest(1, 4, "j-1", ByteArray(0)))))
         assertNotNull(ProductionFormat.frame(FutureMessages.gossip()))
@@ -266,7 +275,7 @@
     }
 
     @Test
-    fun `what this version writes and says is recorded for the next one`() {
+    fun `records and messages of this version are recorded for later versions`() {
         val path = Path.of("target/compat/recorded.txt")
         Recording.record(21L..23L, path)
         assertTrue(path.toFile().readLines().size > 30)
--- a/src/test/kotlin/org/chalkhollow/compat/FutureMessages.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/FutureMessages.kt
@@ -5,21 +5,21 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.Cbor
 
-/** Messages in forms that no version has had so far. */
+/** Encoded messages that no version sends: an unknown kind, and a known kind with an unknown field. */
 @OptIn(ExperimentalSerializationApi::class)
 object FutureMessages {
     @Serializable
-    private sealed interface Later {
+    private sealed interface Message {
         @Serializable
         @SerialName("gossip")
-        class Gossip(val words: List<String>) : Later
+        class Gossip(val words: List<String>) : Message
 
         @Serializable
         @SerialName("release")
-        class Release(val generation: Long, val reason: String) : Later
+        class Release(val generation: Long, val reason: String) : Message
     }
 
-    fun gossip(): ByteArray = Cbor.encodeToByteArray(Later.serializer(), Later.Gossip(listOf("x")))
+    fun gossip(): ByteArray = Cbor.encodeToByteArray(Message.serializer(), Message.Gossip(listOf("x")))
 
-    fun releaseWithReason(): ByteArray = Cbor.encodeToByteArray(Later.serializer(), Later.Release(7, "tired"))
+    fun releaseWithReason(): ByteArray = Cbor.encodeToByteArray(Message.serializer(), Message.Release(7, "tired"))
 }
--- a/src/test/kotlin/org/chalkhollow/compat/ProductionFormat.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/ProductionFormat.kt
@@ -10,26 +10,28 @@
 import java.util.Base64
 
 /**
- * What the version in production reads, written down by hand from its code and on its own, so that it does not change
- * when the code does: records and their fields, messages and theirs, names of states and kinds. Null for what is within
- * it, else why not. It is stricter than production, which ignores unknown fields: a new field has to be entered here as
- * one of those ([IGNORED]), by somebody who has thought of what becomes of it when production writes the record again.
+ * The records and messages that the version in production can read, with their fields and enum values. It is written
+ * by hand from production's code and uses none of the current code, so that it does not change with it. [record] and
+ * [frame] return null for what production can read, and the reason otherwise.
+ *
+ * The check is stricter than production, which ignores unknown fields. A new field must be added to [IGNORED] here.
+ * Before adding one, consider that production drops the field when it writes the record again.
  */
 object ProductionFormat {
-    private class Foreign(why: String) : Exception(why)
+    private class UnsupportedFormat(reason: String) : Exception(reason)
 
-    /** Kinds of records and messages with the fields that production does not know and ignores. */
+    /** The fields that production does not know and ignores, by kind of record or message. */
     val IGNORED = mapOf("hello" to setOf("version"))
 
     private val shapes = setOf("batch", "group", "service")
-    private val urgencies = setOf("production", "high", "standard", "best_effort")
+    private val priorities = setOf("production", "high", "standard", "best_effort")
 
-    /** Checks a record that is written under [key]. */
+    /** Checks a record that is stored under [key]. Returns null if production can read it, otherwise the reason. */
     fun record(key: String, bytes: ByteArray): String? =
         try {
             record(key, map(Pack.decode(bytes), key))
             null
-        } catch (e: Foreign) {
+        } catch (e: UnsupportedFormat) {
             "$key: ${e.message}"
         } catch (e: MalformedMessageException) {
             "$key: ${e.message}"
@@ -52,7 +54,7 @@
                 f.only("b" to { Base64.getDecoder().decode(text(it)) })
             }
             parts[0] == "mark" && parts.size == 3 -> {
-                require(parts[1].length == 12, "the generation has not 12 digits")
+                require(parts[1].length == 12, "the fencing token ${parts[1]} does not have 12 digits")
                 number(parts[1])
                 number(parts[2])
                 f.only("n" to ::count, "a" to { rows -> list(rows).forEach(::markerRow) })
@@ -65,28 +67,28 @@
                     "held" to { held -> map(held, "held").values.forEach { list(it).forEach(::count) } },
                 )
             }
-            else -> throw Foreign("production knows no such key")
+            else -> throw UnsupportedFormat("production does not know this key")
         }
     }
 
     private fun job(id: String, f: Map<String, Any?>) {
         jobId(id)
         when (f["s"]) {
-            "open" -> f.only("s" to ::text, "at" to ::count, "j" to { description(map(it, "j")) })
+            "open" -> f.only("s" to ::text, "at" to ::count, "j" to { jobSpec(map(it, "j")) })
             "done" -> f.only("s" to ::text, "n" to ::count)
-            "cancelled" -> f.only("s" to ::text, "n" to ::count, "j?" to { description(map(it, "j")) })
-            else -> throw Foreign("production takes a job in state ${f["s"]} for cancelled")
+            "cancelled" -> f.only("s" to ::text, "n" to ::count, "j?" to { jobSpec(map(it, "j")) })
+            else -> throw UnsupportedFormat("production reads a job in the unknown state ${f["s"]} as cancelled")
         }
     }
 
-    private fun description(f: Map<String, Any?>) =
+    private fun jobSpec(f: Map<String, Any?>) =
         f.only(
             "nameId" to { jobId(text(it)) },
             "workload" to ::name,
             "owner" to ::name,
             "shape" to { oneOf(it, shapes) },
-            "urgency" to { oneOf(it, urgencies) },
-            "pieces" to { require(it is Long && it in 1..100_000, "$it tasks") },
+            "urgency" to { oneOf(it, priorities) },
+            "pieces" to { require(it is Long && it in 1..100_000, "the number of tasks is $it, not 1 to 100000") },
             "vcpus" to ::amount,
             "cards" to ::amount,
             "memoryGb" to ::amount,
@@ -94,7 +96,7 @@
             "pullGb?" to ::amount,
             "flavours?" to {
                 texts(it)
-                require(list(it).size <= 64, "more than 64 types")
+                require(list(it).size <= 64, "${list(it).size} machine types, at most 64 are allowed")
             },
             "site?" to ::name,
             "together" to ::flag,
@@ -110,13 +112,13 @@
 
     private fun markerRow(row: Any?) {
         val parts = list(row)
-        require(parts.size == 3, "a row of ${parts.size} parts")
+        require(parts.size == 3, "a marker row has ${parts.size} instead of 3 elements")
         jobId(text(parts[0]))
         text(parts[1])
-        require(ranges.matches(text(parts[2])), "no ranges: ${parts[2]}")
+        require(ranges.matches(text(parts[2])), "${parts[2]} is not a list of index ranges")
     }
 
-    /** All of [fields] and no others; those with a question mark may be absent. */
+    /** Requires that this map has all of [fields] and no others. Fields whose name ends with `?` are optional. */
     private fun Map<String, Any?>.only(vararg fields: Pair<String, (Any?) -> Any?>) {
         for ((name, check) in fields) {
             val value = get(name.removeSuffix("?"))
@@ -126,29 +128,30 @@
         require(known.containsAll(keys), "fields that production does not know: ${keys - known}")
     }
 
-    private fun require(holds: Boolean, why: String) {
-        if (!holds) throw Foreign(why)
+    private fun require(holds: Boolean, reason: String) {
+        if (!holds) throw UnsupportedFormat(reason)
     }
 
-    private fun text(v: Any?): String = v as? String ?: throw Foreign("$v is not text")
+    private fun text(v: Any?): String = v as? String ?: throw UnsupportedFormat("$v is not text")
 
-    private fun name(v: Any?) = require(text(v).length in 1..200, "a name of ${text(v).length} letters")
+    private fun name(v: Any?) =
+        require(text(v).length in 1..200, "a name has ${text(v).length} characters, not 1 to 200")
 
-    private fun flag(v: Any?) = require(v is Boolean, "$v is not a flag")
+    private fun flag(v: Any?) = require(v is Boolean, "$v is not a Boolean")
 
-    private fun count(v: Any?) = require(v is Long && v >= 0, "$v is not a count")
+    private fun count(v: Any?) = require(v is Long && v >= 0, "$v is not an integer of at least 0")
 
     private fun amount(v: Any?) =
         require(
             (v is Double && v.isFinite() && v in 0.0..1e9) || (v is Long && v in 0..1_000_000_000),
-            "$v is not an amount",
+            "$v is not a number from 0 to 1e9",
         )
 
-    private fun list(v: Any?): List<Any?> = v as? List<Any?> ?: throw Foreign("$v is not a list")
+    private fun list(v: Any?): List<Any?> = v as? List<Any?> ?: throw UnsupportedFormat("$v is not a list")
 
     private fun texts(v: Any?) = list(v).forEach(::text)
 
-    private fun oneOf(v: Any?, names: Set<String>) = require(v in names, "production does not know $v")
+    private fun oneOf(v: Any?, names: Set<String>) = require(v in names, "production does not know the value $v")
 
     private fun number(text: String) =
         require(
@@ -156,16 +159,16 @@
                 text.all {
                     it in '0'..'9'
                 },
-            "$text is not a number",
+            "$text is not a decimal number",
         )
 
     private fun jobId(id: String) = require(Regex("j-[0-9]{1,62}").matches(id), "$id is not a job id")
 
     @Suppress("UNCHECKED_CAST") // Pack decodes maps with text keys only
     private fun map(v: Any?, what: String): Map<String, Any?> =
-        v as? Map<String, Any?> ?: throw Foreign("$what is not a map")
+        v as? Map<String, Any?> ?: throw UnsupportedFormat("$what is not a map")
 
-    /** The messages that production knows, with [IGNORED] fields beside its own. */
+    /** The messages that production knows, with their fields and those in [IGNORED]. */
     @Serializable
     private sealed interface Message {
         @Serializable
@@ -208,21 +211,21 @@
         class Forwarded(val seq: Long, val status: Int, val body: ByteArray, val retryAfterS: Int) : Message
     }
 
-    /** Checks a frame that is sent to another controller. */
+    /** Checks a frame for another controller. Returns null if production can read it, otherwise the reason. */
     @OptIn(ExperimentalSerializationApi::class)
     fun frame(bytes: ByteArray): String? =
         try {
             val message = Cbor.decodeFromByteArray(Message.serializer(), bytes)
             if (bytes.size > 256 * 1024) {
-                "a frame of ${bytes.size} bytes"
+                "a frame has ${bytes.size} bytes, at most 262144 are allowed"
             } else if (message is Message.Forward &&
                 message.kind !in 1..3
             ) {
-                "production answers 503 to a request of kind ${message.kind}"
+                "production responds with 503 to a forwarded request of kind ${message.kind}"
             } else {
                 null
             }
         } catch (e: SerializationException) {
-            e.message ?: "no message of production's"
+            e.message ?: "production does not know this message"
         }
 }
--- a/src/test/kotlin/org/chalkhollow/compat/Recording.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/Recording.kt
@@ -15,22 +15,24 @@
 import java.util.Base64
 
 /**
- * Some of the bytes of every kind that a version writes into the state service or says to other controllers: `state KEY
- * BASE64` and `peer KIND BASE64`, one a line.
+ * Recordings of the records that a version writes to the state service and of the messages that it sends to other
+ * controllers, with a few of each kind. A line is `state KEY BASE64` or `peer KIND BASE64`.
  */
 object Recording {
     class Line(val source: String, val name: String, val bytes: ByteArray)
 
     private const val LINES_PER_KIND = 3
 
-    /** A field whose map has names of machines for keys. */
-    private const val MACHINES = "held"
+    /** A field that is a map with machine names as keys. */
+    private const val MACHINES_FIELD = "held"
+
+    /** Fields with enum values; a recording has each value. */
     private val ENUM_FIELDS = setOf("shape", "urgency")
 
-    /** What a controller says first on a connection; its process makes it, which takes no part in the recorded days. */
+    /** The first message on a connection. The controller process creates it, which the simulation does not run. */
     private val HELLO = PeerMessage.Hello("b", 12_345_678_901, PeerMessage.VERSION)
 
-    /** What kind of record [value] under [key] is. */
+    /** The kind of the record [value] under [key], with state and shape for a job. */
     fun kind(key: String, value: ByteArray): String {
         val prefix =
             if (key.startsWith(
@@ -47,7 +49,10 @@
         return "job ${f.text("s")} $shape"
     }
 
-    /** A day on which every kind is written; [onWrite] and [onFrame] get all of it. */
+    /**
+     * Runs a simulation in which every kind of record and message is written. [onWrite] is called for every value that
+     * is written, [onFrame] for every message between controllers.
+     */
     fun simulate(seed: Long, onWrite: (String, ByteArray) -> Unit, onFrame: (ByteArray) -> Unit): Simulation {
         val simulation = Simulation(seed)
         simulation.state.onWrite = { key, bytes -> if (bytes != null) onWrite(key, bytes) }
@@ -73,7 +78,7 @@
         }
         FaultInjection(simulation).injectRandom(4, 50_000, 70_000)
         simulation.clock.after(25_000) {
-            // an election, and a leader that steps down
+            // a leader crash leads to an election
             simulation.nodes.firstOrNull { it.leads }?.let { n ->
                 n.crash()
                 simulation.clock.after(6000) { n.start() }
@@ -117,9 +122,7 @@
         Files.write(path, found.values.flatten())
     }
 
-    /**
-     * The name under which recordings list a kind of message; those that are kept from earlier versions have it, too.
-     */
+    /** The name of a kind of message in recordings. Recordings of earlier versions have the same names. */
     fun label(message: PeerMessage): String =
         when (message) {
             is PeerMessage.Hello -> "Hello"
@@ -132,24 +135,24 @@
             is PeerMessage.ForwardedResponse -> "Forwarded"
         }
 
-    /** The fields of a record and of the maps in it, with the values of those that name something. */
+    /** The names of the fields of a record and of the maps in it, and the values of [ENUM_FIELDS]. */
     private fun features(value: Any?): Set<String> {
         val fields = (value as? Map<*, *>).orEmpty()
         return fields.entries
             .flatMap { (name, inner) ->
                 val named = if (name in ENUM_FIELDS) setOf("$name=$inner") else emptySet()
-                val within = if (name == MACHINES) emptySet() else features(inner)
-                named + name.toString() + within
+                val inMap = if (name == MACHINES_FIELD) emptySet() else features(inner)
+                named + name.toString() + inMap
             }.toSet()
     }
 
-    /** The fields that stand in [frame], and which request or answer is passed on in it. */
+    /** The names of the fields in [frame], and the values that tell variants of [message] apart. */
     @OptIn(ExperimentalSerializationApi::class)
     private fun features(message: PeerMessage, frame: ByteArray): Set<String> {
         val text = String(frame, Charsets.ISO_8859_1)
         val subclasses = PeerMessage.serializer().descriptor.getElementDescriptor(1)
         val fields = subclasses.elementDescriptors.flatMap { it.elementNames }.filter { it in text }
-        val passedOn =
+        val variants =
             when (message) {
                 is PeerMessage.ForwardedRequest -> setOf("kind=${message.kind}")
                 is PeerMessage.ForwardedResponse -> setOf("status=${message.status}")
@@ -161,15 +164,15 @@
                 is PeerMessage.VoteResponse -> setOf("granted=${message.granted}")
                 else -> emptySet()
             }
-        return fields.toSet() + passedOn
+        return fields.toSet() + variants
     }
 
-    /** The recordings kept with the tests, by version. */
+    /** Loads the recording [name] from the test resources. */
     fun load(name: String): List<Line> {
         val text =
             checkNotNull(
                 Recording::class.java.getResource("/compat/$name.txt"),
-            ) { "no recording $name" }.readText()
+            ) { "recording /compat/$name.txt not found in the test resources" }.readText()
         return text.lines().filter { it.isNotBlank() }.map { line ->
             val (source, key, bytes) = line.split(' ')
             Line(source, key, Base64.getDecoder().decode(bytes))
--- a/src/test/kotlin/org/chalkhollow/simulation/EffectDigest.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/EffectDigest.kt
@@ -10,21 +10,22 @@
 import java.security.MessageDigest
 
 /**
- * A digest of every effect of every controller, in order and with its moment, so that a change of structure can be
- * shown to change no effect. Effects count by the bytes that they send, not by the names of their types; the text of
- * log lines does not count.
+ * A digest of all effects of all controllers with their order and time. Comparing it before and after a refactoring
+ * shows whether any effect changed. An effect is digested by the bytes that it sends, not by the name of its type. Log
+ * lines are ignored. The texts in this class are part of the digest.
  */
 class EffectDigest {
     private val digest = MessageDigest.getInstance("SHA-256")
 
-    /** How many effects there were. */
+    /** The number of effects. */
     var count = 0L
         private set
 
-    fun add(time: Long, label: String, effect: Effect) {
+    /** Adds an [effect] of controller [label] at [timeMs]. */
+    fun add(timeMs: Long, label: String, effect: Effect) {
         if (effect is Effect.LogEvent) return
         count++
-        digest.update("$time $label ".toByteArray())
+        digest.update("$timeMs $label ".toByteArray())
         when (effect) {
             is Effect.Response -> add("answer ${effect.call} ${effect.status} ${effect.retryAfterS}", effect.body)
             is Effect.State -> add("state ${effect.ticket}", stateOp(effect.op))
@@ -41,7 +42,7 @@
         }
     }
 
-    /** The digest so far, in hexadecimal digits. */
+    /** The digest of the effects so far, in hexadecimal. */
     fun hex(): String = (digest.clone() as MessageDigest).digest().joinToString("") { "%02x".format(it) }
 
     private fun add(text: String, bytes: ByteArray?) {
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeCloud.kt
@@ -6,7 +6,10 @@
 import org.chalkhollow.model.ListedPage
 import org.chalkhollow.model.MachineType
 
-/** A fake of the cloud: rents fake workers, lists them late, takes spot machines back. */
+/**
+ * A fake of the cloud: rents out machines with fake workers, and lists machines [LIST_LAG_MS] after they are added.
+ * Rents out only [types], at most [maxMachines] machines; [catalog] is what it tells the controllers.
+ */
 class FakeCloud(
     private val clock: VirtualClock,
     private val network: Network,
@@ -15,11 +18,18 @@
     private val maxMachines: Int,
     private val makeWorker: (String, MachineType, String, Boolean) -> FakeWorker,
 ) {
-    private class Rented(val worker: FakeWorker, val rentedAtMs: Long, val upAtMs: Long, var failed: Boolean = false)
+    private class RentedMachine(
+        val worker: FakeWorker,
+        val rentedAtMs: Long,
+        val upAtMs: Long,
+        var failed: Boolean = false,
+    )
 
-    private val machines = sortedMapOf<String, Rented>()
+    private val machines = sortedMapOf<String, RentedMachine>()
+
+    /** The rentals and the names of their machines, by request name. */
     private val rentals = HashMap<String, Pair<CloudOp.Rent, List<String>>>()
-    private var next = 1
+    private var nextNumber = 1
     val workers: List<FakeWorker> get() = machines.values.map { it.worker }
 
     fun worker(name: String): FakeWorker? = machines[name]?.worker
@@ -58,7 +68,9 @@
 
     private fun rent(op: CloudOp.Rent): CloudReply {
         rentals[op.requestName]?.let { (before, names) ->
-            check(before == op) { "request name ${op.requestName} was used again for something else" }
+            check(
+                before == op,
+            ) { "request name ${op.requestName} was reused for a different rental: first $before, now $op" }
             return CloudReply.Rented(names)
         }
         if (types.none { it.name == op.type }) return CloudReply.NoCapacity
@@ -69,16 +81,16 @@
         return CloudReply.Rented(names)
     }
 
-    /** The share of machines that never come up. */
+    /** Probability that a rented machine never comes up. */
     var neverUpProbability = 0.03
 
     /** Adds a machine that comes up after [bootMs], or never, see [neverUpProbability]. */
     fun add(type: MachineType, zone: String, spot: Boolean, bootMs: Long): String {
-        val name = "n-" + (next++).toString().padStart(6, '0')
+        val name = "n-" + (nextNumber++).toString().padStart(6, '0')
         val worker = makeWorker(name, type, zone, spot)
         val never = bootMs > 0 && clock.chance(neverUpProbability)
         val upAtMs = if (never) Long.MAX_VALUE else clock.timeMs + bootMs
-        machines[name] = Rented(worker, clock.timeMs, upAtMs)
+        machines[name] = RentedMachine(worker, clock.timeMs, upAtMs)
         if (!never) clock.after(bootMs) { if (machines.containsKey(name)) worker.boot() }
         return name
     }
@@ -105,7 +117,7 @@
             false,
         )
 
-    /** A machine dies: it stays in the list, for a while as running. */
+    /** The machine fails. It stays in the list, as running for 8 s and then as failed. */
     fun failMachine(name: String) {
         val rented = machines[name] ?: return
         rented.worker.shutDown()
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -8,7 +8,7 @@
 import org.chalkhollow.wire.Pack
 import java.util.TreeMap
 
-/** A fake of the state service, as its published protocol describes it. */
+/** A fake of the state service that follows its published protocol. */
 class FakeStateService(private val clock: VirtualClock, private val network: Network, private val limits: StateLimits) {
     private class Entry(val value: Any?, val revision: Long)
 
@@ -17,13 +17,13 @@
     private var outageUntilMs = 0L
     private val rejectedUntilMs = HashMap<String, Long>()
 
-    /** Sabotage for tests of the checks: conditions always hold. */
+    /** Commits transactions whose conditions fail, so that tests of the rules see violations. */
     var ignoresConditions = false
     val size: Int get() = keys.size
 
     /**
-     * Limits that hold from now on, in the way of the real service: what is beyond them is refused and not a fault of
-     * the test.
+     * Limits that are enforced from now on, as the real service does: a transaction beyond them is rejected or
+     * throttled. A transaction beyond [limits], in contrast, fails the test. Null if only [limits] are enforced.
      */
     var loweredLimits: StateLimits? = null
         set(value) {
@@ -32,29 +32,31 @@
             refilledAtMs = clock.timeMs
         }
 
-    /** How many transactions were refused for their size and for the rate since the limits were [lowered]. */
+    /** How many transactions were beyond the size limits in [loweredLimits]. */
     var rejectedCount = 0
         private set
+
+    /** How many transactions were beyond the write rate in [loweredLimits]. */
     var throttledCount = 0
         private set
     private var tokens = 0.0
     private var refilledAtMs = 0L
 
-    /** What is stored under [prefix]. */
+    /** The stored values whose keys start with [prefix], by key. */
     fun stored(prefix: String): Map<String, Any?> =
         keys.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.associate {
             it.key to it.value.value
         }
 
-    /** What the [lowered] limits say to [op]; null when it is within them. */
+    /** The error reply if [op] is beyond [loweredLimits]; null if it is within them. */
     private fun checkLoweredLimits(op: StateOp.Commit): StateReply? {
-        val now = loweredLimits ?: return null
-        val large = op.changes.firstOrNull { c -> (c.value?.let { Pack.encode(it).size } ?: 0) > now.valueBytes }
-        if (large != null || op.changes.size > now.txnOps || op.conditions.size > now.txnOps * 4) {
+        val enforced = loweredLimits ?: return null
+        val large = op.changes.firstOrNull { c -> (c.value?.let { Pack.encode(it).size } ?: 0) > enforced.valueBytes }
+        if (large != null || op.changes.size > enforced.txnOps || op.conditions.size > enforced.txnOps * 4) {
             rejectedCount++
             return StateReply.Rejected(if (large != null) "value of ${large.key} is too large" else "too many changes")
         }
-        tokens = minOf(now.writeRps, tokens + (clock.timeMs - refilledAtMs) * now.writeRps / 1000)
+        tokens = minOf(enforced.writeRps, tokens + (clock.timeMs - refilledAtMs) * enforced.writeRps / 1000)
         refilledAtMs = clock.timeMs
         if (tokens < op.changes.size) {
             throttledCount++
@@ -64,13 +66,15 @@
         return null
     }
 
-    /** Told of every value that a transaction wants to store, and of null for a removal. */
+    /** Called with the key and encoded value of every change in a transaction, also a failed one; null is a removal. */
     var onWrite: (String, ByteArray?) -> Unit = { _, _ -> }
 
+    /** For [forMs], every request is answered as unavailable. */
     fun outage(forMs: Long) {
         outageUntilMs = clock.timeMs + forMs
     }
 
+    /** For [forMs], every request of controller [node] is answered as unavailable. */
     fun rejectRequestsOf(node: String, forMs: Long) {
         rejectedUntilMs[node] = clock.timeMs + forMs
     }
@@ -80,19 +84,19 @@
     private var slowUntilMs = 0L
     private var slowResponseMs = 0L
 
-    /** For [forMs], [share] of the commits get no answer and are carried out 2 to 12 s later, after newer ones. */
+    /** For [forMs], [fraction] of the transactions get no reply and are executed 2 to 12 s later, after newer ones. */
     fun delayCommits(fraction: Double, forMs: Long) {
         delayedFraction = fraction
         delayUntilMs = clock.timeMs + forMs
     }
 
-    /** For [forMs], answers take about [ms]; requests are carried out somewhere on the way. */
+    /** For [forMs], replies take 0.5 to 1.5 times [responseMs]; requests are executed part of the way through. */
     fun slowDown(responseMs: Long, forMs: Long) {
         slowResponseMs = responseMs
         slowUntilMs = clock.timeMs + forMs
     }
 
-    /** Runs [op] for [node]; [reply] comes once, at the latest after the caller's time-out. */
+    /** Executes [op] for controller [node]. Calls [reply] once, at the latest after the controller's time-out. */
     fun call(node: String, op: StateOp, reply: (StateReply) -> Unit) {
         var replied = false
 
@@ -166,8 +170,12 @@
 
     private fun commit(op: StateOp.Commit): StateReply {
         checkLoweredLimits(op)?.let { return it }
-        check(op.changes.size <= limits.txnOps) { "${op.changes.size} changes in a transaction" }
-        check(op.conditions.size <= limits.txnOps * 4) { "${op.conditions.size} conditions in a transaction" }
+        check(
+            op.changes.size <= limits.txnOps,
+        ) { "transaction has ${op.changes.size} changes of at most ${limits.txnOps}" }
+        check(op.conditions.size <= limits.txnOps * 4) {
+            "transaction has ${op.conditions.size} conditions of at most ${limits.txnOps * 4}"
+        }
         for (change in op.changes) onWrite(change.key, change.value?.let(Pack::encode))
         val failed = op.conditions.filter { (keys[it.key]?.revision ?: 0L) != it.revision }.map { it.key }
         if (failed.isNotEmpty() && !ignoresConditions) return StateReply.Conflict(failed)
@@ -179,12 +187,14 @@
                 continue
             }
             val packed = Pack.encode(change.value)
-            check(packed.size <= limits.valueBytes) { "value of ${change.key} has ${packed.size} bytes" }
+            check(packed.size <= limits.valueBytes) {
+                "value of ${change.key} has ${packed.size} of at most ${limits.valueBytes} bytes"
+            }
             bytes += packed.size
-            // Values go through the wire's form, so that what is read is what a process would read.
+            // Encoded and decoded, so that a reader gets the types that a real process gets.
             keys[change.key] = Entry(Pack.decode(packed), revision)
         }
-        check(bytes <= 64 * 1024) { "$bytes bytes in a transaction" }
+        check(bytes <= 64 * 1024) { "transaction has $bytes bytes of values, at most 65536 are allowed" }
         return StateReply.Committed(revision)
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
@@ -6,20 +6,20 @@
 import org.chalkhollow.model.Shape
 import org.chalkhollow.model.TaskStatus
 
-/** The tasks on one [worker]: carries commands out, runs tasks to their ends, and counts the room that they take. */
+/** The tasks on one [worker]: executes commands, runs tasks to their end, and computes the free capacity. */
 class FakeTasks(private val simulation: Simulation, private val worker: FakeWorker) {
     private val clock = simulation.clock
     private val byAttempt = LinkedHashMap<String, FakeTask>()
 
-    /** Names of tasks that were completed counted. */
+    /** Names of the tasks that completed on this machine. */
     private val completed = HashSet<String>()
 
-    /** Every task, also those that have exited and were not forgotten yet. */
+    /** All attempts, also those that have exited and that no controller has told the worker to forget. */
     val all: Collection<FakeTask> get() = byAttempt.values
 
     fun clear() = byAttempt.clear()
 
-    /** Carries out [command], which a controller sent at [sentAtMs]. */
+    /** Executes [command], which a controller sent at [sentAtMs]. */
     fun execute(command: Command, sentAtMs: Long) {
         val key = "${command.jobId}/${command.index}#${command.attempt}"
         val known = byAttempt[key]
@@ -32,8 +32,8 @@
     }
 
     /**
-     * A running task that has checkpoints saves first if it is given the time; one that saves is ended by a stop
-     * without any.
+     * Stops [task]. A running task with checkpoints saves one first if the grace period is long enough. A stop without
+     * a grace period ends a task that is saving.
      */
     private fun stop(task: FakeTask, graceS: Double, key: String) {
         val spec = simulation.users.spec(task.job)
@@ -61,19 +61,21 @@
     }
 
     /**
-     * Whether fetching, running and saving tasks leave room for a task of [spec]; with [preemptsLower], those of lower
-     * priority do not count.
+     * Whether there is enough free capacity for a task of [spec] besides the fetching, running and saving tasks. With
+     * [preemptsLower], tasks of lower priority are not counted.
      */
     fun hasCapacityFor(spec: JobSpec, preemptsLower: Boolean = false): Boolean {
-        val room = worker.type.room
+        val capacity = worker.type.room
         val counted =
             all
                 .filter { !it.exited }
                 .mapNotNull { simulation.users.spec(it.job) }
                 .filter { !preemptsLower || it.priority <= spec.priority }
-        return counted.sumOf { it.taskResources.cpus } + spec.taskResources.cpus <= room.cpus + ROUNDING_TOLERANCE &&
+        return counted.sumOf {
+            it.taskResources.cpus
+        } + spec.taskResources.cpus <= capacity.cpus + ROUNDING_TOLERANCE &&
             counted.sumOf { it.taskResources.memoryGb } + spec.taskResources.memoryGb <=
-            room.memoryGb + ROUNDING_TOLERANCE
+            capacity.memoryGb + ROUNDING_TOLERANCE
     }
 
     private fun usedCpus(): Double {
@@ -92,7 +94,7 @@
         task.endsAtMs = clock.timeMs + ms
         simulation.users.taskStarted(task, ms)
         later(task, if (worker.isFaulty) FAULTY_RUN_MS else ms, key) {
-            if (task.phase != TaskStatus.Phase.RUNNING) return@later // it was told to save and ends by that
+            if (task.phase != TaskStatus.Phase.RUNNING) return@later // it is saving, and ends when that is done
             if (!worker.isFaulty) {
                 completed.add(task.name)
                 simulation.rules.completed(task)
@@ -101,13 +103,13 @@
         }
     }
 
-    /** A replica runs until it is stopped, or until [end]; on a sick machine it fails. */
+    /** Runs a replica until it is stopped or [endReplica] is called. On a faulty machine it fails. */
     private fun runReplica(task: FakeTask, key: String) {
         task.endsAtMs = Long.MAX_VALUE
         if (worker.isFaulty) later(task, FAULTY_RUN_MS, key) { exit(task, ExitCause.ERROR) }
     }
 
-    /** Replica [index] of service [job] ends by itself here; false if it does not run counted. */
+    /** Ends replica [index] of service [job] as if it had exited by itself. Returns false if it does not run here. */
     fun endReplica(job: String, index: Int, cause: ExitCause): Boolean {
         val task =
             all.firstOrNull { it.job == job && it.index == index && it.phase == TaskStatus.Phase.RUNNING }
@@ -116,7 +118,10 @@
         return true
     }
 
-    /** Goes on with [task] later, if it is still there; a hanging machine goes on when it resumes. */
+    /**
+     * Calls [run] after [ms], or when a hanging machine resumes. Does nothing if [task] has exited or is no longer on
+     * this machine.
+     */
     private fun later(task: FakeTask, ms: Long, key: String, run: () -> Unit) {
         clock.after(ms) {
             if (worker.dead || byAttempt[key] !== task || task.exited) return@after
@@ -135,15 +140,15 @@
         worker.requestHeartbeat()
     }
 
-    /** Tasks that run or save. */
+    /** Running and saving tasks. */
     fun running(): List<FakeTask> =
         all.filter { it.phase == TaskStatus.Phase.RUNNING || it.phase == TaskStatus.Phase.SAVING }
 
     private companion object {
-        /** Sums of floating-point numbers may be this much off. */
+        /** Tolerance for rounding errors in sums of resources. */
         const val ROUNDING_TOLERANCE = 1e-6
 
-        /** How long a task on a sick machine runs. */
+        /** How long a task on a faulty machine runs before it fails. */
         const val FAULTY_RUN_MS = 300L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -10,7 +10,7 @@
 import org.chalkhollow.model.WorkerHeartbeat
 import org.chalkhollow.wire.Pack
 
-/** A fake of a worker: leases, epochs, fencing tokens, heartbeats to one controller at a time, direct commands. */
+/** A fake of a worker. It has a lease and epochs, checks fencing tokens, and sends heartbeats to one controller. */
 class FakeWorker(
     private val simulation: Simulation,
     val name: String,
@@ -34,10 +34,17 @@
     private var inFlight = false
     private var lastHeartbeatAtMs = 0L
     private var heartbeatDueAtMs = 0L
+
+    /** Commands of which a copy is on its way; each is copied at most once. */
     private val duplicatedCommands = HashSet<Effect.WorkerCommand>()
+
+    /** Whether tasks that start here fail soon, and tasks that would complete here fail instead. */
     var isFaulty = false
+
+    /** When the cloud reclaims this spot machine; 0 without a termination notice. */
     var terminationAtMs = 0L
 
+    /** Whether the machine has booted and not failed. */
     val present: Boolean get() = up && !dead
 
     fun boot() {
@@ -52,20 +59,25 @@
         tasks.clear()
     }
 
+    /** For [forMs], the machine executes nothing and its tasks make no progress. */
     fun hang(forMs: Long) {
         hangUntilMs = clock.timeMs + forMs
-        if (simulation.verbose) println("${clock.timeMs} $name hangs for $forMs")
+        if (simulation.verbose) println("${clock.timeMs} $name hangs for $forMs ms")
     }
 
     private var blockedUntilMs = 0L
 
-    /** For [forMs] no connection to any controller can be opened, while direct commands come and are answered. */
+    /** For [forMs], the worker cannot connect to any controller. It still receives direct commands and replies. */
     fun blockConnections(forMs: Long) {
         blockedUntilMs = clock.timeMs + forMs
-        if (simulation.verbose) println("${clock.timeMs} $name is mute for $forMs")
+        if (simulation.verbose) println("${clock.timeMs} $name cannot connect to controllers for $forMs ms")
     }
 
-    /** Up, awake, well, not to be taken, and answered lately: a machine that work can be receivedToken to. */
+    /**
+     * Whether tasks can be started here: the machine is up, does not hang, is not faulty, has no termination notice,
+     * can connect to controllers, and sent a heartbeat within the last two intervals and 1 s that a controller
+     * responded to.
+     */
     val usable: Boolean
         get() =
             present && !hanging && !isFaulty && terminationAtMs == 0L && clock.timeMs >= blockedUntilMs &&
@@ -76,7 +88,7 @@
     private fun tick() {
         if (dead) return
         clock.after(100) { tick() }
-        expire() // a machine that hangs resumes within its lease or not at all with these tasks
+        expire() // a machine that hangs beyond its lease loses its tasks
         if (hanging) return
         if (!inFlight && clock.timeMs >= heartbeatDueAtMs) heartbeat()
     }
@@ -91,7 +103,7 @@
         requestHeartbeat()
     }
 
-    /** What is on this machine has changed: the next heartbeat is due soon. */
+    /** Sends the next heartbeat at once, but not within 500 ms after the last one. */
     fun requestHeartbeat() {
         heartbeatDueAtMs = minOf(heartbeatDueAtMs, maxOf(clock.timeMs, lastHeartbeatAtMs + 500))
     }
@@ -113,7 +125,7 @@
         )
     }
 
-    /** The machine starts anew in no time: nothing runs on it any more, and its epoch is the next one. */
+    /** Reboots the machine without any downtime. Its tasks are lost and its next epoch begins. */
     fun reboot() {
         if (!present) return
         tasks.clear()
@@ -124,7 +136,7 @@
         heartbeatDueAtMs = clock.timeMs
     }
 
-    /** A copy of a heartbeat turns up late, at whichever controller; nobody waits for the response. */
+    /** May deliver a copy of [heartbeat] late to a random controller; the response is ignored. */
     private fun deliverCopyLater(heartbeat: WorkerHeartbeat) {
         val delayMs = simulation.network.drawCopyDelayMs() ?: return
         clock.after(delayMs) {
@@ -146,7 +158,8 @@
     }
 
     /**
-     * Holds the heartbeat of now back and delivers it [afterMs] later to whoever leads then, though others came before.
+     * Creates a heartbeat now and delivers it [afterMs] later to the controller that leads then. Newer heartbeats may
+     * arrive before it.
      */
     fun delayHeartbeat(afterMs: Long) {
         val body = WorkerWireFormat.encode(snapshot())
@@ -156,18 +169,20 @@
         }
     }
 
-    /** Keeps a heartbeat as it is now, to be delivered whenever what is returned is called. */
+    /** Creates a heartbeat now and returns a function that delivers it to a controller. */
     fun captureHeartbeat(): (SimulatedController) -> Unit {
         val body = WorkerWireFormat.encode(snapshot())
         return { it.receiveHeartbeat(name, body) {} }
     }
 
-    /** Sabotage for tests of the checks: takes a start for [job] as if a controller had sent it now. */
+    /**
+     * Starts task 0 of [job] as if a controller had sent the command now, so that tests of the rules see a violation.
+     */
     fun startUnrequested(job: String) {
         execute(Command.Start(job, 0, 1_000_000L + clock.timeMs), clock.timeMs)
     }
 
-    /** Delivers its last heartbeat once more, to every controller. */
+    /** Delivers the last heartbeat again, to every controller. */
     fun repeatLastHeartbeat() {
         val body = WorkerWireFormat.encode(lastHeartbeat ?: return)
         simulation.nodes.forEach { it.receiveHeartbeat(name, body) {} }
@@ -175,7 +190,7 @@
 
     private var lastHeartbeat: WorkerHeartbeat? = null
 
-    /** Delivers the last direct start once more, though it was carried out. */
+    /** Delivers the last direct command with a start again, although it was executed. */
     fun repeatLastStart() {
         receiveCommand(lastStart ?: return, 0) {}
     }
@@ -243,7 +258,7 @@
         for (order in body.maps("orders")) execute(WorkerWireFormat.command(order), respondedAtMs)
     }
 
-    /** A direct command that a controller sent at [sentAtMs] arrives, perhaps late. */
+    /** Handles a direct command that a controller sent at [sentAtMs]; it may arrive late. */
     fun receiveCommand(message: Effect.WorkerCommand, sentAtMs: Long, reply: (CommandReply) -> Unit) {
         if (!present) return
         if (message.commands.any { it is Command.Start }) lastStart = message
@@ -271,14 +286,14 @@
         tasks.execute(command, sentAtMs)
     }
 
-    /** Whether the tasks here leave room for one of [spec], see [FakeTasks.hasCapacityFor]. */
+    /** See [FakeTasks.hasCapacityFor]. */
     fun hasCapacityFor(spec: JobSpec, preemptsLower: Boolean = false): Boolean =
         tasks.hasCapacityFor(spec, preemptsLower)
 
-    /** Replica [index] of service [job] ends by itself here; false if it does not run here. */
+    /** See [FakeTasks.endReplica]. Returns false on a machine that hangs or is not up. */
     fun endReplica(job: String, index: Int, cause: ExitCause): Boolean =
         present && !hanging && tasks.endReplica(job, index, cause)
 
-    /** Tasks that count as being on this machine. */
+    /** Running and saving tasks; none if the machine is not up. */
     fun activeTasks(): List<FakeTask> = if (present) tasks.running() else emptyList()
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultFreeSimulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultFreeSimulation.kt
@@ -3,19 +3,19 @@
 import org.chalkhollow.settings.OperatorSettings
 import org.junit.jupiter.api.Assertions.assertEquals
 
-/** Has the network lose and delay nothing by chance. */
+/** Turns random losses and long delays of messages off. */
 fun Simulation.withReliableNetwork(): Simulation =
     apply {
         network.lossProbability = 0.0
         network.lateProbability = 0.0
     }
 
-/** Adds [count] spot machines of the first type that run at once, in turn in [zones]. */
+/** Adds [count] spot machines of the first type, in turn in [zones]; they are up at once. */
 fun Simulation.addSpotMachines(count: Int, zones: List<String> = this.zones) {
     repeat(count) { cloud.add(types[0], zones[it % zones.size], true, 0) }
 }
 
-/** A simulation without chance faults at 12 s: its [machines] are up, it has a leader and no job yet. */
+/** A simulation without random faults, run for 12 s: its [machines] are up, and it has a leader but no job. */
 fun faultFreeSimulation(seed: Long, patienceS: Double = 200.0, machines: Int = 6, maxMachines: Int = 14): Simulation {
     val options = OperatorSettings(idleReturnS = 900.0, patienceS = patienceS)
     val simulation = Simulation(seed, options, size = SimulationSize(maxMachines = maxMachines)).withReliableNetwork()
@@ -24,7 +24,7 @@
     return simulation
 }
 
-/** Three controllers after their first election, on a network that loses nothing; [before] runs before they start. */
+/** A simulation without random faults, run until a leader is elected. [before] is called before the start. */
 fun electedSimulation(seed: Long, before: (Simulation) -> Unit = {}): Simulation {
     val simulation = Simulation(seed).withReliableNetwork()
     before(simulation)
@@ -33,7 +33,7 @@
     return simulation
 }
 
-/** No rule was broken, and no class or team of jobs was starved. */
+/** Asserts that no rule was violated, and that no class, team or size of job was starved. */
 fun Simulation.assertRulesHold() {
     assertEquals(emptyList<String>(), rules.violations)
     assertEquals(emptyList<String>(), rules.starved())
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultInjection.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultInjection.kt
@@ -1,9 +1,10 @@
 package org.chalkhollow.simulation
 
-/** Draws faults of every kind that the protocol names, alone and on top of each other. */
+/** Injects random faults of every kind that the protocol names. They may overlap. */
 class FaultInjection(private val simulation: Simulation) {
     private val clock = simulation.clock
 
+    /** Schedules [count] random faults between [fromMs] and [toMs] from now. */
     fun injectRandom(count: Int, fromMs: Long, toMs: Long) {
         repeat(count) { clock.after(clock.between(fromMs, toMs)) { injectOne() } }
     }
@@ -21,7 +22,6 @@
         }
     }
 
-    /** What befalls a controller. */
     private fun injectControllerFault(node: SimulatedController, kind: Kind) {
         when (kind) {
             Kind.CRASH -> crash(node, clock.between(5000, 9000))
@@ -32,11 +32,13 @@
                 simulation.nodes
                     .filter { it.leads || clock.chance(0.3) }
                     .forEach { crashRepeatedly(it, 1 + clock.random.nextInt(4)) }
-            else -> throw IllegalArgumentException("$kind is no fault of a controller")
+            else -> throw IllegalArgumentException("$kind is not a fault of a controller")
         }
     }
 
-    /** What befalls the services, and a controller's links to them and to its peers. */
+    /**
+     * Injects a fault of the state service, or of the controller's links to its peers, the state service or the cloud.
+     */
     private fun injectLinkFault(node: SimulatedController, kind: Kind) {
         when (kind) {
             Kind.STATE_OUTAGE -> simulation.state.outage(clock.between(2000, 25_000))
@@ -50,11 +52,10 @@
                 val service = if (clock.chance(0.5)) FakeStateService.NAME else FakeCloud.NAME
                 simulation.network.cut(node.label, service, clock.between(2000, 15_000), clock.chance(0.5))
             }
-            else -> throw IllegalArgumentException("$kind is no fault of a link or service")
+            else -> throw IllegalArgumentException("$kind is not a fault of a link or service")
         }
     }
 
-    /** What befalls a machine. */
     private fun injectMachineFault(worker: FakeWorker, kind: Kind) {
         when (kind) {
             Kind.MACHINE_CUT_OFF ->
@@ -72,11 +73,11 @@
                     simulation.network.cutOneWay(node.label, worker.name, clock.between(5000, 40_000))
                 }
             Kind.MACHINE_REBOOTS -> worker.reboot()
-            else -> throw IllegalArgumentException("$kind is no fault of a machine")
+            else -> throw IllegalArgumentException("$kind is not a fault of a machine")
         }
     }
 
-    /** What strikes many at once. */
+    /** Injects a fault that affects many machines or controllers at once. */
     fun injectMassFault(fault: MassFault) {
         val present = simulation.cloud.workers.filter { it.present }
 
@@ -107,7 +108,10 @@
         }
     }
 
-    /** Everything in [zone] goes on among itself; what it says to the rest is held back. */
+    /**
+     * For [forMs], cuts the workers in [zone] and every second controller off from the other workers and controllers,
+     * the services and the users. Messages across the cut are delivered when it ends.
+     */
     fun cutZone(zone: String, forMs: Long) {
         val (nodesInside, nodesOutside) = simulation.nodes.withIndex().partition { it.index % 2 == 1 }
         val (workersInside, workersOutside) = simulation.cloud.workers.partition { it.zone == zone }
@@ -117,7 +121,7 @@
         for (end in inside) for (otherEnd in outside) simulation.network.cut(end, otherEnd, forMs, true)
     }
 
-    /** A controller loses the state service and its peers, while workers and users still reach it. */
+    /** Cuts a controller off from the state service and its peers; workers and users still reach it. */
     fun isolate(node: SimulatedController, forMs: Long, deliversLater: Boolean) {
         simulation.network.cut(node.label, FakeStateService.NAME, forMs, deliversLater)
         simulation.nodes.filter { it !== node }.forEach {
@@ -130,18 +134,19 @@
         }
     }
 
-    /** A process ends and is back in no time, over and over, so that some of it falls into an election. */
+    /** Crashes and restarts a controller [times] times in short succession, so that some crashes hit an election. */
     fun crashRepeatedly(node: SimulatedController, times: Int) {
         crash(node, clock.between(50, 500))
         if (times > 1) clock.after(clock.between(500, 3500)) { crashRepeatedly(node, times - 1) }
     }
 
+    /** Crashes [node] and restarts it after [restartAfterMs]. */
     fun crash(node: SimulatedController, restartAfterMs: Long) {
         node.crash()
         clock.after(restartAfterMs) { node.start() }
     }
 
-    /** The kinds of fault that [draw] chooses from; seeds depend on their order. */
+    /** The kinds of fault that [injectRandom] draws from. What a seed leads to depends on their order. */
     private enum class Kind(val target: Target) {
         CRASH(Target.CONTROLLER),
         QUICK_RESTART(Target.CONTROLLER),
@@ -164,7 +169,7 @@
     private enum class Target { CONTROLLER, LINK, MACHINE }
 }
 
-/** Faults that strike many at once; seeds depend on their order. */
+/** Faults that affect many machines or controllers at once. What a seed leads to depends on their order. */
 enum class MassFault {
     MACHINES_FAIL,
     MACHINES_HANG,
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * A day on which faults coincide on purpose: work under way when they begin at [START_MS], and what must hold at its
- * end.
+ * A simulation in which a test injects faults at chosen times. Jobs already run when the faults begin at [START_MS].
+ * [runToEnd] checks the rules after the last fault.
  */
 class FaultScenario(seed: Long, leaseMs: Long = 16_000, verbose: Boolean = false, controllers: Int = 3) {
     val simulation =
@@ -22,13 +22,13 @@
     val users get() = simulation.users
     val rules get() = simulation.rules
 
-    /** Jobs that run for minutes. */
+    /** The ids of the jobs that [begin] submits as [longJob]s. */
     val longJobs = ArrayList<String>()
 
     private val cancelledIds = ArrayList<String>()
     private var cancelCalls = 0
 
-    /** Calls off [count] jobs that run and have long to go, as [Users.cancelRunningJobs]. */
+    /** Cancels up to [count] running jobs, see [Users.cancelRunningJobs]. */
     fun cancelRunningJobs(count: Int, hangMs: Long = 0) {
         cancelCalls++
         cancelledIds.addAll(users.cancelRunningJobs(count, hangMs))
@@ -42,32 +42,33 @@
 
     fun leader(): SimulatedController? = nodes.firstOrNull { it.leads }
 
-    /** Ends [node] and starts it again after [restartAfterMs]. */
+    /** Crashes [node] and restarts it after [restartAfterMs]. */
     fun crash(node: SimulatedController, restartAfterMs: Long) = faults.crash(node, restartAfterMs)
 
-    /** Ends the leader, if there is one, and starts it again after [restartAfterMs]. */
+    /** Crashes the leader, if there is one, and restarts it after [restartAfterMs]. */
     fun crashLeader(restartAfterMs: Long) {
         leader()?.let { crash(it, restartAfterMs) }
     }
 
-    /** Cuts [worker] off from every controller; with [holds], messages are delivered when that is over. */
+    /** Cuts [worker] off from every controller. With [deliversLater], messages are delivered when the cut ends. */
     fun cutOff(worker: FakeWorker, forMs: Long, deliversLater: Boolean) {
         for (node in nodes) network.cut(node.label, worker.name, forMs, deliversLater)
     }
 
-    /** Has [worker] hear no controller, while its own messages arrive. */
+    /** For [forMs], no message of a controller reaches [worker], while its own messages arrive. */
     fun cutOffResponses(worker: FakeWorker, forMs: Long) {
         for (node in nodes) network.cutOneWay(node.label, worker.name, forMs)
     }
 
+    /** Calls [run] at [ms] after the start of the simulation. */
     fun at(ms: Long, run: () -> Unit) {
         clock.after(ms - clock.timeMs, run)
     }
 
-    /** Machines that run something now. */
+    /** The machines with running or saving tasks. */
     fun busy(): List<FakeWorker> = cloud.workers.filter { it.activeTasks().isNotEmpty() }
 
-    /** Short jobs that go on arriving, and [long] ones that run from before the faults. */
+    /** Users submit [jobs] short jobs within [overMs], and [longJobs] long ones before the faults begin. */
     fun begin(jobs: Int = 24, longJobs: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
         simulation.begin(jobs, overMs, machines = 6)
         repeat(longJobs) { i ->
@@ -83,7 +84,7 @@
         }
     }
 
-    /** A job of three small tasks that may run anywhere, for one to four minutes. */
+    /** [spec] changed to a job of three small tasks that may run anywhere and take one to four minutes. */
     fun longJob(spec: JobSpec, team: String = spec.team): JobSpec =
         spec.anywhere().copy(
             team = team,
@@ -94,7 +95,7 @@
             dueS = null,
         )
 
-    /** Plays the day; its faults are over at [faultsEndMs]. */
+    /** Runs for [RUN_ON_MS] after the faults end at [faultsEndMs], and asserts that the rules hold. */
     fun runToEnd(faultsEndMs: Long, checksStarvation: Boolean = true) {
         at(faultsEndMs) {
             network.copyProbability = 0.0
@@ -107,14 +108,15 @@
         if (checksStarvation) assertEquals(emptyList<String>(), rules.starved())
     }
 
+    /** Asserts that no rule was violated, and that users learned the end of every job that they cancelled. */
     fun assertRulesHold() {
         assertEquals(emptyList<String>(), rules.violations)
-        assertTrue(rules.starts > 0, "nothing was started")
-        if (cancelCalls > 0) assertTrue(cancelledIds.isNotEmpty(), "nothing was there to be called off")
+        assertTrue(rules.starts > 0, "no task was started")
+        if (cancelCalls > 0) assertTrue(cancelledIds.isNotEmpty(), "there was no running job to cancel")
         assertEquals(
             emptyList<String>(),
             cancelledIds.filter { !rules.hasEnded(it) },
-            "cancellations without an answer",
+            "cancelled jobs whose end no user learned",
         )
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/JobHistory.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/JobHistory.kt
@@ -2,28 +2,38 @@
 
 import org.chalkhollow.model.JobSpec
 
-/** What has become of each job, as its user was told and as the machines ran it; the rules read it. */
+/** What users were told about each job, and which of its tasks ran on machines. The rules read it. */
 class JobHistory(private val simulation: Simulation) {
     private val clock = simulation.clock
 
-    /** When users were told that a job is accepted, and when a poll about it was answered last. */
+    /** When users first learned that a job is accepted. */
     val acceptedAtMs = HashMap<String, Long>()
+
+    /** When a poll about a job was last answered. */
     val lastPollAnsweredAtMs = HashMap<String, Long>()
 
-    /** When users asked first to cancel a job, and when they were told that it is cancelled. */
+    /** When users first requested to cancel a job. */
     val cancelRequestedAtMs = HashMap<String, Long>()
+
+    /** When users learned that a job is cancelled. */
     val cancelledAtMs = HashMap<String, Long>()
 
-    /** The end that users were told, and when first. */
+    /** The final state that users were told: [UserRules.DONE] or [UserRules.CANCELLED]. */
     val reportedEnd = HashMap<String, String>()
+
+    /** When users were first told a final state. */
     val endReportedAtMs = HashMap<String, Long>()
 
-    /** Indices of tasks that have begun at least once, and of those that were completedTasks. */
+    /** Indices of the tasks that ran at least once, by job. */
     val startedTasks = HashMap<String, HashSet<Int>>()
+
+    /** Indices of the tasks that completed, by job. */
     val completedTasks = HashMap<String, HashSet<Int>>()
 
-    /** When the first task of a job began, and when its last was completedTasks. */
+    /** When the first task of a job began to run. */
     val firstStartAtMs = HashMap<String, Long>()
+
+    /** When the last task of a job completed. */
     private val completedAtMs = HashMap<String, Long>()
 
     val accepted: Set<String> get() = acceptedAtMs.keys
@@ -45,22 +55,22 @@
         }
     }
 
-    /** Whether all other tasks of its job are done. */
+    /** Whether [task] is not done and all other tasks of its job are. */
     fun isLastTask(task: FakeTask): Boolean {
         val done = completedTasks[task.job] ?: emptySet()
         return task.index !in done && done.size + 1 == spec(task.job)?.tasks
     }
 
-    /** Whether [id] is accepted, and neither over nor called off by its user. */
+    /** Whether [id] is accepted, has not ended, and no user requested to cancel it. */
     fun isOpen(id: String): Boolean = id in accepted && id !in reportedEnd && id !in cancelRequestedAtMs
 
-    /** Accepted jobs whose end nobody was told yet. */
+    /** Descriptions of the accepted jobs whose end no user has learned. */
     fun unfinishedJobs(): List<String> =
         accepted.filter { it !in reportedEnd }.sorted().map { id ->
             "$id: ${completedCount(id)} of ${spec(id)?.tasks} tasks, ${spec(id)}"
         }
 
-    /** Accepted jobs that were complete by their deadline, counted from their acceptance. */
+    /** How many jobs completed by their deadline, which counts from the time at which users learned the acceptance. */
     val onTimeCount: Int
         get() =
             accepted.count { id ->
--- a/src/test/kotlin/org/chalkhollow/simulation/Jobs.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Jobs.kt
@@ -4,13 +4,13 @@
 import org.chalkhollow.model.Priority
 import org.chalkhollow.model.Resources
 
-/** This job without a wish for a machine type or zone, and without a rule on how its tasks are spread. */
+/** This job without constraints on machine types, zones or the placement of its tasks in zones. */
 fun JobSpec.unconstrained(): JobSpec = copy(types = null, zone = null, together = false, spread = false)
 
-/** This job on any machine, also a spot machine. */
+/** This job without placement constraints, also allowed on spot machines. */
 fun JobSpec.anywhere(): JobSpec = unconstrained().copy(spotAllowed = true)
 
-/** Batch work of [tasks] tasks of [cpus] CPUs and 1 GB that may run anywhere and keep no checkpoints. */
+/** This job with [tasks] tasks of [cpus] CPUs and 1 GB that may run anywhere and have no checkpoints. */
 fun JobSpec.asBatch(team: String, tasks: Int, cpus: Double, expectedS: Double): JobSpec =
     anywhere().copy(
         team = team,
--- a/src/test/kotlin/org/chalkhollow/simulation/PlacementRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/PlacementRules.kt
@@ -2,24 +2,27 @@
 
 import org.chalkhollow.model.JobSpec
 
-/** Where and when tasks run: once, where their job allows it, within the team's limit, not after a cancellation. */
+/**
+ * Checks that a task runs on one machine at a time and only where its job allows it, that teams stay within their
+ * limits, and that no task runs after a cancellation.
+ */
 class PlacementRules(private val simulation: Simulation, private val history: JobHistory) {
     private val clock = simulation.clock
 
     private fun recordViolation(rule: String, detail: String) = simulation.rules.recordViolation(rule, detail)
 
-    /** [task] of [spec] has begun on [worker]. */
+    /** Checks [task] of [spec], which began to run on [worker]. */
     fun started(task: FakeTask, spec: JobSpec, worker: FakeWorker) {
-        val cancelledAt = history.cancelledAtMs[task.job]
-        if (cancelledAt != null && task.sentAtMs > cancelledAt) {
+        val cancelledAtMs = history.cancelledAtMs[task.job]
+        if (cancelledAtMs != null && task.sentAtMs > cancelledAtMs) {
             recordViolation(
                 "ran_cancelled",
-                "${task.name} was told to start after its user was told that it is cancelled",
+                "a start of ${task.name} was sent after its user was told that its job is cancelled",
             )
         }
         for (other in simulation.cloud.workers) {
             if (other !== worker && other.activeTasks().any { it.name == task.name }) {
-                recordViolation("ran_twice", "${task.name} on ${worker.name} and ${other.name}")
+                recordViolation("ran_twice", "${task.name} runs on ${worker.name} and on ${other.name}")
             }
         }
         checkMachine(task, spec, worker)
@@ -28,14 +31,21 @@
 
     private fun checkMachine(task: FakeTask, spec: JobSpec, worker: FakeWorker) {
         if (spec.types != null && worker.type.name !in spec.types) {
-            recordViolation("wrong_place", "${task.name} on type ${worker.type.name}")
+            recordViolation(
+                "wrong_place",
+                "${task.name} runs on machine type ${worker.type.name}, allowed are ${spec.types}",
+            )
         }
         if (spec.zone != null &&
             spec.zone != worker.zone
         ) {
-            recordViolation("wrong_place", "${task.name} in ${worker.zone}")
+            recordViolation("wrong_place", "${task.name} runs in zone ${worker.zone}, allowed is ${spec.zone}")
+        }
+        if (worker.spot &&
+            !spec.spotAllowed
+        ) {
+            recordViolation("wrong_place", "${task.name} runs on a spot machine, which its job does not allow")
         }
-        if (worker.spot && !spec.spotAllowed) recordViolation("wrong_place", "${task.name} on a spot machine")
     }
 
     private fun checkZones(spec: JobSpec, worker: FakeWorker) {
@@ -43,13 +53,23 @@
             simulation.cloud.workers.flatMap { other ->
                 other.activeTasks().filter { it.job == spec.id }.map { other.zone }
             }
-        if (spec.together && zones.toSet().size > 1) recordViolation("wrong_place", "${spec.id} is in two zones")
+        if (spec.together &&
+            zones.toSet().size > 1
+        ) {
+            recordViolation("wrong_place", "${spec.id} runs in several zones, but its tasks belong together")
+        }
         if (spec.spread && zones.count { it == worker.zone } > (spec.tasks + 1) / 2) {
-            recordViolation("wrong_place", "${spec.id} is not spread")
+            recordViolation(
+                "wrong_place",
+                "${spec.id} has more than half of its tasks in zone ${worker.zone}, but must be spread",
+            )
         }
     }
 
-    /** What is on machines now: nothing that was cancelled long ago, and no more than teams may use. */
+    /**
+     * Checks the tasks on all machines: none may run longer than allowed after its cancellation, and no team may use
+     * more CPUs than its limit.
+     */
     fun checkMachines() {
         val usage = HashMap<String, Double>()
         for (worker in simulation.cloud.workers) {
@@ -60,7 +80,10 @@
                 if (clock.timeMs - since >
                     simulation.cancelMs
                 ) {
-                    recordViolation("ran_cancelled", "${task.name} on ${worker.name}")
+                    recordViolation(
+                        "ran_cancelled",
+                        "${task.name} still runs on ${worker.name}, cancelled at $since",
+                    )
                 }
             }
         }
@@ -69,7 +92,7 @@
             if (used >
                 team.cpusMax + ROUNDING_TOLERANCE
             ) {
-                recordViolation("quota", "${team.name} uses $used of ${team.cpusMax}")
+                recordViolation("quota", "team ${team.name} uses $used CPUs, its limit is ${team.cpusMax}")
             }
         }
     }
--- a/src/test/kotlin/org/chalkhollow/simulation/RandomJobs.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RandomJobs.kt
@@ -5,16 +5,16 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.model.Shape
 
-/** Draws jobs and services at random. */
+/** Generates random jobs and services. */
 class RandomJobs(private val simulation: Simulation) {
     private val clock = simulation.clock
-    private var next = 0
+    private var nextNumber = 0
 
-    /** An array of a few small tasks. */
+    /** A job array of 1 to 13 small tasks. */
     fun nextJob(): JobSpec {
-        val id = "j-" + (clock.random.nextInt(1_000_000)).toString().padStart(6, '0') + (next++)
+        val id = "j-" + (clock.random.nextInt(1_000_000)).toString().padStart(6, '0') + (nextNumber++)
         val zone = if (clock.chance(0.1)) simulation.zones[clock.random.nextInt(2)] else null
-        val checkpoint = if (clock.chance(0.3)) 2.0 else 0.0
+        val checkpointS = if (clock.chance(0.3)) 2.0 else 0.0
         return JobSpec(
             id = id,
             workload = "w" + clock.random.nextInt(3),
@@ -31,13 +31,13 @@
             spread = clock.chance(0.15),
             spotAllowed = clock.chance(0.7),
             expectedS = 1.0 + clock.random.nextInt(15),
-            checkpointS = checkpoint,
+            checkpointS = checkpointS,
             saveS = 1.0,
             dueS = if (clock.chance(0.5)) 60.0 else null,
         )
     }
 
-    /** A spread service of two to four small replicas, away from spot machines. */
+    /** A service of two to four small replicas, spread over zones and not on spot machines. */
     fun nextService(): JobSpec =
         nextJob().copy(
             workload = "portal",
--- a/src/test/kotlin/org/chalkhollow/simulation/RandomScenario.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RandomScenario.kt
@@ -3,7 +3,7 @@
 import org.chalkhollow.settings.OperatorSettings
 import org.chalkhollow.settings.StateLimits
 
-/** Plays a day of [jobs] random jobs and [faults] random faults on [simulation], until long after the last fault. */
+/** Runs [simulation] with [jobs] random jobs and [faults] random faults until long after the last fault. */
 fun runRandomScenario(simulation: Simulation, faults: Int, jobs: Int = 40): Simulation {
     if (faults > 0) simulation.network.copyProbability = 0.01
     simulation.begin(jobs, 150_000)
@@ -14,7 +14,7 @@
     return simulation
 }
 
-/** Machines by the hundred that send a heartbeat every 4 s under a lease of 22 s. */
+/** A simulation for hundreds of [machines] that send a heartbeat every 4 s and have a lease of 22 s. */
 fun largeFleet(seed: Long, controllers: Int, machines: Int) =
     Simulation(
         seed,
--- a/src/test/kotlin/org/chalkhollow/simulation/RollingUpgrade.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/RollingUpgrade.kt
@@ -16,9 +16,11 @@
 ) {
     private val clock = simulation.clock
 
-    /** When all controllers ran the new version, and when the limits were lowered. */
+    /** When all controllers ran the new version. */
     var allUpgradedAtMs = Long.MAX_VALUE
         private set
+
+    /** When the state service began to enforce [finalLimits]. */
     var limitsLoweredAtMs = Long.MAX_VALUE
         private set
 
@@ -26,7 +28,7 @@
         simulation.onStart = ::exchangeHellos
     }
 
-    /** Whoever starts connects to all that run, and they to it. */
+    /** A controller that starts and every running controller send each other a hello. */
     private fun exchangeHellos(node: SimulatedController) {
         for (other in simulation.nodes) {
             if (other === node || !other.alive) continue
@@ -35,17 +37,18 @@
         }
     }
 
+    /** Begins the upgrade [fromMs] from now, in random order of the controllers. */
     fun begin(fromMs: Long) {
         val order = simulation.nodes.sortedBy { clock.random.nextInt() }.chunked(batchSize)
         var atMs = fromMs
         for (group in order) {
-            clock.after(atMs) { group.forEach(::replace) }
+            clock.after(atMs) { group.forEach(::upgrade) }
             atMs += clock.between(9000, 20_000)
         }
         clock.after(atMs) { awaitUpgrade() }
     }
 
-    private fun replace(node: SimulatedController) {
+    private fun upgrade(node: SimulatedController) {
         node.crash()
         node.upgrade(simulation.settingsWith(node.label, newLimits))
         clock.after(clock.between(4000, 8000)) { node.start() }
--- a/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
@@ -4,8 +4,8 @@
 import org.chalkhollow.model.Shape
 
 /**
- * The rules of the protocol, held against what the fakes see; [check] runs after each step. Its parts are [UserRules],
- * [PlacementRules], [WaitingRules], [StarvationRules] and [ServiceRules]; they read one [JobHistory].
+ * Checks the rules of the protocol against what the fakes observe. [check] is called after each event. The rules are in
+ * [UserRules], [PlacementRules], [WaitingRules], [StarvationRules] and [ServiceRules], which read one [JobHistory].
  */
 class Rules(private val simulation: Simulation) {
     private val clock = simulation.clock
@@ -14,38 +14,38 @@
     private val placement = PlacementRules(simulation, history)
     private val starvation = StarvationRules(simulation, history)
 
-    /** When replicas of services ran. */
+    /** When the replicas of services ran. */
     val services = ServiceRules(simulation)
     private val waiting = WaitingRules(simulation, history, services)
 
-    /** The rules that were broken, each as its name, when, and what. */
+    /** The violations so far, at most [MAX_VIOLATIONS], each as `RULE at MILLISECONDS: DETAIL`. */
     val violations = ArrayList<String>()
 
-    /** How many tasks have begun, each attempt counted. */
+    /** How many attempts began to run. */
     var starts = 0
         private set
 
-    /** When the last fault ends; what has to hold from then on is checked from then on. */
+    /** When the last fault ends. Rules that must hold only without faults are checked from then on. */
     var faultFreeFromMs = Long.MAX_VALUE
 
     val completedTaskCount: Int get() = history.completedTasks.values.sumOf { it.size }
     val acceptedCount: Int get() = history.accepted.size
     val doneCount: Int get() = history.reportedEnd.values.count { it == UserRules.DONE }
 
-    /** Jobs that their users were told to be cancelled. */
+    /** How many jobs users were told are cancelled. */
     val cancelledCount: Int get() = history.reportedEnd.values.count { it == UserRules.CANCELLED }
 
-    /** Accepted jobs that were complete by their deadline, counted from their acceptance. */
+    /** See [JobHistory.onTimeCount]. */
     val onTimeCount: Int get() = history.onTimeCount
 
     fun recordViolation(rule: String, detail: String) {
         if (violations.size < MAX_VIOLATIONS) violations.add("$rule at ${clock.timeMs}: $detail")
     }
 
-    /** Accepted jobs whose end nobody was told yet. */
+    /** See [JobHistory.unfinishedJobs]. */
     fun unfinishedJobs(): List<String> = history.unfinishedJobs()
 
-    /** [task] of [spec] has begun on [worker]. */
+    /** [task] of [spec] began to run on [worker]. */
     fun started(task: FakeTask, spec: JobSpec, worker: FakeWorker) {
         starts++
         history.started(task)
@@ -54,18 +54,18 @@
 
     fun completed(task: FakeTask) = history.completed(task)
 
-    /** Whether all other tasks of its job are done. */
+    /** See [JobHistory.isLastTask]. */
     fun isLastTask(task: FakeTask): Boolean = history.isLastTask(task)
 
-    /** Whether a user was told that [id] is over. */
+    /** Whether a user was told that [id] is done or cancelled. */
     fun hasEnded(id: String): Boolean = id in history.reportedEnd
 
     fun isDone(id: String): Boolean = history.reportedEnd[id] == UserRules.DONE
 
-    /** A job that no machine has room for was answered with [status], 0 for no answer. */
+    /** A job that is too large for every machine type got a response with [status], 0 for none. */
     fun tooLargeJobAnswered(id: String, status: Int) = users.tooLargeJobAnswered(id, status)
 
-    /** Notes that a user was told that [id] is accepted; true the first time. */
+    /** Records that a user was told that [id] is accepted. Returns true the first time. */
     fun accepted(id: String): Boolean {
         val first = history.acceptedAtMs.putIfAbsent(id, clock.timeMs) == null
         val spec = simulation.users.spec(id)
@@ -73,43 +73,46 @@
         return first
     }
 
-    /** A poll about [id] was answered. */
+    /** A poll about [id] got a response with its state. */
     fun pollAnswered(id: String) {
         history.lastPollAnsweredAtMs[id] = clock.timeMs
     }
 
     fun rejected(id: String, status: Int) = users.rejected(id, status)
 
-    /** A user gets word, given at [respondedAtMs], that [id] is unknown. */
+    /** A user receives the response, sent at [respondedAtMs], that [id] is unknown. */
     fun notFound(id: String, respondedAtMs: Long) = users.notFound(id, respondedAtMs)
 
     fun cancelRequested(id: String) = users.cancelRequested(id)
 
-    /** A user is told [status] in answer to what it asked at [requestedAtMs]. */
+    /** A user receives [status] in response to a request sent at [requestedAtMs]. */
     fun stateReported(id: String, status: String, requestedAtMs: Long) = users.stateReported(id, status, requestedAtMs)
 
     /**
-     * The share of the replica time of service [id] that was served, from [afterMs] after its acceptance until it was
-     * called off.
+     * The fraction of the wanted replica time of service [id] in which its replicas ran, from [afterMs] after its
+     * acceptance until its user requested to cancel it.
      */
     fun availability(id: String, afterMs: Long): Double {
         val from = history.acceptedAtMs.getValue(id) + afterMs
         return services.availability(id, from, history.cancelRequestedAtMs[id] ?: clock.timeMs)
     }
 
-    /** To be called when a day is over: what was put off for good. */
+    /** See [StarvationRules.starved]. To be called at the end of a simulation. */
     fun starved(): List<String> = starvation.starved()
 
     private var nextSlowCheckMs = 0L
     private var hasMachineChanges = true
     private var nextFullCheckMs = 0L
 
-    /** What is on some machine has changed. */
+    /** The tasks on a machine changed. */
     fun machinesChanged() {
         hasMachineChanges = true
     }
 
-    /** After each step; the machines are looked through when something on them has changed, and for time passing. */
+    /**
+     * Called after each event. The tasks on the machines are checked when they changed, and every
+     * [FULL_CHECK_INTERVAL_MS] for rules that depend on time.
+     */
     fun check() {
         checkLeaders()
         services.sample()
@@ -120,7 +123,7 @@
         placement.checkMachines()
     }
 
-    /** At no moment may two controllers take themselves for entitled. */
+    /** No two controllers may be leader at the same time. */
     private fun checkLeaders() {
         var leading: SimulatedController? = null
         for (node in simulation.nodes) {
@@ -130,7 +133,7 @@
         }
     }
 
-    /** Once a second, from [faultFreeFromMs] on. */
+    /** Runs the checks that are due once a second from [faultFreeFromMs] on. */
     private fun checkEverySecond() {
         if (clock.timeMs < nextSlowCheckMs) return
         nextSlowCheckMs = clock.timeMs + SLOW_CHECK_INTERVAL_MS
--- a/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/ServiceRules.kt
@@ -3,17 +3,16 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.TaskStatus
 
-/**
- * What is counted of services, whose tasks (replicas) run until they are withdrawn: when each ran, and which is down
- * for too long.
- */
+/** Records when each replica of a service ran, and checks that no replica is down for too long. */
 class ServiceRules(private val simulation: Simulation) {
     private val clock = simulation.clock
     private val services = ArrayList<JobSpec>()
 
-    /** Since when a replica runs, by name, and the spans of time in which it ran before. */
+    /** Since when a replica runs, by its name `JOB/INDEX`. */
     private val upSinceMs = HashMap<String, Long>()
-    private val spans = HashMap<String, ArrayList<LongRange>>()
+
+    /** The past intervals in which a replica ran, in ms, by its name. */
+    private val upIntervalsMs = HashMap<String, ArrayList<LongRange>>()
     private val downSinceMs = HashMap<String, Long>()
     private var sampledAtMs = -SAMPLE_INTERVAL_MS
 
@@ -21,7 +20,7 @@
         services.add(spec)
     }
 
-    /** Notes which replicas run; one on a machine that hangs does not. */
+    /** Records which replicas run. Those on a machine that hangs do not. */
     fun sample() {
         if (services.isEmpty() || clock.timeMs < sampledAtMs + SAMPLE_INTERVAL_MS) return
         sampledAtMs = clock.timeMs
@@ -32,21 +31,24 @@
                 .filter { it.phase == TaskStatus.Phase.RUNNING }
                 .mapTo(HashSet()) { it.name }
         for (spec in services) {
-            for (name in names(spec)) note(name, name in running)
+            for (name in names(spec)) record(name, name in running)
         }
     }
 
-    private fun note(name: String, runs: Boolean) {
+    private fun record(name: String, runs: Boolean) {
         val since = upSinceMs[name]
         if (runs) {
             if (since == null) upSinceMs[name] = clock.timeMs
         } else if (since != null) {
             upSinceMs.remove(name)
-            spans.getOrPut(name) { ArrayList() }.add(since..clock.timeMs)
+            upIntervalsMs.getOrPut(name) { ArrayList() }.add(since..clock.timeMs)
         }
     }
 
-    /** From calm on, no replica is down for long unless nothing [canStart] its like; to be called once a second. */
+    /**
+     * No replica of an open service may be down for more than [MAX_DOWN_MS] while [canStart] says that one could start.
+     * Called once a second after the last fault.
+     */
     fun checkDown(isOpen: (String) -> Boolean, canStart: (JobSpec) -> Boolean) {
         for (spec in services) {
             val down = if (isOpen(spec.id)) names(spec).filter { it !in upSinceMs } else emptyList()
@@ -65,38 +67,41 @@
         }
     }
 
-    /** How many replicas of [id] run now. */
+    /** How many replicas of service [id] run now. */
     fun upCount(id: String): Int = names(specOf(id)).count { it in upSinceMs }
 
-    /** The share of the replica time of [id], wanted from [fromMs] until [toMs], in which replicas ran. */
+    /** The fraction of the wanted replica time of [id] between [fromMs] and [toMs] in which its replicas ran. */
     fun availability(id: String, fromMs: Long, toMs: Long): Double {
         val names = names(specOf(id))
-        val wanted = names.size * (toMs - fromMs)
-        val served = names.sumOf { n -> ran(n).sumOf { maxOf(0L, minOf(it.last, toMs) - maxOf(it.first, fromMs)) } }
-        return if (wanted <= 0) 1.0 else served.toDouble() / wanted
+        val wantedMs = names.size * (toMs - fromMs)
+        val ranMs =
+            names.sumOf { n ->
+                upIntervals(n).sumOf { maxOf(0L, minOf(it.last, toMs) - maxOf(it.first, fromMs)) }
+            }
+        return if (wantedMs <= 0) 1.0 else ranMs.toDouble() / wantedMs
     }
 
-    /** The longest time from [fromMs] on for which one replica of [id] did not run, up to now. */
+    /** The longest time between [fromMs] and now in which any one replica of [id] did not run. */
     fun longestDownMs(id: String, fromMs: Long): Long =
         names(specOf(id)).maxOf { n ->
             var last = fromMs
             var longest = 0L
-            for (span in ran(n)) {
-                longest = maxOf(longest, span.first - last)
-                last = maxOf(last, span.last)
+            for (interval in upIntervals(n)) {
+                longest = maxOf(longest, interval.first - last)
+                last = maxOf(last, interval.last)
             }
             maxOf(longest, clock.timeMs - last)
         }
 
-    /** The most replicas of [id] that were down at the same time from [fromMs] on. */
+    /** The largest number of replicas of [id] that were down at the same time between [fromMs] and now. */
     fun maxDownCount(id: String, fromMs: Long): Int {
         val names = names(specOf(id))
-        val ends = names.flatMap { n -> ran(n).map { it.last } }.filter { it >= fromMs && it < clock.timeMs }
-        return ends.maxOfOrNull { t -> names.count { n -> ran(n).none { t >= it.first && t < it.last } } } ?: 0
+        val ends = names.flatMap { n -> upIntervals(n).map { it.last } }.filter { it >= fromMs && it < clock.timeMs }
+        return ends.maxOfOrNull { t -> names.count { n -> upIntervals(n).none { t >= it.first && t < it.last } } } ?: 0
     }
 
-    private fun ran(name: String): List<LongRange> =
-        (spans[name] ?: emptyList()) + listOfNotNull(upSinceMs[name]?.let { it..clock.timeMs })
+    private fun upIntervals(name: String): List<LongRange> =
+        (upIntervalsMs[name] ?: emptyList()) + listOfNotNull(upSinceMs[name]?.let { it..clock.timeMs })
 
     private fun specOf(id: String): JobSpec = services.first { it.id == id }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/SimulatedController.kt
@@ -14,7 +14,7 @@
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.wire.HeartbeatReader
 
-/** One controller process: the real state machine, with a clock of its own, that can be killed and started again. */
+/** A controller: the real state machine with clocks of its own. Its process can crash and be restarted. */
 class SimulatedController(
     private val simulation: Simulation,
     val label: String,
@@ -22,23 +22,32 @@
     private val options: OperatorSettings,
 ) {
     private val clock = simulation.clock
+
+    /** The rate of the monotonic clock, up to 0.05% too fast. */
     private val clockRate = 1.0 + clock.random.nextDouble() * 0.0005
     private val monotonicOffsetMs = clock.between(0, 1_000_000)
     private val wallClockSkewMs = clock.between(-25, 25)
     private var controller: Controller? = null
 
-    /** Counts the processes of this controller, so that answers to an earlier one are dropped. */
+    /** Changes with every start and crash, so that replies to an earlier process are dropped. */
     private var process = 0
+
+    /** Who gets the response to a request, by the request's number. */
     private val calls = HashMap<Int, (Effect.Response) -> Unit>()
     private var nextCall = 0
     private var heartbeats = HashMap<String, HeartbeatReader>()
-    private var timers = 0
+
+    /** The number of the last timer; an earlier timer has no effect. */
+    private var lastTimer = 0
 
     val alive: Boolean get() = controller != null
     val leads: Boolean get() = controller?.isLeader(now()) == true
 
-    /** What this process has dropped since it began. */
-    val dropped: Map<DroppedInput, Long> get() = checkNotNull(controller) { "$label does not run" }.gauges.dropped
+    /** How many inputs this process has dropped since it started, by reason. */
+    val dropped: Map<DroppedInput, Long> get() =
+        checkNotNull(controller) {
+            "controller $label is not running"
+        }.gauges.dropped
 
     fun status(): StatusView? = controller?.status(now())
 
@@ -50,17 +59,17 @@
             1_700_000_000_000 + clock.timeMs + wallClockSkewMs,
         )
 
-    /** The version that this process runs, as it tells the others. */
+    /** The version that this controller sends in its hello; 0 is the version in production. */
     var version = 0
         private set
 
-    /** What is started from now on is the new version, under [settings]. */
+    /** The next start runs the new version with [settings]. */
     fun upgrade(settings: PlatformSettings) {
         this.settings = settings
         version = PeerMessage.VERSION
     }
 
-    /** Hears who calls, as with every new connection. */
+    /** Handles the hello of the peer [label], which has the index [from] in the settings. */
     fun receiveHello(from: Int, label: String, version: Int) {
         if (alive) {
             feed(
@@ -74,6 +83,7 @@
         }
     }
 
+    /** Starts a new process if none is running. */
     fun start() {
         if (alive) return
         process++
@@ -89,18 +99,26 @@
         calls.clear()
     }
 
+    /** Handles [frame] of the peer that has the index [from] in the settings. */
     fun receiveFrame(from: Int, frame: ByteArray) {
-        val message = checkNotNull(Frames.decode(frame)) { "a frame that cannot be read" }
+        val message =
+            checkNotNull(
+                Frames.decode(frame),
+            ) { "controller $label cannot decode a frame of ${frame.size} bytes from peer $from" }
         feed(Input.Peer(from, message))
     }
 
-    /** A worker's heartbeat in its wire form. */
+    /**
+     * Handles a worker's heartbeat in its wire format. [respond] gets the response. Returns false if the controller is
+     * not running.
+     */
     fun receiveHeartbeat(worker: String, body: ByteArray, respond: (Effect.Response) -> Unit): Boolean {
         if (controller?.isLeader(now()) == false) return call(respond) { Input.UnreadHeartbeat(it) }
         val heartbeat = heartbeats.getOrPut(worker) { HeartbeatReader() }.read(body)
         return call(respond) { Input.Heartbeat(it, heartbeat) }
     }
 
+    /** Handles a user's request. [respond] gets the response. Returns false if the controller is not running. */
     fun receiveRequest(request: UserRequest, respond: (Effect.Response) -> Unit): Boolean =
         call(respond) { Input.User(it, request) }
 
@@ -140,7 +158,7 @@
         }
     }
 
-    /** Feeds [input], the answer to an effect of the process [processOfEffect], unless another process runs by now. */
+    /** Feeds [input], the reply to an effect of process [processOfEffect]; drops it if that process has ended. */
     private fun feedReply(processOfEffect: Int, input: Input) {
         if (process == processOfEffect) feed(input)
     }
@@ -155,9 +173,9 @@
     }
 
     private fun setTimer(effect: Effect.Timer, processOfEffect: Int) {
-        val timer = ++timers
+        val timer = ++lastTimer
         clock.after(effect.atMs - now().steady + clock.between(0, 3)) {
-            if (timer == timers) feedReply(processOfEffect, Input.Tick)
+            if (timer == lastTimer) feedReply(processOfEffect, Input.Tick)
         }
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -12,35 +12,35 @@
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.settings.StateLimits
 
-/** How much there is in a simulation. */
+/** The size of a simulation. */
 class SimulationSize(
     val controllers: Int = 3,
-    /** How many machines there may be. */
+    /** The largest number of machines that the cloud has at a time. */
     val maxMachines: Int = 14,
-    /** How many times the teams' usual limits hold. */
+    /** Multiplies the teams' guarantees and limits. */
     val limitFactor: Int = 1,
 )
 
-/** What is wrong on purpose, so that tests of the checks see the rules broken. */
+/** Deliberate errors in the configuration or the fakes, so that tests of the rules see violations. */
 class DeliberateErrors(
-    /** The lease that the controllers are told in place of the workers' true one. */
+    /** The worker lease that the controllers are configured with, if not the true one. */
     val configuredLeaseS: Double? = null,
-    /** How much more than the teams' true limits the controllers are told. */
+    /** Multiplies the teams' limits that the controllers are configured with. */
     val configuredLimitFactor: Double = 1.0,
-    /** Late copies of heartbeats pass for new ones. */
+    /** Whether late copies of heartbeats look like new ones. */
     val copiesLookNew: Boolean = false,
-    /** Options of one controller that differ from the others'. */
+    /** Operator settings for controller `b` only, if they differ from the others'. */
     val differingOptions: OperatorSettings? = null,
-    /** A machine type that only the controllers believe in. */
+    /** A machine type that the cloud lists in its catalog but cannot rent out. */
     val nonexistentType: MachineType? = null,
 )
 
-/** Controllers, fakes and rules on one virtual clock; [FaultInjection] adds faults. */
+/** Controllers, fakes and rules on one virtual clock. [FaultInjection] injects faults. */
 class Simulation(
     seed: Long,
     val options: OperatorSettings = OperatorSettings(idleReturnS = 20.0),
     val leaseMs: Long = 8000,
-    /** How often workers send heartbeats. */
+    /** The interval between a worker's heartbeats. */
     val heartbeatMs: Long = 2000,
     size: SimulationSize = SimulationSize(),
     private val stateLimits: StateLimits = StateLimits(80.0, 20.0, 8192, 12),
@@ -50,7 +50,11 @@
     val clock = VirtualClock(seed)
     val network = Network(clock)
     val zones = listOf("east", "west")
+
+    /** The teams with their true limits, see [DeliberateErrors.configuredLimitFactor]. */
     val teams = listOf("red", "blue").map { Team(it, 16.0 * size.limitFactor, 40.0 * size.limitFactor, 0.0, 0.0) }
+
+    /** How long a task may run on after its user was told that the job is cancelled. */
     val cancelMs = 25_000L
     val types =
         listOf(
@@ -84,19 +88,19 @@
     /** Whether log lines, faults and commands are printed. */
     var verbose = false
 
-    /** Told of every start of a controller. */
+    /** Called when a controller starts. */
     var onStart: (SimulatedController) -> Unit = {}
 
-    /** Told of every effect of a controller: when, whose, and which. */
+    /** Called for every effect of a controller with the time in ms, the controller's label and the effect. */
     var onEffect: (Long, String, Effect) -> Unit = { _, _, _ -> }
 
-    /** Told of every frame between controllers. */
+    /** Called for every frame that a controller sends to another. */
     var onFrame: (ByteArray) -> Unit = {}
 
-    /** The settings of [label] when the state service is to have the limits [next]. */
-    fun settingsWith(label: String, next: StateLimits): PlatformSettings =
+    /** The settings of [label] when the state service's limits will change to [nextLimits]. */
+    fun settingsWith(label: String, nextLimits: StateLimits): PlatformSettings =
         settingsOf(label, settings.leaseS, 1.0).let {
-            it.copy(stateLimits = stateLimits.within(next), stateLimitsNow = stateLimits)
+            it.copy(stateLimits = stateLimits.within(nextLimits), stateLimitsNow = stateLimits)
         }
 
     private fun settingsOf(label: String, leaseS: Double, factor: Double) =
@@ -120,12 +124,14 @@
             skewMs = 25.0,
         )
 
+    /** The controller that has [index] in the list of peers of [label]. */
     fun peerOf(label: String, index: Int): SimulatedController =
         nodes.first { node -> node.label == labels.filter { it != label }[index] }
 
+    /** The index of controller [of] in the list of peers of [label]. */
     fun indexAt(label: String, of: String): Int = labels.filter { it != label }.indexOf(of)
 
-    /** Sends [message] of controller [node] to its worker; [reply] comes once, at the latest after the time-out. */
+    /** Sends [message] of controller [node] to a worker. Calls [reply] once, at the latest after the time-out. */
     fun sendCommand(node: String, message: Effect.WorkerCommand, reply: (CommandReply) -> Unit) {
         var replied = false
 
@@ -146,7 +152,7 @@
         }
     }
 
-    /** Runs [deliver] now, or later if the network holds it up. */
+    /** Calls [deliver] now, or later if the network holds the message up. */
     private fun afterHold(deliver: () -> Unit) {
         val holdMs = network.drawHoldMs()
         if (holdMs > 0) clock.after(holdMs, deliver) else deliver()
@@ -154,8 +160,9 @@
 
     /**
      * Starts the simulation: adds [machines] machines, starts the controllers after [controllerDelayMs], and has users
-     * submit [jobs] random jobs within [overMs]. The cloud lists a machine 3 s after it is added. Machines that are
-     * listed when the controllers start become static machines, which are never deleted.
+     * submit [jobs] random jobs within [overMs] and query a third as many unknown ones. The cloud lists a machine 3 s
+     * after it is added. Machines that are listed when the controllers start become static machines, which are never
+     * deleted.
      */
     fun begin(jobs: Int, overMs: Long, machines: Int = 4, controllerDelayMs: Long = 0) {
         repeat(machines) { cloud.add(types[0], zones[it % 2], false, 0) }
--- a/src/test/kotlin/org/chalkhollow/simulation/StarvationRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/StarvationRules.kt
@@ -3,9 +3,9 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
 
-/** When a day is over: no class, team or size of job was put off for good. */
+/** Checks at the end of a simulation that no class, team or size of job was starved. */
 class StarvationRules(private val simulation: Simulation, private val history: JobHistory) {
-    /** What was put off for good, by class, by team, and among a class's largest jobs. */
+    /** Describes the starved job classes and teams, and the starved largest jobs of each class. Empty if none is. */
     fun starved(): List<String> {
         val jobs = history.accepted.filter { it !in history.cancelRequestedAtMs }.mapNotNull(history::spec)
         val out = ArrayList<String>()
@@ -15,10 +15,10 @@
         return out
     }
 
-    /** Half of a group is to be served: batch work completed, and services begun. */
+    /** At least half of a group must be served: batch jobs completed, and all replicas of services started. */
     private fun checkServed(name: String, group: List<JobSpec>, out: MutableList<String>) {
         val served = group.count(::isServed)
-        if (served * 2 < group.size) out.add("$name: $served of ${group.size}")
+        if (served * 2 < group.size) out.add("$name: $served of ${group.size} jobs were served")
     }
 
     private fun isServed(spec: JobSpec): Boolean {
@@ -26,18 +26,24 @@
         return (tasks[spec.id]?.size ?: 0) == spec.tasks
     }
 
+    /** Checks the jobs of a class with at least 90% of the tasks of its largest job. */
     private fun checkLargest(name: String, group: List<JobSpec>, out: MutableList<String>) {
         val most = group.maxOf { it.tasks }
         val largest = group.filter { it.tasks * 10 >= most * 9 }
         checkServed("largest of $name", largest, out)
         for (job in largest) {
-            val waited =
+            val waitedMs =
                 (history.firstStartAtMs[job.id] ?: simulation.clock.timeMs) - history.acceptedAtMs.getValue(job.id)
-            if (waited > MAX_WAIT_MS) out.add("${job.id}, among the largest of $name, waited $waited ms")
+            if (waitedMs >
+                MAX_WAIT_MS
+            ) {
+                out.add("${job.id}, among the largest of class $name, waited $waitedMs ms for its first start")
+            }
         }
     }
 
     private companion object {
+        /** The longest time for which one of the largest jobs may wait for its first start. */
         const val MAX_WAIT_MS = 240_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/UserRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/UserRules.kt
@@ -2,23 +2,30 @@
 
 import org.chalkhollow.model.Shape
 
-/** What users may be told: no accepted job is forgotten, no end is taken back, and nothing is done before its end. */
+/**
+ * Checks what users are told: an accepted job stays known and gets responses, a final state does not change, and a job
+ * is done only when all its tasks are.
+ */
 class UserRules(private val simulation: Simulation, private val history: JobHistory) {
     private val clock = simulation.clock
 
     private fun recordViolation(rule: String, detail: String) = simulation.rules.recordViolation(rule, detail)
 
-    /** A job that no machine has room for was answered with [status], 0 for no answer. */
+    /** A job that is too large for every machine type got a response with [status], 0 for none. */
     fun tooLargeJobAnswered(id: String, status: Int) {
         if (status in
             200..299
         ) {
-            recordViolation("accepted_unfit", "$id, which fits no machine, was answered with $status")
+            recordViolation("accepted_unfit", "$id, which fits no machine type, was accepted with status $status")
         }
     }
 
     fun rejected(id: String, status: Int) {
-        if (id in history.accepted) recordViolation("forgotten", "$id was accepted and is now answered with $status")
+        if (id in
+            history.accepted
+        ) {
+            recordViolation("forgotten", "$id was accepted and its submission is now rejected with status $status")
+        }
     }
 
     /**
@@ -26,8 +33,8 @@
      * before the user learned that the job is accepted.
      */
     fun notFound(id: String, respondedAtMs: Long) {
-        val acceptedAt = history.acceptedAtMs[id] ?: return
-        if (respondedAtMs > acceptedAt) recordViolation("forgotten", "$id was accepted and is now unknown")
+        val acceptedAtMs = history.acceptedAtMs[id] ?: return
+        if (respondedAtMs > acceptedAtMs) recordViolation("forgotten", "$id was accepted and is now unknown")
     }
 
     fun cancelRequested(id: String) {
@@ -42,7 +49,7 @@
         val before = history.reportedEnd[id]
         if (before != null && before != status) {
             if (requestedAtMs <= (history.endReportedAtMs[id] ?: 0L)) return
-            recordViolation("went_back", "$id was $before and is now $status")
+            recordViolation("went_back", "$id was reported as $before and is now reported as $status")
         }
         when (status) {
             DONE -> doneReported(id)
@@ -55,15 +62,19 @@
         val tasks = spec?.tasks ?: 0
         val completed = history.completedCount(id)
         if (spec?.shape == Shape.SERVICE) {
-            recordViolation("not_done", "$id is a service, which is never done")
+            recordViolation("not_done", "$id is a service and was reported as done")
         } else if (completed < tasks) {
-            recordViolation("not_done", "$id has $completed of $tasks tasks done")
+            recordViolation("not_done", "$id was reported as done with $completed of $tasks tasks completed")
         }
         endReported(id, DONE)
     }
 
     private fun cancelledReported(id: String) {
-        if (id !in history.cancelRequestedAtMs) recordViolation("went_back", "$id was not cancelled by its user")
+        if (id !in
+            history.cancelRequestedAtMs
+        ) {
+            recordViolation("went_back", "$id was reported as cancelled, but no user requested that")
+        }
         endReported(id, CANCELLED)
         history.cancelledAtMs.putIfAbsent(id, clock.timeMs)
     }
@@ -73,13 +84,13 @@
         history.endReportedAtMs.putIfAbsent(id, clock.timeMs)
     }
 
-    /** From [faultFreeFromMs] on, when all faults are over, each open job's user gets answers, however others fare. */
+    /** Checks that the user of every open job gets a response within [MAX_UNANSWERED_MS] after the last fault. */
     fun checkAnswers(faultFreeFromMs: Long) {
         for (id in history.accepted) {
             if (id in history.reportedEnd) continue
-            val cancelRequestedAt = history.cancelRequestedAtMs[id]
-            if (cancelRequestedAt != null) {
-                val since = maxOf(faultFreeFromMs, cancelRequestedAt)
+            val cancelRequestedAtMs = history.cancelRequestedAtMs[id]
+            if (cancelRequestedAtMs != null) {
+                val since = maxOf(faultFreeFromMs, cancelRequestedAtMs)
                 if (clock.timeMs - since <= MAX_UNANSWERED_MS) continue
                 recordViolation("forgotten", "$id: its cancellation was not answered since $since")
             } else {
@@ -87,14 +98,14 @@
                 if (clock.timeMs - since >
                     MAX_UNANSWERED_MS
                 ) {
-                    recordViolation("forgotten", "$id: no answer since $since")
+                    recordViolation("forgotten", "$id: its user got no response to a poll since $since")
                 }
             }
         }
     }
 
     companion object {
-        /** The ends of a job as the protocol spells them. */
+        /** The final states of a job as the protocol spells them. */
         const val DONE = "done"
         const val CANCELLED = "aborted"
         private const val MAX_UNANSWERED_MS = 75_000L
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -9,7 +9,7 @@
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
 
-/** Simulated users: submit, repeat, poll, withdraw, and ask about what nobody submitted. */
+/** Simulated users. They submit, resubmit, query and cancel jobs, and query jobs that nobody submitted. */
 class Users(private val simulation: Simulation) {
     private val clock = simulation.clock
     private val specs = HashMap<String, JobSpec>()
@@ -17,7 +17,7 @@
 
     private val statesById = HashMap<String, ArrayList<String>>()
 
-    /** The states that its user was told of [id], in their order, each change once. */
+    /** The states of [id] that its user was told, in order, without repetitions. */
     fun reportedStates(id: String): List<String> = statesById[id] ?: emptyList()
 
     fun spec(id: String): JobSpec? = specs[id]
@@ -29,7 +29,7 @@
         if (clock.chance(0.12)) clock.after(clock.between(500, 30_000)) { sendCancel(spec.id, 0) }
     }
 
-    /** Submits a drawn job after [change], and returns its id. */
+    /** Submits a random job changed by [change], and returns its id. */
     fun submit(change: (JobSpec) -> JobSpec): String {
         val spec = change(jobs.nextJob())
         specs[spec.id] = spec
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Submits a drawn service after [change], and returns its id; it is polled for ever. With [sentAs], a sabotage for
-     * tests of the checks, the controllers are sent something else than its user wants.
+     * Submits a random service changed by [change], and returns its id. Tests of the rules pass [sentAs] to send the
+     * controllers another specification than the rules expect.
      */
     fun submitService(sentAs: (JobSpec) -> JobSpec = { it }, change: (JobSpec) -> JobSpec = { it }): String {
         val spec = change(jobs.nextService())
@@ -50,9 +50,9 @@
 
     fun randomService(): JobSpec = jobs.nextService()
 
-    /** Sends the body [raw] to [node] as a submission, and says which status it got, 0 for no answer. */
+    /** Submits the body [raw] to [node]. Calls [then] with the status of the response, or 0 if there is none. */
     fun submitBody(raw: ByteArray, node: SimulatedController, then: (Int) -> Unit) {
-        val request = UserRequest.ofSubmission(raw) ?: return then(400) // what the front does with a body without an id
+        val request = UserRequest.ofSubmission(raw) ?: return then(400) // as the HTTP server does without an id
         var finished = false
 
         fun finishOnce(status: Int) {
@@ -64,9 +64,10 @@
         if (!node.receiveRequest(request) { finishOnce(it.status) }) finishOnce(0)
     }
 
-    /** When the answer that is being taken in was given; it may have been long on its way. */
+    /** When the controller sent the response that is being handled; it may arrive much later. */
     private var respondedAtMs = 0L
 
+    /** Sends [request] to a random controller. Calls [then] once with the response, or with null after [waitMs]. */
     private fun call(request: UserRequest, waitMs: Long, then: (Effect.Response?) -> Unit) {
         var finished = false
 
@@ -81,9 +82,9 @@
         simulation.network.send(NAME, node.label) {
             val delivered =
                 node.receiveRequest(request) { response ->
-                    val atMs = clock.timeMs
+                    val sentAtMs = clock.timeMs
                     simulation.network.send(node.label, NAME) {
-                        respondedAtMs = atMs
+                        respondedAtMs = sentAtMs
                         finishOnce(response)
                     }
                 }
@@ -98,7 +99,7 @@
 
     private fun submit(spec: JobSpec, tries: Int) {
         val requestedAtMs = clock.timeMs
-        // Through the wire's form, so that the controller gets what a process would.
+        // Encoded and decoded, so that the controller gets the types that a real process gets.
         val raw = Pack.encode(UserCodec.map(spec))
         call(UserRequest.Submit(UserCodec.job(raw), raw), 5000) { response ->
             when (response?.status) {
@@ -135,16 +136,16 @@
         val requestedAtMs = clock.timeMs
         call(UserRequest.Cancel(id), 5000) { response ->
             val status = handleResponse(id, response, requestedAtMs)
-            // A job whose acceptance is still under way is not known yet: the request is repeated until it is answered
-            // with 200.
+            // Until the acceptance is recorded, the job is unknown to the controllers. The request is repeated until it
+            // gets a 200.
             if (status == null && tries < 100) clock.after(1000) { sendCancel(id, tries + 1) }
         }
     }
 
-    /** The share of jobs that are called off at the moment at which their last task ends. */
+    /** Probability that a job is cancelled about when its last task ends. */
     var cancelAtEndProbability = 0.0
 
-    /** A task of a job has begun and will take [ms]; when all others are done its end is the job's. */
+    /** Called when [task] begins to run. If it is the last one of its job, the job ends in [ms]. */
     fun taskStarted(task: FakeTask, ms: Long) {
         if (cancelAtEndProbability <= 0 || !simulation.rules.isLastTask(task) ||
             !clock.chance(cancelAtEndProbability)
@@ -156,7 +157,7 @@
         clock.after(ms + clock.between(-250, 400)) { poll(task.job) }
     }
 
-    /** The last task of [id] has just completed. */
+    /** Called when the last task of [id] completed. */
     fun lastTaskCompleted(id: String) {
         if (cancelAtEndProbability <= 0 || !clock.chance(cancelAtEndProbability)) return
         clock.after(clock.between(0, 300)) { cancel(id) }
@@ -164,8 +165,8 @@
     }
 
     /**
-     * Calls off [count] jobs that run and have long to go, within a fifth of a second; up to eight of their machines
-     * hang for [hangMs].
+     * Cancels, within 200 ms, up to [count] jobs with a task that runs for more than 40 s from now, and returns their
+     * ids. Up to eight of their machines hang for [hangMs]; none if it is 0.
      */
     fun cancelRunningJobs(count: Int, hangMs: Long = 0): List<String> {
         val running =
@@ -191,18 +192,18 @@
         return ids
     }
 
-    /** Submits a known job once more. */
+    /** Submits job [id] again. */
     fun resubmit(id: String) {
         submit(specs[id] ?: return, 1)
     }
 
     /**
-     * For [forMs]: repeats unfinished jobs, cancels done ones, asks about any, and sends some that fit no machine or
-     * lack a field.
+     * For [forMs], resubmits jobs, cancels done ones, queries any, and submits jobs that are too large for every
+     * machine type or lack a field.
      */
     fun sendUnusualRequests(forMs: Long) {
-        for (at in 0L until forMs step 700) {
-            clock.after(at) {
+        for (atMs in 0L until forMs step 700) {
+            clock.after(atMs) {
                 val known = specs.keys.sorted()
                 val id = known.getOrNull(clock.random.nextInt(maxOf(1, known.size)))
                 when (clock.random.nextInt(5)) {
@@ -216,7 +217,7 @@
         }
     }
 
-    /** A job that no machine has room for; it must never be accepted. */
+    /** Submits a job that is too large for every machine type. It must be rejected. */
     fun submitTooLargeJob() {
         val spec =
             jobs.nextJob().copy(
@@ -231,11 +232,11 @@
         ) { response -> simulation.rules.tooLargeJobAnswered(spec.id, response?.status ?: 0) }
     }
 
-    /** A job without one of its fields; it must be refused. */
+    /** Encodes a job without one of its required fields. Decoding it must fail. */
     private fun submitWithMissingField() {
         val spec = jobs.nextJob()
         val map = UserCodec.map(spec)
-        val needed =
+        val requiredFields =
             listOf(
                 "workload",
                 "owner",
@@ -249,25 +250,27 @@
                 "snapshotS",
                 "flushS",
             )
-        val lacks = needed[clock.random.nextInt(needed.size)]
-        val raw = Pack.encode(map - lacks)
+        val missingField = requiredFields[clock.random.nextInt(requiredFields.size)]
+        val raw = Pack.encode(map - missingField)
         val parsed =
             try {
                 UserCodec.job(raw)
             } catch (expected: MalformedMessageException) {
                 return
             }
-        simulation.rules.recordViolation("accepted_unfit", "${parsed.id} without $lacks was read as a job")
+        simulation.rules.recordViolation("accepted_unfit", "${parsed.id} was decoded without the field $missingField")
     }
 
+    /** Queries a job that, unless the id is taken by chance, nobody submitted. */
     fun queryUnknownJob() {
         val id = "j-9" + clock.random.nextInt(1_000_000)
         call(UserRequest.Query(id), 2000) { response ->
             val isInvented = response?.status == 200 && id !in specs
-            if (isInvented) simulation.rules.recordViolation("invented", "$id was answered with 200")
+            if (isInvented) simulation.rules.recordViolation("invented", "a query for $id, never submitted, got a 200")
         }
     }
 
+    /** Reports the state in [response] to the rules and returns it; null without a response or on an error. */
     private fun handleResponse(id: String, response: Effect.Response?, requestedAtMs: Long): String? {
         if (response == null) return null
         if (response.status == 404) simulation.rules.notFound(id, respondedAtMs)
--- a/src/test/kotlin/org/chalkhollow/simulation/WaitingRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/WaitingRules.kt
@@ -3,7 +3,8 @@
 import org.chalkhollow.model.JobSpec
 
 /**
- * Once all faults are over, no task waits for long while a machine that fits has room and its team is under its limit.
+ * Checks after the last fault that no task stays pending for long while a usable machine has free capacity for it and
+ * its team is under its limit.
  */
 class WaitingRules(
     private val simulation: Simulation,
@@ -13,10 +14,10 @@
     private val clock = simulation.clock
     private val pendingSinceMs = HashMap<String, Long>()
 
-    /** A task and the machine that has it. */
+    /** A task and the machine that it is on. */
     private class Placed(val task: FakeTask, val worker: FakeWorker)
 
-    /** The machines as they are at one moment. */
+    /** A snapshot of the machines and the tasks on them. */
     private inner class Fleet {
         private val placed =
             simulation.cloud.workers
@@ -39,7 +40,11 @@
 
         fun of(id: String): List<Placed> = byJob[id] ?: emptyList()
 
-        /** Whether a machine and the team's limit have room for one more task; [preemptsLower] as in [FakeTasks]. */
+        /**
+         * Whether one more task of [spec] could start: its team is under its limit, and a usable machine has free
+         * capacity for it. With [preemptsLower], tasks of lower priority are not counted, see
+         * [FakeTasks.hasCapacityFor].
+         */
         fun canStart(spec: JobSpec, preemptsLower: Boolean = false): Boolean {
             val here = of(spec.id)
             val limit = simulation.teams.first { it.name == spec.team }.cpusMax
@@ -59,7 +64,7 @@
                 (!spec.spread || here.count { it.worker.zone == zone } < (spec.tasks + 1) / 2)
     }
 
-    /** To be called once a second. */
+    /** Called once a second after the last fault. */
     fun check() {
         val fleet = Fleet()
         for (id in history.accepted) {
@@ -69,12 +74,12 @@
         services.checkDown(history::isOpen) { fleet.canStart(it, preemptsLower = true) }
     }
 
-    /** Whether a task of [spec] is neither done nor on a machine, though it could begin. */
+    /** Whether a task of [spec] is neither done nor on a machine although one could start. */
     private fun isPending(spec: JobSpec, fleet: Fleet): Boolean {
         if (!history.isOpen(spec.id)) return false
-        val ended = history.completedTasks[spec.id] ?: emptySet()
+        val done = history.completedTasks[spec.id] ?: emptySet()
         val here = fleet.of(spec.id)
-        val isMissing = (0 until spec.tasks).any { i -> i !in ended && here.none { it.task.index == i } }
+        val isMissing = (0 until spec.tasks).any { i -> i !in done && here.none { it.task.index == i } }
         return isMissing && fleet.canStart(spec)
     }
 
@@ -84,7 +89,7 @@
         val state = "${fleet.of(spec.id).size} of its tasks are on machines, ${history.completedCount(spec.id)} done"
         simulation.rules.recordViolation(
             "left_waiting",
-            "${spec.id}: a machine that fits has had room since $since: $spec, $state",
+            "${spec.id}: a usable machine has had free capacity since $since: $spec, $state",
         )
         pendingSinceMs[spec.id] = clock.timeMs
     }
--- a/src/test/kotlin/org/chalkhollow/simulation/WorkerWireFormat.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/WorkerWireFormat.kt
@@ -7,7 +7,7 @@
 import org.chalkhollow.wire.Fields
 import org.chalkhollow.wire.Pack
 
-/** The protocol's spellings on the side of a worker: heartbeats as it writes them, and commands as it reads them. */
+/** The wire format on the worker's side: encodes heartbeats and decodes commands. */
 object WorkerWireFormat {
     fun encode(heartbeat: WorkerHeartbeat): ByteArray =
         Pack.encode(
