--- a/src/test/kotlin/org/chalkhollow/compat/Recording.kt
+++ b/src/test/kotlin/org/chalkhollow/compat/Recording.kt
@@ -26,7 +26,7 @@
     /** A field that is a map with machine names as keys. */
     private const val MACHINES_FIELD = "held"
 
-    /** Fields with enum values; a recording has each value. */
+    /** Fields with enum values. Each value that occurs is recorded. */
     private val ENUM_FIELDS = setOf("shape", "urgency")
 
     /** The first message on a connection. The controller process creates it, which the simulation does not run. */
@@ -85,6 +85,7 @@
             }
         }
         simulation.clock.after(40_000) {
+            // the leader steps down
             simulation.nodes.firstOrNull { it.leads }?.let { simulation.state.rejectRequestsOf(it.label, 8000) }
         }
         simulation.clock.runUntil(120_000)
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -69,12 +69,12 @@
     /** Called with the key and encoded value of every change in a transaction, also a failed one; null is a removal. */
     var onWrite: (String, ByteArray?) -> Unit = { _, _ -> }
 
-    /** For [forMs], every request is answered as unavailable. */
+    /** For [forMs], every request gets an unavailable reply. */
     fun outage(forMs: Long) {
         outageUntilMs = clock.timeMs + forMs
     }
 
-    /** For [forMs], every request of controller [node] is answered as unavailable. */
+    /** For [forMs], every request of controller [node] gets an unavailable reply. */
     fun rejectRequestsOf(node: String, forMs: Long) {
         rejectedUntilMs[node] = clock.timeMs + forMs
     }
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeTasks.kt
@@ -14,7 +14,7 @@
     /** Names of the tasks that completed on this machine. */
     private val completed = HashSet<String>()
 
-    /** All attempts, also those that have exited and that no controller has told the worker to forget. */
+    /** All attempts, including those that have exited, until a controller sends a [Command.Forget]. */
     val all: Collection<FakeTask> get() = byAttempt.values
 
     fun clear() = byAttempt.clear()
--- a/src/test/kotlin/org/chalkhollow/simulation/JobHistory.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/JobHistory.kt
@@ -9,8 +9,8 @@
     /** When users first learned that a job is accepted. */
     val acceptedAtMs = HashMap<String, Long>()
 
-    /** When a poll about a job was last answered. */
-    val lastPollAnsweredAtMs = HashMap<String, Long>()
+    /** When the last response to a poll about a job arrived. */
+    val lastPollResponseAtMs = HashMap<String, Long>()
 
     /** When users first requested to cancel a job. */
     val cancelRequestedAtMs = HashMap<String, Long>()
--- a/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
@@ -63,7 +63,7 @@
     fun isDone(id: String): Boolean = history.reportedEnd[id] == UserRules.DONE
 
     /** A job that is too large for every machine type got a response with [status], 0 for none. */
-    fun tooLargeJobAnswered(id: String, status: Int) = users.tooLargeJobAnswered(id, status)
+    fun tooLargeJobResponse(id: String, status: Int) = users.tooLargeJobResponse(id, status)
 
     /** Records that a user was told that [id] is accepted. Returns true the first time. */
     fun accepted(id: String): Boolean {
@@ -74,8 +74,8 @@
     }
 
     /** A poll about [id] got a response with its state. */
-    fun pollAnswered(id: String) {
-        history.lastPollAnsweredAtMs[id] = clock.timeMs
+    fun pollResponse(id: String) {
+        history.lastPollResponseAtMs[id] = clock.timeMs
     }
 
     fun rejected(id: String, status: Int) = users.rejected(id, status)
@@ -138,7 +138,7 @@
         if (clock.timeMs < nextSlowCheckMs) return
         nextSlowCheckMs = clock.timeMs + SLOW_CHECK_INTERVAL_MS
         if (clock.timeMs < faultFreeFromMs) return
-        users.checkAnswers(faultFreeFromMs)
+        users.checkResponses(faultFreeFromMs)
         waiting.check()
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/UserRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/UserRules.kt
@@ -12,7 +12,7 @@
     private fun recordViolation(rule: String, detail: String) = simulation.rules.recordViolation(rule, detail)
 
     /** A job that is too large for every machine type got a response with [status], 0 for none. */
-    fun tooLargeJobAnswered(id: String, status: Int) {
+    fun tooLargeJobResponse(id: String, status: Int) {
         if (status in
             200..299
         ) {
@@ -84,19 +84,19 @@
         history.endReportedAtMs.putIfAbsent(id, clock.timeMs)
     }
 
-    /** Checks that the user of every open job gets a response within [MAX_UNANSWERED_MS] after the last fault. */
-    fun checkAnswers(faultFreeFromMs: Long) {
+    /** Checks that the user of every open job gets a response within [MAX_NO_RESPONSE_MS] after the last fault. */
+    fun checkResponses(faultFreeFromMs: Long) {
         for (id in history.accepted) {
             if (id in history.reportedEnd) continue
             val cancelRequestedAtMs = history.cancelRequestedAtMs[id]
             if (cancelRequestedAtMs != null) {
                 val since = maxOf(faultFreeFromMs, cancelRequestedAtMs)
-                if (clock.timeMs - since <= MAX_UNANSWERED_MS) continue
+                if (clock.timeMs - since <= MAX_NO_RESPONSE_MS) continue
                 recordViolation("forgotten", "$id: its cancellation was not answered since $since")
             } else {
-                val since = maxOf(faultFreeFromMs, history.acceptedAtMs[id] ?: 0, history.lastPollAnsweredAtMs[id] ?: 0)
+                val since = maxOf(faultFreeFromMs, history.acceptedAtMs[id] ?: 0, history.lastPollResponseAtMs[id] ?: 0)
                 if (clock.timeMs - since >
-                    MAX_UNANSWERED_MS
+                    MAX_NO_RESPONSE_MS
                 ) {
                     recordViolation("forgotten", "$id: its user got no response to a poll since $since")
                 }
@@ -108,6 +108,6 @@
         /** The final states of a job as the protocol spells them. */
         const val DONE = "done"
         const val CANCELLED = "aborted"
-        private const val MAX_UNANSWERED_MS = 75_000L
+        private const val MAX_NO_RESPONSE_MS = 75_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -118,7 +118,7 @@
     private fun poll(id: String, again: Boolean = true) {
         val requestedAtMs = clock.timeMs
         call(UserRequest.Query(id), 2000) { response ->
-            if (response?.status == 200) simulation.rules.pollAnswered(id)
+            if (response?.status == 200) simulation.rules.pollResponse(id)
             val status = handleResponse(id, response, requestedAtMs)
             if (!again) return@call
             if (status != "done" && status != "aborted") {
@@ -229,7 +229,7 @@
         call(
             UserRequest.Submit(UserCodec.job(raw), raw),
             5000,
-        ) { response -> simulation.rules.tooLargeJobAnswered(spec.id, response?.status ?: 0) }
+        ) { response -> simulation.rules.tooLargeJobResponse(spec.id, response?.status ?: 0) }
     }
 
     /** Encodes a job without one of its required fields. Decoding it must fail. */
--- a/src/test/kotlin/org/chalkhollow/simulation/WaitingRules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/WaitingRules.kt
@@ -46,22 +46,22 @@
          * [FakeTasks.hasCapacityFor].
          */
         fun canStart(spec: JobSpec, preemptsLower: Boolean = false): Boolean {
-            val here = of(spec.id)
+            val placedTasks = of(spec.id)
             val limit = simulation.teams.first { it.name == spec.team }.cpusMax
             if ((usedCpus[spec.team] ?: 0.0) + spec.taskResources.cpus > limit + ROUNDING_TOLERANCE) return false
             return usable.any {
                 allows(spec, it) && it.hasCapacityFor(spec, preemptsLower) &&
-                    zoneAllows(spec, here, it.zone)
+                    zoneAllows(spec, placedTasks, it.zone)
             }
         }
 
         private fun allows(spec: JobSpec, worker: FakeWorker): Boolean =
             (spec.types == null || worker.type.name in spec.types) && (!worker.spot || spec.spotAllowed)
 
-        private fun zoneAllows(spec: JobSpec, here: List<Placed>, zone: String): Boolean =
+        private fun zoneAllows(spec: JobSpec, placedTasks: List<Placed>, zone: String): Boolean =
             (spec.zone == null || spec.zone == zone) &&
-                (!spec.together || here.all { it.worker.zone == zone }) &&
-                (!spec.spread || here.count { it.worker.zone == zone } < (spec.tasks + 1) / 2)
+                (!spec.together || placedTasks.all { it.worker.zone == zone }) &&
+                (!spec.spread || placedTasks.count { it.worker.zone == zone } < (spec.tasks + 1) / 2)
     }
 
     /** Called once a second after the last fault. */
@@ -78,8 +78,8 @@
     private fun isPending(spec: JobSpec, fleet: Fleet): Boolean {
         if (!history.isOpen(spec.id)) return false
         val done = history.completedTasks[spec.id] ?: emptySet()
-        val here = fleet.of(spec.id)
-        val isMissing = (0 until spec.tasks).any { i -> i !in done && here.none { it.task.index == i } }
+        val placedTasks = fleet.of(spec.id)
+        val isMissing = (0 until spec.tasks).any { i -> i !in done && placedTasks.none { it.task.index == i } }
         return isMissing && fleet.canStart(spec)
     }
 
