--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultChecksTest.kt
@@ -3,8 +3,8 @@
 import org.chalkhollow.model.MachineType
 import org.chalkhollow.model.Resources
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.DeliberateErrors
 import org.chalkhollow.simulation.FaultScenario
-import org.chalkhollow.simulation.Sabotage
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.anywhere
 import org.chalkhollow.simulation.withReliableNetwork
@@ -28,7 +28,11 @@
     fun `the rules detect a task that stays pending although a machine has free capacity`() {
         fun brokenRulesWith(limitFactor: Double): Set<String> {
             val simulation =
-                Simulation(3, OperatorSettings(maxIdleS = 900.0), sabotage = Sabotage(toldLimitFactor = limitFactor))
+                Simulation(
+                    3,
+                    OperatorSettings(maxIdleS = 900.0),
+                    deliberateErrors = DeliberateErrors(configuredLimitFactor = limitFactor),
+                )
             makeNetworkReliable(simulation)
             simulation.begin(0, 1)
             simulation.clock.after(8000) {
@@ -41,7 +45,7 @@
                     )
                 }
             }
-            simulation.rules.calmFrom = 20_000
+            simulation.rules.faultFreeFromMs = 20_000
             simulation.clock.runUntil(150_000)
             return brokenRules(simulation)
         }
@@ -52,10 +56,10 @@
     @Test
     fun `the rules detect an accepted job that fits no machine`() {
         fun brokenRulesWith(phantomType: MachineType?): Set<String> {
-            val simulation = Simulation(5, sabotage = Sabotage(phantomType = phantomType))
+            val simulation = Simulation(5, deliberateErrors = DeliberateErrors(nonexistentType = phantomType))
             makeNetworkReliable(simulation)
             simulation.begin(0, 1)
-            repeat(10) { i -> simulation.clock.after(10_000L + i * 100) { simulation.users.submitUnfit() } }
+            repeat(10) { i -> simulation.clock.after(10_000L + i * 100) { simulation.users.submitTooLargeJob() } }
             simulation.clock.runUntil(20_000)
             return brokenRules(simulation)
         }
@@ -68,16 +72,16 @@
     fun `the rules detect at once a start that was sent after a confirmed cancellation`() {
         val scenario = FaultScenario(7)
         makeNetworkReliable(scenario.simulation)
-        scenario.begin(jobs = 0, long = 2)
-        scenario.at(20_000) { scenario.cancel(scenario.long.first()) }
+        scenario.begin(jobs = 0, longJobs = 2)
+        scenario.at(20_000) { scenario.cancel(scenario.longJobs.first()) }
         scenario.clock.runUntil(24_000)
         assertEquals(1, scenario.rules.cancelledCount)
         assertEquals(emptySet<String>(), brokenRules(scenario.simulation))
         val machine =
             scenario.cloud.workers
                 .first { it.present }
-        machine.mute(5000) // otherwise the leader stops the task while it fetches its image
-        machine.startUnasked(scenario.long.first())
+        machine.blockConnections(5000) // otherwise the leader stops the task while it fetches its image
+        machine.startUnrequested(scenario.longJobs.first())
         scenario.clock.runUntil(28_500)
         assertEquals(setOf("ran_cancelled"), brokenRules(scenario.simulation))
     }
@@ -89,7 +93,7 @@
             val scenario = FaultScenario(seed)
             scenario.state.ignoresConditions = true
             scenario.begin()
-            scenario.at(FaultScenario.START_MS) { scenario.state.lateWrites(0.4, 40_000) }
+            scenario.at(FaultScenario.START_MS) { scenario.state.delayCommits(0.4, 40_000) }
             try {
                 scenario.clock.runUntil(120_000)
             } catch (expected: IllegalStateException) {
@@ -107,10 +111,10 @@
     fun `the rules detect a cancellation without a response`() {
         val scenario = FaultScenario(8)
         makeNetworkReliable(scenario.simulation)
-        scenario.begin(jobs = 0, long = 2)
+        scenario.begin(jobs = 0, longJobs = 2)
         scenario.at(20_000) { scenario.state.outage(1_000_000) }
-        scenario.at(25_000) { scenario.cancel(scenario.long.first()) }
-        scenario.rules.calmFrom = 30_000
+        scenario.at(25_000) { scenario.cancel(scenario.longJobs.first()) }
+        scenario.rules.faultFreeFromMs = 30_000
         scenario.clock.runUntil(110_000)
         assertTrue(
             scenario.rules.violations
--- a/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ConcurrentFaultsTest.kt
@@ -20,27 +20,27 @@
      */
     private fun rejectThenOutage(seed: Long, leaseMs: Long, slowMs: Long, outageAtMs: Long?): Long {
         val scenario = FaultScenario(seed, leaseMs)
-        scenario.begin(jobs = 16, long = 6, overMs = 60_000)
+        scenario.begin(jobs = 16, longJobs = 6, overMs = 60_000)
         scenario.clock.runUntil(START_MS)
         val firstLeader = scenario.leader()
-        scenario.long.take(3).forEach { id ->
+        scenario.longJobs.take(3).forEach { id ->
             scenario.at(START_MS + scenario.clock.between(0, 300)) { scenario.cancel(id) }
         }
-        if (slowMs > 0) scenario.state.slow(slowMs, 15_000)
+        if (slowMs > 0) scenario.state.slowDown(slowMs, 15_000)
         scenario.clock.runUntil(START_MS + 300)
-        scenario.state.refuse(checkNotNull(firstLeader).label, 12_000)
+        scenario.state.rejectRequestsOf(checkNotNull(firstLeader).label, 12_000)
         var failoverAtMs = 0L
 
         fun watchForFailover() {
             val leader = scenario.leader()
             if (leader != null && leader !== firstLeader) {
-                failoverAtMs = scenario.clock.time
+                failoverAtMs = scenario.clock.timeMs
             } else {
                 scenario.clock.after(10) { watchForFailover() }
             }
         }
         watchForFailover()
-        scenario.long.drop(3).forEachIndexed {
+        scenario.longJobs.drop(3).forEachIndexed {
             i,
             id,
             ->
@@ -52,7 +52,7 @@
         }
         scenario.at(outageAtMs) { scenario.state.outage(40_000) }
         scenario.clock.runUntil(outageAtMs + 75_000)
-        scenario.holds()
+        scenario.assertRulesHold()
         return failoverAtMs
     }
 
@@ -85,11 +85,11 @@
         val failures = ArrayList<String>()
         for (offset in 0L..5000L step 50) {
             val scenario = FaultScenario(seed, leaseMs)
-            scenario.begin(jobs = 16, long = 6, overMs = 60_000)
+            scenario.begin(jobs = 16, longJobs = 6, overMs = 60_000)
             scenario.clock.runUntil(START_MS - 300)
-            scenario.cancelNow(2)
-            scenario.at(START_MS - 100) { scenario.cancelNow(2) }
-            scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 15_000) } }
+            scenario.cancelRunningJobs(2)
+            scenario.at(START_MS - 100) { scenario.cancelRunningJobs(2) }
+            scenario.at(START_MS) { scenario.leader()?.let { scenario.state.rejectRequestsOf(it.label, 15_000) } }
             scenario.at(START_MS + offset) { scenario.state.outage(40_000) }
             scenario.clock.runUntil(START_MS + 75_000)
             if (scenario.rules.violations
@@ -108,10 +108,10 @@
     fun `rules hold when transactions that got no reply are applied late`(seed: Long) {
         val scenario = FaultScenario(seed)
         scenario.begin()
-        scenario.at(START_MS) { scenario.state.lateWrites(0.3, 45_000) }
-        for (i in 0L..4L) scenario.at(START_MS + 2000 + i * 8000) { scenario.cancelNow(1) }
+        scenario.at(START_MS) { scenario.state.delayCommits(0.3, 45_000) }
+        for (i in 0L..4L) scenario.at(START_MS + 2000 + i * 8000) { scenario.cancelRunningJobs(1) }
         scenario.at(START_MS + 20_000) { scenario.crashLeader(3000) }
-        scenario.play(START_MS + 60_000)
+        scenario.runToEnd(START_MS + 60_000)
     }
 
     @ParameterizedTest
@@ -122,11 +122,11 @@
     ) {
         val scenario = FaultScenario(seed)
         scenario.begin()
-        scenario.at(START_MS) { scenario.state.slow(slowMs, 15_000) }
-        for (i in 0L..4L) scenario.at(START_MS + 1000 + i * 3500) { scenario.cancelNow(1) }
+        scenario.at(START_MS) { scenario.state.slowDown(slowMs, 15_000) }
+        for (i in 0L..4L) scenario.at(START_MS + 1000 + i * 3500) { scenario.cancelRunningJobs(1) }
         scenario.at(START_MS + 15_000) { scenario.state.outage(38_000) }
-        scenario.at(START_MS + 30_000) { scenario.cancelNow(1) }
-        scenario.play(START_MS + 60_000)
+        scenario.at(START_MS + 30_000) { scenario.cancelRunningJobs(1) }
+        scenario.runToEnd(START_MS + 60_000)
     }
 
     @ParameterizedTest
@@ -137,11 +137,13 @@
     ) {
         val scenario = FaultScenario(seed, leaseMs)
         scenario.begin()
-        scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 7000 + seed % 5 * 500) } }
-        for (i in 0L..3L) scenario.at(START_MS + 200 + i * 2000) { scenario.cancelNow(1) }
+        scenario.at(
+            START_MS,
+        ) { scenario.leader()?.let { scenario.state.rejectRequestsOf(it.label, 7000 + seed % 5 * 500) } }
+        for (i in 0L..3L) scenario.at(START_MS + 200 + i * 2000) { scenario.cancelRunningJobs(1) }
         scenario.at(START_MS + 5000 + seed % 5 * 800) { scenario.state.outage(38_000) }
-        scenario.at(START_MS + 25_000) { scenario.cancelNow(2) }
-        scenario.play(START_MS + 60_000)
+        scenario.at(START_MS + 25_000) { scenario.cancelRunningJobs(2) }
+        scenario.runToEnd(START_MS + 60_000)
     }
 
     @ParameterizedTest
@@ -154,11 +156,11 @@
             for (outageAfterMs in listOf(800L, 1000L, 1300L)) {
                 val scenario = FaultScenario(seed, leaseMs)
                 scenario.begin(jobs = 16, overMs = 60_000)
-                scenario.at(START_MS - cancelLeadMs) { scenario.cancelNow(5, if (seed % 3 == 0L) 6000 else 0) }
-                scenario.at(START_MS) { scenario.leader()?.let { scenario.state.refuse(it.label, 10_000) } }
+                scenario.at(START_MS - cancelLeadMs) { scenario.cancelRunningJobs(5, if (seed % 3 == 0L) 6000 else 0) }
+                scenario.at(START_MS) { scenario.leader()?.let { scenario.state.rejectRequestsOf(it.label, 10_000) } }
                 scenario.at(START_MS + outageAfterMs) { scenario.state.outage(35_000) }
                 scenario.clock.runUntil(START_MS + 80_000)
-                scenario.holds()
+                scenario.assertRulesHold()
             }
         }
     }
@@ -173,26 +175,26 @@
     fun `a delayed start of a cancelled job in an outage makes only its machine's lease expire`(seed: Long) {
         val scenario = FaultScenario(seed, 22_000)
         scenario.simulation.withReliableNetwork()
-        scenario.begin(jobs = 0, long = 6)
+        scenario.begin(jobs = 0, longJobs = 6)
         scenario.clock.runUntil(START_MS)
         val startsBefore = scenario.rules.starts
         assertTrue(
             startsBefore > 0 && scenario.busy().size > 1,
             "the long jobs run on ${scenario.busy().size} machines",
         )
-        scenario.network.heldMs = 33_000L..33_000L
-        scenario.network.held = 1.0
-        val id = scenario.users.submit { scenario.plain(it, "red").copy(tasks = 1) }
+        scenario.network.holdMs = 33_000L..33_000L
+        scenario.network.holdProbability = 1.0
+        val id = scenario.users.submit { scenario.longJob(it, "red").copy(tasks = 1) }
         scenario.at(START_MS + 1200) { scenario.cancel(id) }
-        scenario.at(START_MS + 2200) { scenario.network.held = 0.0 }
+        scenario.at(START_MS + 2200) { scenario.network.holdProbability = 0.0 }
         scenario.at(START_MS + 2500) { scenario.state.outage(40_000) }
         scenario.at(START_MS + 32_500) {
             scenario.cloud.workers
-                .forEach { it.mute(5000) }
+                .forEach { it.blockConnections(5000) }
         } // so that a task that starts now is not stopped at once
         scenario.at(START_MS + 42_000) { assertTrue(scenario.leader() != null, "there is no leader during the outage") }
         scenario.clock.runUntil(START_MS + 70_000)
-        scenario.holds()
+        scenario.assertRulesHold()
         val restarts = scenario.rules.starts - startsBefore
         assertTrue(restarts <= 9, "$restarts of $startsBefore tasks were started again")
     }
--- a/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
+++ b/src/test/kotlin/org/chalkhollow/MachineLossTest.kt
@@ -37,7 +37,7 @@
             }
         }
         simulation.clock.runUntil(25_000)
-        val expectedRestarts = causeFault(simulation, simulation.cloud.workers.first { it.onMachine().isNotEmpty() })
+        val expectedRestarts = causeFault(simulation, simulation.cloud.workers.first { it.activeTasks().isNotEmpty() })
         simulation.clock.runUntil(untilMs)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(expectedRestarts, simulation.rules.starts - 30)
@@ -51,15 +51,15 @@
     fun `tasks of a dead machine start elsewhere before its lease would have expired`() {
         assertRestarts(
             25_000 + 16_000,
-        ) { simulation, busy -> busy.onMachine().size.also { simulation.cloud.kill(busy.name) } }
+        ) { simulation, busy -> busy.activeTasks().size.also { simulation.cloud.failMachine(busy.name) } }
     }
 
     @Test
     fun `tasks that cannot finish before the cloud reclaims their machine start elsewhere at once`() {
         assertRestarts(25_000 + 9000) { simulation, busy ->
-            busy.onMachine().size.also {
-                busy.noticeAt =
-                    simulation.clock.time + 15_000
+            busy.activeTasks().size.also {
+                busy.terminationAtMs =
+                    simulation.clock.timeMs + 15_000
             }
         }
     }
@@ -94,7 +94,9 @@
                 )
             }
         }
-        simulation.clock.after(25_000) { FaultInjection(simulation).mass(MassFault.LEADER_CUT_FROM_MACHINES) }
+        simulation.clock.after(
+            25_000,
+        ) { FaultInjection(simulation).injectMassFault(MassFault.LEADER_CUT_FROM_MACHINES) }
         simulation.clock.runUntil(62_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(30, simulation.rules.starts, "tasks were started again because their machines' leases expired")
--- a/src/test/kotlin/org/chalkhollow/ReplicaMigrationScenariosTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ReplicaMigrationScenariosTest.kt
@@ -22,12 +22,12 @@
     /** A service that runs on spot machines when the test begins. No more machines can be rented. */
     private class Scenario(seed: Long, machines: Int, tasks: Int, taskResources: Resources, spread: Boolean = true) {
         val simulation =
-            Simulation(seed, OperatorSettings(maxIdleS = 900.0), size = SimulationSize(capacity = machines))
+            Simulation(seed, OperatorSettings(maxIdleS = 900.0), size = SimulationSize(maxMachines = machines))
         val id: String
 
         init {
             simulation.withReliableNetwork()
-            simulation.begin(0, 1, machines = 0, firstMs = 4000)
+            simulation.begin(0, 1, machines = 0, controllerDelayMs = 4000)
             simulation.addSpotMachines(machines)
             simulation.clock.runUntil(12_000)
             id =
@@ -39,22 +39,22 @@
                         spotAllowed = true,
                     )
                 }
-            simulation.rules.calmFrom = READY_MS
+            simulation.rules.faultFreeFromMs = READY_MS
             simulation.clock.runUntil(READY_MS)
-            assertEquals(tasks, simulation.rules.services.up(id))
+            assertEquals(tasks, simulation.rules.services.upCount(id))
         }
 
-        fun replicasOn(worker: FakeWorker) = worker.onMachine().filter { it.job == id }
+        fun replicasOn(worker: FakeWorker) = worker.activeTasks().filter { it.job == id }
 
         fun mostLoaded(): FakeWorker = simulation.cloud.workers.maxBy { replicasOn(it).size }
 
         fun reclaimIn(worker: FakeWorker, ms: Long) {
-            worker.noticeAt = simulation.clock.time + ms
-            simulation.clock.after(ms) { simulation.cloud.kill(worker.name) }
+            worker.terminationAtMs = simulation.clock.timeMs + ms
+            simulation.clock.after(ms) { simulation.cloud.failMachine(worker.name) }
         }
 
         fun submitBatch(priority: Priority, tasks: Int, cpus: Double, expectedS: Double): String {
-            val id = "j-${simulation.clock.time + 1}"
+            val id = "j-${simulation.clock.timeMs + 1}"
             simulation.users.submit { drawn ->
                 drawn.anywhere().copy(
                     id = id,
@@ -73,7 +73,7 @@
 
         fun assertServiceRuns() {
             assertEquals(emptyList<String>(), simulation.rules.violations)
-            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.up(id))
+            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.upCount(id))
         }
     }
 
@@ -93,7 +93,7 @@
         assertEquals(
             1,
             scenario.simulation.rules.services
-                .mostDownAtOnce(scenario.id, READY_MS),
+                .maxDownCount(scenario.id, READY_MS),
             "seed $seed",
         )
         scenario.simulation.clock.runUntil(READY_MS + 60_000)
@@ -107,7 +107,7 @@
         val scenario = Scenario(seed, machines = 6, tasks = 8, taskResources = Resources(1.0, 0.0, 1.0))
         val faulty = scenario.mostLoaded()
         assertTrue(scenario.replicasOn(faulty).size > 1)
-        faulty.sick = true // tasks that start there from now on fail; the replicas keep running
+        faulty.isFaulty = true // tasks that start there from now on fail; the replicas keep running
         repeat(
             4,
         ) { i -> scenario.simulation.clock.after(i * 2500L) { scenario.submitBatch(Priority.HIGH, 12, 2.0, 4.0) } }
@@ -117,7 +117,7 @@
         assertEquals(
             1,
             scenario.simulation.rules.services
-                .mostDownAtOnce(scenario.id, READY_MS),
+                .maxDownCount(scenario.id, READY_MS),
             "seed $seed",
         )
         assertTrue(scenario.simulation.cloud.worker(faulty.name) == null, "${faulty.name} is still rented")
@@ -142,7 +142,7 @@
         assertEquals(
             2,
             scenario.simulation.rules.services
-                .up(scenario.id),
+                .upCount(scenario.id),
         )
     }
 
@@ -162,7 +162,7 @@
         assertEquals(
             4,
             scenario.simulation.rules.services
-                .up(scenario.id),
+                .upCount(scenario.id),
         )
         val downMs =
             scenario.simulation.rules.services
@@ -171,7 +171,7 @@
         assertEquals(
             1,
             scenario.simulation.rules.services
-                .mostDownAtOnce(scenario.id, READY_MS + 15_000),
+                .maxDownCount(scenario.id, READY_MS + 15_000),
             "seed $seed",
         )
     }
--- a/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RollingUpgradeTest.kt
@@ -28,12 +28,12 @@
     private val nextLimits = StateLimits(40.0, 12.0, 2048, 6)
 
     private fun playDay(simulation: Simulation, upgrade: RollingUpgrade, faults: Int): Simulation {
-        if (faults > 0) simulation.network.copies = 0.01
+        if (faults > 0) simulation.network.copyProbability = 0.01
         simulation.begin(40, 180_000)
         upgrade.begin(30_000)
-        FaultInjection(simulation).draw(faults, 10_000, 170_000)
-        simulation.clock.after(210_000) { simulation.network.copies = 0.0 }
-        simulation.rules.calmFrom = 260_000
+        FaultInjection(simulation).injectRandom(faults, 10_000, 170_000)
+        simulation.clock.after(210_000) { simulation.network.copyProbability = 0.0 }
+        simulation.rules.faultFreeFromMs = 260_000
         simulation.clock.runUntil(480_000)
         return simulation
     }
@@ -43,7 +43,7 @@
         assertEquals(emptyList<String>(), simulation.rules.starved())
         assertTrue(simulation.rules.acceptedCount >= 36, "only ${simulation.rules.acceptedCount} jobs were accepted")
         assertTrue(simulation.rules.doneCount >= 30, "only ${simulation.rules.doneCount} jobs were reported as done")
-        assertTrue(upgrade.loweredAt < 240_000, "the limits were not lowered")
+        assertTrue(upgrade.limitsLoweredAtMs < 240_000, "the limits were not lowered")
         for (node in simulation.nodes) {
             assertEquals(
                 true,
@@ -72,17 +72,18 @@
                     ),
                 stateLimits = currentLimits,
             )
-        val upgrade = RollingUpgrade(simulation, nextLimits, atOnce = 1 + (seed % 2).toInt())
+        val upgrade = RollingUpgrade(simulation, nextLimits, batchSize = 1 + (seed % 2).toInt())
         playDay(simulation, upgrade, faults = 12)
         assertUpgraded(simulation, upgrade)
-        assertEquals(0, simulation.state.rejections, "transactions exceeded the announced limits")
+        assertEquals(0, simulation.state.rejectedCount, "transactions exceeded the announced limits")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
     fun `limits lower than those announced break no rule`(seed: Long) {
         val simulation = Simulation(seed, stateLimits = currentLimits)
-        val upgrade = RollingUpgrade(simulation, nextLimits, atOnce = 1, then = StateLimits(40.0, 10.0, 1024, 3))
+        val upgrade =
+            RollingUpgrade(simulation, nextLimits, batchSize = 1, finalLimits = StateLimits(40.0, 10.0, 1024, 3))
         playDay(simulation, upgrade, faults = 6)
         assertUpgraded(simulation, upgrade)
     }
@@ -90,7 +91,7 @@
     @Test
     fun `status says that an upgrade is in progress until all controllers run the new version`() {
         val simulation = Simulation(41, stateLimits = currentLimits)
-        val upgrade = RollingUpgrade(simulation, nextLimits, atOnce = 1)
+        val upgrade = RollingUpgrade(simulation, nextLimits, batchSize = 1)
         simulation.begin(5, 20_000)
         upgrade.begin(30_000)
         simulation.clock.runUntil(38_000)
@@ -105,10 +106,10 @@
         val simulation =
             Simulation(
                 seed,
-                size = SimulationSize(capacity = 60, scale = 12),
+                size = SimulationSize(maxMachines = 60, limitFactor = 12),
                 stateLimits = StateLimits(80.0, 40.0, 4096, 12),
             )
-        val upgrade = RollingUpgrade(simulation, StateLimits(60.0, 30.0, 1024, 8), atOnce = 1)
+        val upgrade = RollingUpgrade(simulation, StateLimits(60.0, 30.0, 1024, 8), batchSize = 1)
         simulation.begin(6, 100_000, machines = 40)
         var id = ""
         // Its tasks end sooner than new ones can start, also without an upgrade, so there is always free capacity.
@@ -144,22 +145,22 @@
                     "only ${written.cardinality()} of $recorded completions are still recorded",
                 )
                 recorded = written.cardinality()
-                if (simulation.clock.time < UPGRADE_MS) recordedAtUpgrade = recorded
+                if (simulation.clock.timeMs < UPGRADE_MS) recordedAtUpgrade = recorded
                 checks++
             }
             simulation.clock.after(100) { checkRecords() }
         }
         simulation.clock.after(10_000) { checkRecords() }
-        simulation.rules.calmFrom = 250_000
+        simulation.rules.faultFreeFromMs = 250_000
         simulation.clock.runUntil(900_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals(0, simulation.state.rejections)
+        assertEquals(0, simulation.state.rejectedCount)
         assertTrue(checks > 500 && recorded > 10_000, "$recorded completions seen in $checks checks")
         assertTrue(
             recordedAtUpgrade in 4000..18_000,
             "$recordedAtUpgrade completions were recorded before the first controller was upgraded",
         )
-        assertTrue(simulation.rules.isDone(id), "${simulation.rules.completions} tasks were completed")
+        assertTrue(simulation.rules.isDone(id), "${simulation.rules.completedTaskCount} tasks were completed")
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/RuleChecksTest.kt
@@ -1,10 +1,10 @@
 package org.chalkhollow
 
 import org.chalkhollow.settings.OperatorSettings
+import org.chalkhollow.simulation.DeliberateErrors
 import org.chalkhollow.simulation.FaultInjection
-import org.chalkhollow.simulation.Sabotage
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.simulation.playRandomDay
+import org.chalkhollow.simulation.runRandomScenario
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
@@ -15,7 +15,7 @@
         for (seed in 1L..12L) {
             val simulation = makeSimulation(seed)
             try {
-                playRandomDay(simulation, faults = 14)
+                runRandomScenario(simulation, faults = 14)
             } catch (expected: IllegalStateException) {
                 broken.add("fake") // a fake detected a protocol violation
             }
@@ -35,7 +35,10 @@
 
     @Test
     fun `the rules detect tasks that run twice because controllers assume too short a worker lease`() {
-        val broken = brokenRules { seed -> Simulation(seed, leaseMs = 40_000, sabotage = Sabotage(toldLeaseS = 3.0)) }
+        val broken =
+            brokenRules { seed ->
+                Simulation(seed, leaseMs = 40_000, deliberateErrors = DeliberateErrors(configuredLeaseS = 3.0))
+            }
         assertTrue("ran_twice" in broken, "only these rules were broken: $broken")
     }
 
@@ -43,8 +46,8 @@
     fun `the rules detect late copies of heartbeats that look like new ones`() {
         val broken = HashSet<String>()
         for (seed in 1L..6L) {
-            val simulation = Simulation(seed, sabotage = Sabotage(copiesLookNew = true))
-            simulation.network.copies = 0.05
+            val simulation = Simulation(seed, deliberateErrors = DeliberateErrors(copiesLookNew = true))
+            simulation.network.copyProbability = 0.05
             simulation.begin(40, 100_000)
             simulation.clock.runUntil(200_000)
             simulation.rules.violations.mapTo(broken) { it.substringBefore(' ') }
@@ -57,7 +60,10 @@
         val broken = HashSet<String>()
         for (seed in 1L..12L) {
             val simulation =
-                Simulation(seed, sabotage = Sabotage(oddOptions = OperatorSettings(followerLeaseMs = 20_000)))
+                Simulation(
+                    seed,
+                    deliberateErrors = DeliberateErrors(differingOptions = OperatorSettings(followerLeaseMs = 20_000)),
+                )
             simulation.begin(0, 1)
             simulation.clock.after(
                 15_000,
@@ -75,7 +81,7 @@
         simulation.clock.after(25_000) { simulation.state.outage(1_000_000) }
         simulation.clock.after(30_000) { simulation.nodes.forEach { it.crash() } }
         simulation.clock.after(35_000) { simulation.nodes.forEach { it.start() } }
-        simulation.rules.calmFrom = 40_000
+        simulation.rules.faultFreeFromMs = 40_000
         simulation.clock.runUntil(160_000)
         assertTrue(
             simulation.rules.violations.any { it.startsWith("forgotten") },
@@ -85,7 +91,10 @@
 
     @Test
     fun `the rules detect an exceeded quota when controllers assume too high a limit`() {
-        val broken = brokenRules { seed -> Simulation(seed, sabotage = Sabotage(toldLimitFactor = 2.0)) }
+        val broken =
+            brokenRules { seed ->
+                Simulation(seed, deliberateErrors = DeliberateErrors(configuredLimitFactor = 2.0))
+            }
         assertTrue("quota" in broken, "only these rules were broken: $broken")
     }
 }
--- a/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceAdmissionTest.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.model.Resources
 import org.chalkhollow.simulation.SimulatedController
 import org.chalkhollow.simulation.Simulation
-import org.chalkhollow.simulation.quietSimulation
+import org.chalkhollow.simulation.faultFreeSimulation
 import org.chalkhollow.wire.Pack
 import org.chalkhollow.wire.UserCodec
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -18,16 +18,16 @@
 class ServiceAdmissionTest {
     private fun statusOf(simulation: Simulation, node: SimulatedController, map: Map<String, Any?>): Int {
         var status = -1
-        simulation.users.submitRaw(Pack.encode(map), node) { status = it }
-        simulation.clock.runUntil(simulation.clock.time + 3000)
+        simulation.users.submitBody(Pack.encode(map), node) { status = it }
+        simulation.clock.runUntil(simulation.clock.timeMs + 3000)
         return status
     }
 
     @Test
     fun `every controller rejects a service whose replicas can never all run`() {
-        val simulation = quietSimulation(5)
+        val simulation = faultFreeSimulation(5)
         val service =
-            simulation.users.drawService().copy(
+            simulation.users.randomService().copy(
                 team = "red",
                 tasks = 5,
                 taskResources = Resources(8.0, 0.0, 1.6),
@@ -75,8 +75,8 @@
 
     @Test
     fun `every controller answers 400 to a service with a missing or invalid field`() {
-        val simulation = quietSimulation(6)
-        val complete = UserCodec.toMap(simulation.users.drawService())
+        val simulation = faultFreeSimulation(6)
+        val complete = UserCodec.toMap(simulation.users.randomService())
         val incomplete =
             listOf(
                 "nameId",
--- a/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceChecksTest.kt
@@ -4,7 +4,7 @@
 import org.chalkhollow.model.JobSpec
 import org.chalkhollow.model.Shape
 import org.chalkhollow.settings.OperatorSettings
-import org.chalkhollow.simulation.Sabotage
+import org.chalkhollow.simulation.DeliberateErrors
 import org.chalkhollow.simulation.Simulation
 import org.chalkhollow.simulation.withReliableNetwork
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -23,7 +23,7 @@
 
     private fun start(simulation: Simulation): Simulation {
         simulation.withReliableNetwork()
-        simulation.begin(0, 1, machines = 6, firstMs = 4000)
+        simulation.begin(0, 1, machines = 6, controllerDelayMs = 4000)
         simulation.clock.runUntil(12_000)
         return simulation
     }
@@ -34,7 +34,7 @@
     private fun play(untilMs: Long, sentAs: (JobSpec) -> JobSpec, change: (JobSpec) -> JobSpec): Scenario {
         val simulation = start(Simulation(4, OperatorSettings(maxIdleS = 900.0)))
         val id = simulation.users.submitService(sentAs) { change(it.copy(tasks = 4)) }
-        simulation.rules.calmFrom = 20_000
+        simulation.rules.faultFreeFromMs = 20_000
         simulation.clock.runUntil(untilMs)
         return Scenario(simulation, id)
     }
@@ -43,7 +43,15 @@
     fun `the rules detect a service that is reported as done`() {
         for (isSentAsArray in listOf(false, true)) {
             val scenario = play(20_000) { if (isSentAsArray) it.copy(shape = Shape.ARRAY) else it }
-            for (worker in scenario.simulation.cloud.workers) for (i in 0..3) worker.end(scenario.id, i, ExitCause.DONE)
+            for (worker in scenario.simulation.cloud.workers) {
+                for (i in 0..3) {
+                    worker.endReplica(
+                        scenario.id,
+                        i,
+                        ExitCause.DONE,
+                    )
+                }
+            }
             scenario.simulation.clock.runUntil(40_000)
             assertEquals(if (isSentAsArray) setOf("not_done") else emptySet(), scenario.brokenRules)
         }
@@ -57,9 +65,9 @@
         assertEquals(
             4,
             complete.simulation.rules.services
-                .up(complete.id),
+                .upCount(complete.id),
         )
-        assertEquals(1.0, complete.simulation.rules.upShare(complete.id, 6000), 1e-9)
+        assertEquals(1.0, complete.simulation.rules.availability(complete.id, 6000), 1e-9)
         val partial = play(56_000) { it.copy(tasks = 3) }
         assertEquals(setOf("replica_down"), partial.brokenRules)
         assertTrue(
@@ -71,9 +79,9 @@
         assertEquals(
             3,
             partial.simulation.rules.services
-                .up(partial.id),
+                .upCount(partial.id),
         )
-        assertEquals(0.75, partial.simulation.rules.upShare(partial.id, 6000), 1e-9)
+        assertEquals(0.75, partial.simulation.rules.availability(partial.id, 6000), 1e-9)
     }
 
     @Test
@@ -96,7 +104,7 @@
                         Simulation(
                             4,
                             OperatorSettings(maxIdleS = 900.0),
-                            sabotage = Sabotage(toldLimitFactor = factor),
+                            deliberateErrors = DeliberateErrors(configuredLimitFactor = factor),
                         ),
                     )
                 repeat(2) { simulation.users.submitService { it.copy(team = "red", tasks = 24, spread = false) } }
@@ -115,12 +123,12 @@
                         4,
                         OperatorSettings(maxIdleS = 900.0),
                         leaseMs = 100_000,
-                        sabotage = Sabotage(toldLeaseS = 8.0),
+                        deliberateErrors = DeliberateErrors(configuredLeaseS = 8.0),
                     ),
                 )
             val id = simulation.users.submitService { it.copy(tasks = 4, spread = false) }
             simulation.clock.runUntil(20_000)
-            val worker = simulation.cloud.workers.first { it.onMachine().isNotEmpty() }
+            val worker = simulation.cloud.workers.first { it.activeTasks().isNotEmpty() }
             for (node in simulation.nodes) simulation.network.cut(node.label, worker.name, 60_000, true)
             if (isCancelled) simulation.users.cancel(id)
             simulation.clock.runUntil(60_000)
@@ -164,8 +172,8 @@
         val scenario = play(20_000) { it }
         val worker =
             scenario.simulation.cloud.workers
-                .first { it.onMachine().isNotEmpty() }
-        val replicas = worker.onMachine().size
+                .first { it.activeTasks().isNotEmpty() }
+        val replicas = worker.activeTasks().size
         worker.hang(4000)
         scenario.simulation.clock.runUntil(30_000)
         assertEquals(
@@ -178,7 +186,7 @@
         assertEquals(
             1 - 0.1 * replicas,
             scenario.simulation.rules.services
-                .share(scenario.id, 20_000, 30_000),
+                .availability(scenario.id, 20_000, 30_000),
             0.01,
         )
         assertEquals(4, scenario.simulation.rules.starts)
@@ -189,9 +197,9 @@
         val simulation = start(Simulation(4, OperatorSettings(maxIdleS = 900.0)))
         for (tasks in listOf(40, 4)) {
             simulation.users.submitService { it.copy(team = "red", tasks = tasks, spread = false) }
-            simulation.clock.runUntil(simulation.clock.time + 10_000)
+            simulation.clock.runUntil(simulation.clock.timeMs + 10_000)
         }
-        simulation.rules.calmFrom = 30_000
+        simulation.rules.faultFreeFromMs = 30_000
         simulation.clock.runUntil(150_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(40, simulation.rules.starts)
--- a/src/test/kotlin/org/chalkhollow/ServiceFailoverTest.kt
+++ b/src/test/kotlin/org/chalkhollow/ServiceFailoverTest.kt
@@ -22,26 +22,26 @@
     /** A service that runs at [READY_MS]. Its machines have enough capacity; half of them are in each zone. */
     private class RunningService(seed: Long, leaseMs: Long, spot: Boolean = false, machines: Int = 6, tasks: Int = 4) {
         val simulation =
-            Simulation(seed, OperatorSettings(maxIdleS = 900.0), leaseMs, size = SimulationSize(capacity = 20))
+            Simulation(seed, OperatorSettings(maxIdleS = 900.0), leaseMs, size = SimulationSize(maxMachines = 20))
         val id: String
 
         init {
             simulation.withReliableNetwork()
-            simulation.begin(0, 1, if (spot) 0 else machines, firstMs = 4000)
+            simulation.begin(0, 1, if (spot) 0 else machines, controllerDelayMs = 4000)
             if (spot) simulation.addSpotMachines(machines)
             simulation.clock.runUntil(12_000)
             id = simulation.users.submitService { it.copy(tasks = tasks, spotAllowed = spot) }
-            simulation.rules.calmFrom = READY_MS
+            simulation.rules.faultFreeFromMs = READY_MS
             simulation.clock.runUntil(READY_MS)
-            assertEquals(tasks, simulation.rules.services.up(id))
+            assertEquals(tasks, simulation.rules.services.upCount(id))
         }
 
-        fun at(ms: Long, run: () -> Unit) = simulation.clock.after(ms - simulation.clock.time, run)
+        fun at(ms: Long, run: () -> Unit) = simulation.clock.after(ms - simulation.clock.timeMs, run)
 
         fun assertServiceRuns() {
             assertEquals(emptyList<String>(), simulation.rules.violations)
             assertEquals(emptyList<String>(), simulation.rules.starved())
-            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.up(id))
+            assertEquals(simulation.users.spec(id)?.tasks, simulation.rules.services.upCount(id))
         }
     }
 
@@ -51,7 +51,7 @@
      */
     enum class Fault(private val waitsForLease: Boolean, private val heartbeatMs: Long = 2500) {
         DIES(true) {
-            override fun inject(simulation: Simulation, worker: FakeWorker) = simulation.cloud.kill(worker.name)
+            override fun inject(simulation: Simulation, worker: FakeWorker) = simulation.cloud.failMachine(worker.name)
         },
         HANGS(true) {
             override fun inject(simulation: Simulation, worker: FakeWorker) = worker.hang(60_000)
@@ -75,14 +75,14 @@
         /** The cloud reclaims the machine 15 s after its spot termination notice. */
         RECLAIMED(false) {
             override fun inject(simulation: Simulation, worker: FakeWorker) {
-                worker.noticeAt = simulation.clock.time + 15_000
-                simulation.clock.after(15_000) { simulation.cloud.kill(worker.name) }
+                worker.terminationAtMs = simulation.clock.timeMs + 15_000
+                simulation.clock.after(15_000) { simulation.cloud.failMachine(worker.name) }
             }
         },
         TASKS_FAIL(false) {
             override fun inject(simulation: Simulation, worker: FakeWorker) {
-                worker.sick = true
-                for (t in worker.onMachine()) worker.end(t.job, t.index, ExitCause.ERROR)
+                worker.isFaulty = true
+                for (t in worker.activeTasks()) worker.endReplica(t.job, t.index, ExitCause.ERROR)
             }
         }, ;
 
@@ -105,11 +105,11 @@
             val running = RunningService(seed, leaseMs, spot = fault == Fault.RECLAIMED)
             val failed =
                 running.simulation.cloud.workers
-                    .first { it.onMachine().isNotEmpty() }
+                    .first { it.activeTasks().isNotEmpty() }
             fault.inject(running.simulation, failed)
             running.simulation.clock.runUntil(READY_MS + leaseMs + 30_000)
             running.assertServiceRuns()
-            assertTrue(failed.onMachine().isEmpty(), "seed $seed: replicas run on ${failed.name} again")
+            assertTrue(failed.activeTasks().isEmpty(), "seed $seed: replicas run on ${failed.name} again")
             val downMs =
                 running.simulation.rules.services
                     .longestDownMs(running.id, READY_MS)
@@ -163,7 +163,7 @@
             assertEquals(startsBefore, simulation.rules.starts, "$fault, seed $seed: replicas were started again")
             assertEquals(
                 1.0,
-                simulation.rules.services.share(running.id, READY_MS, simulation.clock.time),
+                simulation.rules.services.availability(running.id, READY_MS, simulation.clock.timeMs),
                 1e-9,
                 "$fault, seed $seed",
             )
@@ -182,7 +182,7 @@
     ): Pair<Simulation, List<String>> {
         val running = RunningService(seed, 8000, machines = 8, tasks = 6)
         val simulation = running.simulation
-        neverUp?.let { simulation.cloud.neverUp = it }
+        neverUp?.let { simulation.cloud.neverUpProbability = it }
         val other =
             simulation.users.submitService {
                 it.copy(
@@ -193,16 +193,16 @@
                 )
             }
         simulation.clock.runUntil(READY_MS + 10_000)
-        assertEquals(5, simulation.rules.services.up(other))
+        assertEquals(5, simulation.rules.services.upCount(other))
         for (at in 0L until 300_000 step everyMs) {
             running.at(READY_MS + 10_000 + at) {
-                val up = simulation.cloud.workers.filter { it.onMachine().isNotEmpty() }
-                if (up.isNotEmpty()) simulation.cloud.kill(up[simulation.clock.random.nextInt(up.size)].name)
+                val up = simulation.cloud.workers.filter { it.activeTasks().isNotEmpty() }
+                if (up.isNotEmpty()) simulation.cloud.failMachine(up[simulation.clock.random.nextInt(up.size)].name)
             }
         }
         simulation.clock.runUntil(READY_MS + 360_000)
         running.assertServiceRuns()
-        assertEquals(5, simulation.rules.services.up(other))
+        assertEquals(5, simulation.rules.services.upCount(other))
         return simulation to listOf(running.id, other)
     }
 
@@ -248,7 +248,7 @@
     fun `a service that is cancelled while its machines are unreachable ends in time`(seed: Long) {
         val running = RunningService(seed, 16_000)
         val simulation = running.simulation
-        val busy = simulation.cloud.workers.filter { it.onMachine().isNotEmpty() }
+        val busy = simulation.cloud.workers.filter { it.activeTasks().isNotEmpty() }
         for (worker in busy) {
             for (node in simulation.nodes) {
                 simulation.network.cut(
@@ -262,8 +262,8 @@
         simulation.users.cancel(running.id)
         simulation.clock.runUntil(READY_MS + 2000 + simulation.cancelMs)
         assertEquals(emptyList<String>(), simulation.rules.violations)
-        assertEquals("aborted", simulation.users.statesTold(running.id).last())
-        assertTrue(simulation.cloud.workers.all { it.onMachine().isEmpty() })
+        assertEquals("aborted", simulation.users.reportedStates(running.id).last())
+        assertTrue(simulation.cloud.workers.all { it.activeTasks().isEmpty() })
     }
 
     private companion object {
--- a/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/org/chalkhollow/UnreachableMachinesTest.kt
@@ -39,7 +39,7 @@
         simulation.clock.runUntil(90_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(0, commandsToUnreachable, "seed $seed: commands were sent to an unreachable machine")
-        val pending = simulation.rules.pending()
+        val pending = simulation.rules.unfinishedJobs()
         assertEquals(1, simulation.rules.doneCount, "a job waits for an unreachable machine: $pending")
     }
 
@@ -76,13 +76,13 @@
                 expectedS = 5.0,
             )
         }
-        val submittedAtMs = simulation.clock.time
+        val submittedAtMs = simulation.clock.timeMs
         simulation.clock.runUntil(submittedAtMs + 25_000)
         assertEquals(emptyList<String>(), simulation.rules.violations)
         assertEquals(
             1,
             simulation.rules.doneCount,
-            "a job waits for an unreachable machine: ${simulation.rules.pending()}",
+            "a job waits for an unreachable machine: ${simulation.rules.unfinishedJobs()}",
         )
         simulation.clock.runUntil(120_000)
         assertTrue(
--- a/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
+++ b/src/test/kotlin/org/chalkhollow/core/operations/StatusReportTest.kt
@@ -28,7 +28,7 @@
     @Test
     fun `the leader reports jobs, teams and machines`() {
         val id = simulation.users.submit { it.copy(tasks = 3, types = null, zone = null, expectedS = 100.0) }
-        simulation.clock.runUntil(simulation.clock.time + 60_000)
+        simulation.clock.runUntil(simulation.clock.timeMs + 60_000)
         val status = checkNotNull(leader.status()) { "leader is not running" }
         assertTrue(status.leads && status.ready)
         assertEquals(leader.label, status.leader)
--- a/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeStateService.kt
@@ -8,133 +8,140 @@
 import org.chalkhollow.wire.Pack
 import java.util.TreeMap
 
-/** A fake of the state service, as its published protocol describes it. */
+/** A fake of the state service that follows its published protocol. */
 class FakeStateService(private val clock: VirtualClock, private val network: Network, private val limits: StateLimits) {
     private class Entry(val value: Any?, val revision: Long)
 
     private val keys = TreeMap<String, Entry>()
     private var revision = 1L
-    private var outageUntil = 0L
-    private val refusedUntil = HashMap<String, Long>()
+    private var outageUntilMs = 0L
+    private val rejectedUntilMs = HashMap<String, Long>()
 
-    /** Sabotage for tests of the checks: conditions always hold. */
+    /** Commits transactions whose conditions fail, so that tests of the rules see violations. */
     var ignoresConditions = false
     val size: Int get() = keys.size
 
     /**
-     * Limits that hold from now on, in the way of the real service: what is beyond them is refused and not a fault of
-     * the test.
+     * Limits that are enforced from now on, as the real service does: a transaction beyond them is rejected or
+     * throttled. A transaction beyond [limits], in contrast, fails the test. Null if only [limits] are enforced.
      */
-    var lowered: StateLimits? = null
+    var loweredLimits: StateLimits? = null
         set(value) {
             field = value
             tokens = value?.writeRps ?: 0.0
-            refilledAt = clock.time
+            refilledAtMs = clock.timeMs
         }
 
-    /** How many transactions were refused for their size and for the rate since the limits were [lowered]. */
-    var rejections = 0
+    /** How many transactions were beyond the size limits in [loweredLimits]. */
+    var rejectedCount = 0
         private set
-    var throttled = 0
+
+    /** How many transactions were beyond the write rate in [loweredLimits]. */
+    var throttledCount = 0
         private set
     private var tokens = 0.0
-    private var refilledAt = 0L
+    private var refilledAtMs = 0L
 
-    /** What is stored under [prefix]. */
+    /** The stored values whose keys start with [prefix], by key. */
     fun stored(prefix: String): Map<String, Any?> =
         keys.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.associate {
             it.key to it.value.value
         }
 
-    /** What the [lowered] limits say to [op]; null when it is within them. */
-    private fun beyondLowered(op: StateOp.Commit): StateReply? {
-        val now = lowered ?: return null
-        val large = op.changes.firstOrNull { c -> (c.value?.let { Pack.encode(it).size } ?: 0) > now.valueBytes }
-        if (large != null || op.changes.size > now.txnOps || op.conditions.size > now.txnOps * 4) {
-            rejections++
+    /** The error reply if [op] is beyond [loweredLimits]; null if it is within them. */
+    private fun checkLoweredLimits(op: StateOp.Commit): StateReply? {
+        val enforced = loweredLimits ?: return null
+        val large = op.changes.firstOrNull { c -> (c.value?.let { Pack.encode(it).size } ?: 0) > enforced.valueBytes }
+        if (large != null || op.changes.size > enforced.txnOps || op.conditions.size > enforced.txnOps * 4) {
+            rejectedCount++
             return StateReply.Rejected(if (large != null) "value of ${large.key} is too large" else "too many changes")
         }
-        tokens = minOf(now.writeRps, tokens + (clock.time - refilledAt) * now.writeRps / 1000)
-        refilledAt = clock.time
+        tokens = minOf(enforced.writeRps, tokens + (clock.timeMs - refilledAtMs) * enforced.writeRps / 1000)
+        refilledAtMs = clock.timeMs
         if (tokens < op.changes.size) {
-            throttled++
+            throttledCount++
             return StateReply.Unavailable
         }
         tokens -= op.changes.size
         return null
     }
 
-    /** Told of every value that a transaction wants to store, and of null for a removal. */
+    /** Called with the key and encoded value of every change in a transaction, also a failed one; null is a removal. */
     var onWrite: (String, ByteArray?) -> Unit = { _, _ -> }
 
+    /** For [forMs], every request gets an unavailable reply. */
     fun outage(forMs: Long) {
-        outageUntil = clock.time + forMs
+        outageUntilMs = clock.timeMs + forMs
     }
 
-    fun refuse(node: String, forMs: Long) {
-        refusedUntil[node] = clock.time + forMs
+    /** For [forMs], every request of controller [node] gets an unavailable reply. */
+    fun rejectRequestsOf(node: String, forMs: Long) {
+        rejectedUntilMs[node] = clock.timeMs + forMs
     }
 
-    private var lateUntil = 0L
-    private var lateShare = 0.0
-    private var slowUntil = 0L
-    private var slowMs = 0L
+    private var delayUntilMs = 0L
+    private var delayedFraction = 0.0
+    private var slowUntilMs = 0L
+    private var slowResponseMs = 0L
 
-    /** For [forMs], [share] of the commits get no answer and are carried out 2 to 12 s later, after newer ones. */
-    fun lateWrites(share: Double, forMs: Long) {
-        lateShare = share
-        lateUntil = clock.time + forMs
+    /** For [forMs], [fraction] of the transactions get no reply and are executed 2 to 12 s later, after newer ones. */
+    fun delayCommits(fraction: Double, forMs: Long) {
+        delayedFraction = fraction
+        delayUntilMs = clock.timeMs + forMs
     }
 
-    /** For [forMs], answers take about [ms]; requests are carried out somewhere on the way. */
-    fun slow(ms: Long, forMs: Long) {
-        slowMs = ms
-        slowUntil = clock.time + forMs
+    /** For [forMs], replies take 0.5 to 1.5 times [responseMs]; requests are executed part of the way through. */
+    fun slowDown(responseMs: Long, forMs: Long) {
+        slowResponseMs = responseMs
+        slowUntilMs = clock.timeMs + forMs
     }
 
-    /** Runs [op] for [node]; [reply] comes once, at the latest after the caller's time-out. */
+    /** Executes [op] for controller [node]. Calls [reply] once, at the latest after the controller's time-out. */
     fun call(node: String, op: StateOp, reply: (StateReply) -> Unit) {
-        var answered = false
+        var replied = false
 
-        fun answer(result: StateReply) {
-            if (!answered) {
-                answered = true
+        fun replyOnce(result: StateReply) {
+            if (!replied) {
+                replied = true
                 reply(result)
             }
         }
-        clock.after(TIMEOUT_MS) { answer(StateReply.NoResponse) }
+        clock.after(TIMEOUT_MS) { replyOnce(StateReply.NoResponse) }
         network.send(node, NAME) {
             if (op is StateOp.Commit) {
-                network.copyAfter()?.let { late ->
-                    clock.after(late) { if (clock.time >= outageUntil) execute(op) }
+                network.drawCopyDelayMs()?.let { delayMs ->
+                    clock.after(delayMs) { if (clock.timeMs >= outageUntilMs) execute(op) }
                 }
             }
-            if (clock.time < slowUntil) {
-                clock.after(clock.between(slowMs / 4, slowMs / 2)) {
-                    serve(node, op) { result -> clock.after(clock.between(slowMs / 4, slowMs)) { answer(result) } }
+            if (clock.timeMs < slowUntilMs) {
+                clock.after(clock.between(slowResponseMs / 4, slowResponseMs / 2)) {
+                    serve(
+                        node,
+                        op,
+                    ) { result -> clock.after(clock.between(slowResponseMs / 4, slowResponseMs)) { replyOnce(result) } }
                 }
             } else {
-                serve(node, op, ::answer)
+                serve(node, op, ::replyOnce)
             }
         }
     }
 
-    private fun serve(node: String, op: StateOp, answer: (StateReply) -> Unit) {
-        if (clock.time < outageUntil || clock.time < (refusedUntil[node] ?: 0)) {
-            network.send(NAME, node) { answer(StateReply.Unavailable) }
+    private fun serve(node: String, op: StateOp, respond: (StateReply) -> Unit) {
+        if (clock.timeMs < outageUntilMs || clock.timeMs < (rejectedUntilMs[node] ?: 0)) {
+            network.send(NAME, node) { respond(StateReply.Unavailable) }
             return
         }
-        if (op is StateOp.Commit && clock.time < lateUntil && clock.chance(lateShare)) {
-            clock.after(clock.between(2000, 12_000)) { executeOnceUp(op) }
+        if (op is StateOp.Commit && clock.timeMs < delayUntilMs && clock.chance(delayedFraction)) {
+            clock.after(clock.between(2000, 12_000)) { executeAfterOutage(op) }
             return
         }
         val result = execute(op)
-        network.send(NAME, node) { answer(result) }
+        network.send(NAME, node) { respond(result) }
     }
 
-    private fun executeOnceUp(op: StateOp) {
-        if (clock.time < outageUntil) {
-            clock.after(outageUntil - clock.time + clock.between(1, 50)) { executeOnceUp(op) }
+    private fun executeAfterOutage(op: StateOp) {
+        if (clock.timeMs < outageUntilMs) {
+            clock.after(outageUntilMs - clock.timeMs + clock.between(1, 50)) { executeAfterOutage(op) }
         } else {
             execute(op)
         }
@@ -154,17 +161,21 @@
                         .takeWhile {
                             it.key.startsWith(op.prefix)
                         }.map { KeyValue(it.key, it.value.value, it.value.revision) }
-                        .take(PAGE + 1)
+                        .take(PAGE_SIZE + 1)
                         .toList()
-                StateReply.Page(KeyValuePage(rows.take(PAGE), rows.size > PAGE))
+                StateReply.Page(KeyValuePage(rows.take(PAGE_SIZE), rows.size > PAGE_SIZE))
             }
             is StateOp.Commit -> commit(op)
         }
 
     private fun commit(op: StateOp.Commit): StateReply {
-        beyondLowered(op)?.let { return it }
-        check(op.changes.size <= limits.txnOps) { "${op.changes.size} changes in a transaction" }
-        check(op.conditions.size <= limits.txnOps * 4) { "${op.conditions.size} conditions in a transaction" }
+        checkLoweredLimits(op)?.let { return it }
+        check(
+            op.changes.size <= limits.txnOps,
+        ) { "transaction has ${op.changes.size} changes of at most ${limits.txnOps}" }
+        check(op.conditions.size <= limits.txnOps * 4) {
+            "transaction has ${op.conditions.size} conditions of at most ${limits.txnOps * 4}"
+        }
         for (change in op.changes) onWrite(change.key, change.value?.let(Pack::encode))
         val failed = op.conditions.filter { (keys[it.key]?.revision ?: 0L) != it.revision }.map { it.key }
         if (failed.isNotEmpty() && !ignoresConditions) return StateReply.Conflict(failed)
@@ -176,18 +187,20 @@
                 continue
             }
             val packed = Pack.encode(change.value)
-            check(packed.size <= limits.valueBytes) { "value of ${change.key} has ${packed.size} bytes" }
+            check(packed.size <= limits.valueBytes) {
+                "value of ${change.key} has ${packed.size} of at most ${limits.valueBytes} bytes"
+            }
             bytes += packed.size
-            // Values go through the wire's form, so that what is read is what a process would read.
+            // Encoded and decoded, so that a reader gets the types that a real process gets.
             keys[change.key] = Entry(Pack.decode(packed), revision)
         }
-        check(bytes <= 64 * 1024) { "$bytes bytes in a transaction" }
+        check(bytes <= 64 * 1024) { "transaction has $bytes bytes of values, at most 65536 are allowed" }
         return StateReply.Committed(revision)
     }
 
     companion object {
         const val NAME = "state"
         private const val TIMEOUT_MS = 1500L
-        private const val PAGE = 20
+        private const val PAGE_SIZE = 20
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FaultScenario.kt
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /**
- * A day on which faults coincide on purpose: work under way when they begin at [START_MS], and what must hold at its
- * end.
+ * A simulation in which a test injects faults at chosen times. Jobs already run when the faults begin at [START_MS].
+ * [runToEnd] checks the rules after the last fault.
  */
 class FaultScenario(seed: Long, leaseMs: Long = 16_000, verbose: Boolean = false, controllers: Int = 3) {
     val simulation =
@@ -22,60 +22,61 @@
     val users get() = simulation.users
     val rules get() = simulation.rules
 
-    /** Jobs that run for minutes. */
-    val long = ArrayList<String>()
+    /** The ids of the jobs that [begin] submits as [longJob]s. */
+    val longJobs = ArrayList<String>()
 
-    private val called = ArrayList<String>()
-    private var calls = 0
+    private val cancelledIds = ArrayList<String>()
+    private var cancelCalls = 0
 
-    /** Calls off [count] jobs that run and have long to go, as [Users.cancelNow]. */
-    fun cancelNow(count: Int, hangMs: Long = 0) {
-        calls++
-        called.addAll(users.cancelNow(count, hangMs))
+    /** Cancels up to [count] running jobs, see [Users.cancelRunningJobs]. */
+    fun cancelRunningJobs(count: Int, hangMs: Long = 0) {
+        cancelCalls++
+        cancelledIds.addAll(users.cancelRunningJobs(count, hangMs))
     }
 
     fun cancel(id: String) {
-        calls++
-        called.add(id)
+        cancelCalls++
+        cancelledIds.add(id)
         users.cancel(id)
     }
 
     fun leader(): SimulatedController? = nodes.firstOrNull { it.leads }
 
-    /** Ends [node] and starts it again after [backMs]. */
-    fun crash(node: SimulatedController, backMs: Long) = faults.crash(node, backMs)
+    /** Crashes [node] and restarts it after [restartAfterMs]. */
+    fun crash(node: SimulatedController, restartAfterMs: Long) = faults.crash(node, restartAfterMs)
 
-    /** Ends the leader, if there is one, and starts it again after [backMs]. */
-    fun crashLeader(backMs: Long) {
-        leader()?.let { crash(it, backMs) }
+    /** Crashes the leader, if there is one, and restarts it after [restartAfterMs]. */
+    fun crashLeader(restartAfterMs: Long) {
+        leader()?.let { crash(it, restartAfterMs) }
     }
 
-    /** Cuts [worker] off from every controller; with [holds], messages are delivered when that is over. */
-    fun cutOff(worker: FakeWorker, forMs: Long, holds: Boolean) {
-        for (node in nodes) network.cut(node.label, worker.name, forMs, holds)
+    /** Cuts [worker] off from every controller. With [deliversLater], messages are delivered when the cut ends. */
+    fun cutOff(worker: FakeWorker, forMs: Long, deliversLater: Boolean) {
+        for (node in nodes) network.cut(node.label, worker.name, forMs, deliversLater)
     }
 
-    /** Has [worker] hear no controller, while its own messages arrive. */
-    fun deafen(worker: FakeWorker, forMs: Long) {
+    /** For [forMs], no message of a controller reaches [worker], while its own messages arrive. */
+    fun cutOffResponses(worker: FakeWorker, forMs: Long) {
         for (node in nodes) network.cutOneWay(node.label, worker.name, forMs)
     }
 
+    /** Calls [run] at [ms] after the start of the simulation. */
     fun at(ms: Long, run: () -> Unit) {
-        clock.after(ms - clock.time, run)
+        clock.after(ms - clock.timeMs, run)
     }
 
-    /** Machines that run something now. */
-    fun busy(): List<FakeWorker> = cloud.workers.filter { it.onMachine().isNotEmpty() }
+    /** The machines with running or saving tasks. */
+    fun busy(): List<FakeWorker> = cloud.workers.filter { it.activeTasks().isNotEmpty() }
 
-    /** Short jobs that go on arriving, and [long] ones that run from before the faults. */
-    fun begin(jobs: Int = 24, long: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
+    /** Users submit [jobs] short jobs within [overMs], and [longJobs] long ones before the faults begin. */
+    fun begin(jobs: Int = 24, longJobs: Int = 6, overMs: Long = 90_000, change: (JobSpec) -> JobSpec = { it }) {
         simulation.begin(jobs, overMs, machines = 6)
-        repeat(long) { i ->
+        repeat(longJobs) { i ->
             at(6000L + i * 300) {
-                this.long.add(
+                this.longJobs.add(
                     users.submit {
                         change(
-                            plain(it, if (i % 2 == 0) "red" else "blue"),
+                            longJob(it, if (i % 2 == 0) "red" else "blue"),
                         )
                     },
                 )
@@ -83,8 +84,8 @@
         }
     }
 
-    /** A job of three small tasks that may run anywhere, for one to four minutes. */
-    fun plain(spec: JobSpec, team: String = spec.team): JobSpec =
+    /** [spec] changed to a job of three small tasks that may run anywhere and take one to four minutes. */
+    fun longJob(spec: JobSpec, team: String = spec.team): JobSpec =
         spec.anywhere().copy(
             team = team,
             workload = "long",
@@ -94,28 +95,33 @@
             dueS = null,
         )
 
-    /** Plays the day; its faults are over at [calmMs]. */
-    fun play(calmMs: Long, servesAll: Boolean = true) {
-        at(calmMs) {
-            network.copies = 0.0
-            network.held = 0.0
-            users.cancelAtEnd = 0.0
+    /** Runs for [RUN_ON_MS] after the faults end at [faultsEndMs], and asserts that the rules hold. */
+    fun runToEnd(faultsEndMs: Long, checksStarvation: Boolean = true) {
+        at(faultsEndMs) {
+            network.copyProbability = 0.0
+            network.holdProbability = 0.0
+            users.cancelAtEndProbability = 0.0
         }
-        rules.calmFrom = calmMs
-        clock.runUntil(calmMs + AFTER_MS)
-        holds()
-        if (servesAll) assertEquals(emptyList<String>(), rules.starved())
+        rules.faultFreeFromMs = faultsEndMs
+        clock.runUntil(faultsEndMs + RUN_ON_MS)
+        assertRulesHold()
+        if (checksStarvation) assertEquals(emptyList<String>(), rules.starved())
     }
 
-    fun holds() {
+    /** Asserts that no rule was violated, and that users learned the end of every job that they cancelled. */
+    fun assertRulesHold() {
         assertEquals(emptyList<String>(), rules.violations)
-        assertTrue(rules.starts > 0, "nothing was started")
-        if (calls > 0) assertTrue(called.isNotEmpty(), "nothing was there to be called off")
-        assertEquals(emptyList<String>(), called.filter { !rules.isFinal(it) }, "cancellations without an answer")
+        assertTrue(rules.starts > 0, "no task was started")
+        if (cancelCalls > 0) assertTrue(cancelledIds.isNotEmpty(), "there was no running job to cancel")
+        assertEquals(
+            emptyList<String>(),
+            cancelledIds.filter { !rules.hasEnded(it) },
+            "cancelled jobs whose end no user learned",
+        )
     }
 
     companion object {
         const val START_MS = 30_000L
-        private const val AFTER_MS = 320_000L
+        private const val RUN_ON_MS = 320_000L
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/JobHistory.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/JobHistory.kt
@@ -2,70 +2,80 @@
 
 import org.chalkhollow.model.JobSpec
 
-/** What has become of each job, as its user was told and as the machines ran it; the rules read it. */
+/** What users were told about each job, and which of its tasks ran on machines. The rules read it. */
 class JobHistory(private val simulation: Simulation) {
     private val clock = simulation.clock
 
-    /** When users were told that a job is accepted, and when a poll about it was answered last. */
-    val acceptedAt = HashMap<String, Long>()
-    val answeredAt = HashMap<String, Long>()
+    /** When users first learned that a job is accepted. */
+    val acceptedAtMs = HashMap<String, Long>()
 
-    /** When users asked first to cancel a job, and when they were told that it is cancelled. */
-    val cancelRequestedAt = HashMap<String, Long>()
-    val cancelledAt = HashMap<String, Long>()
+    /** When the last response to a poll about a job arrived. */
+    val lastPollResponseAtMs = HashMap<String, Long>()
 
-    /** The end that users were told, and when first. */
-    val endTold = HashMap<String, String>()
-    val endToldAt = HashMap<String, Long>()
+    /** When users first requested to cancel a job. */
+    val cancelRequestedAtMs = HashMap<String, Long>()
 
-    /** Indices of tasks that have begun at least once, and of those that were completed. */
-    val begun = HashMap<String, HashSet<Int>>()
-    val completed = HashMap<String, HashSet<Int>>()
+    /** When users learned that a job is cancelled. */
+    val cancelledAtMs = HashMap<String, Long>()
 
-    /** When the first task of a job began, and when its last was completed. */
-    val begunAt = HashMap<String, Long>()
-    private val completedAt = HashMap<String, Long>()
+    /** The final state that users were told: [UserRules.DONE] or [UserRules.CANCELLED]. */
+    val reportedEnd = HashMap<String, String>()
 
-    val accepted: Set<String> get() = acceptedAt.keys
+    /** When users were first told a final state. */
+    val endReportedAtMs = HashMap<String, Long>()
+
+    /** Indices of the tasks that ran at least once, by job. */
+    val startedTasks = HashMap<String, HashSet<Int>>()
+
+    /** Indices of the tasks that completed, by job. */
+    val completedTasks = HashMap<String, HashSet<Int>>()
+
+    /** When the first task of a job began to run. */
+    val firstStartAtMs = HashMap<String, Long>()
+
+    /** When the last task of a job completed. */
+    private val completedAtMs = HashMap<String, Long>()
+
+    val accepted: Set<String> get() = acceptedAtMs.keys
 
     fun spec(id: String): JobSpec? = simulation.users.spec(id)
 
-    fun completedCount(id: String): Int = completed[id]?.size ?: 0
+    fun completedCount(id: String): Int = completedTasks[id]?.size ?: 0
 
     fun started(task: FakeTask) {
-        begunAt.putIfAbsent(task.job, clock.time)
-        begun.getOrPut(task.job) { HashSet() }.add(task.index)
+        firstStartAtMs.putIfAbsent(task.job, clock.timeMs)
+        startedTasks.getOrPut(task.job) { HashSet() }.add(task.index)
     }
 
     fun completed(task: FakeTask) {
-        val ended = completed.getOrPut(task.job) { HashSet() }
-        if (ended.add(task.index) && ended.size == spec(task.job)?.tasks) {
-            completedAt[task.job] = clock.time
-            simulation.users.ended(task.job)
+        val done = completedTasks.getOrPut(task.job) { HashSet() }
+        if (done.add(task.index) && done.size == spec(task.job)?.tasks) {
+            completedAtMs[task.job] = clock.timeMs
+            simulation.users.lastTaskCompleted(task.job)
         }
     }
 
-    /** Whether all other tasks of its job are done. */
-    fun isLast(task: FakeTask): Boolean {
-        val ended = completed[task.job] ?: emptySet()
-        return task.index !in ended && ended.size + 1 == spec(task.job)?.tasks
+    /** Whether [task] is not done and all other tasks of its job are. */
+    fun isLastTask(task: FakeTask): Boolean {
+        val done = completedTasks[task.job] ?: emptySet()
+        return task.index !in done && done.size + 1 == spec(task.job)?.tasks
     }
 
-    /** Whether [id] is accepted, and neither over nor called off by its user. */
-    fun isOpen(id: String): Boolean = id in accepted && id !in endTold && id !in cancelRequestedAt
+    /** Whether [id] is accepted, has not ended, and no user requested to cancel it. */
+    fun isOpen(id: String): Boolean = id in accepted && id !in reportedEnd && id !in cancelRequestedAtMs
 
-    /** Accepted jobs whose end nobody was told yet. */
-    fun pending(): List<String> =
-        accepted.filter { it !in endTold }.sorted().map { id ->
+    /** Descriptions of the accepted jobs whose end no user has learned. */
+    fun unfinishedJobs(): List<String> =
+        accepted.filter { it !in reportedEnd }.sorted().map { id ->
             "$id: ${completedCount(id)} of ${spec(id)?.tasks} tasks, ${spec(id)}"
         }
 
-    /** Accepted jobs that were complete by their deadline, counted from their acceptance. */
+    /** How many jobs completed by their deadline, which counts from the time at which users learned the acceptance. */
     val onTimeCount: Int
         get() =
             accepted.count { id ->
                 val dueS = spec(id)?.dueS
-                val end = completedAt[id]
-                dueS != null && end != null && end - acceptedAt.getValue(id) <= dueS * 1000
+                val end = completedAtMs[id]
+                dueS != null && end != null && end - acceptedAtMs.getValue(id) <= dueS * 1000
             }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Network.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Network.kt
@@ -1,52 +1,73 @@
 package org.chalkhollow.simulation
 
-/** How the messages between two ends fare: delays, losses, and cuts that hold messages back. */
+/** Delivers messages between two ends, with random delays and losses, and with cuts of links. */
 class Network(private val clock: VirtualClock) {
     private val cuts = HashMap<Set<String>, Cut>()
 
-    class Cut(val until: Long, val holds: Boolean)
+    /** A cut of a link. With [deliversLater], messages are delivered when it ends; otherwise they are lost. */
+    class Cut(val untilMs: Long, val deliversLater: Boolean)
 
-    /** Chance that a message is lost outright, and that it comes much later than its sender waits. */
-    var loss = 0.002
-    var late = 0.002
+    /** Probability that a message is lost. */
+    var lossProbability = 0.002
 
-    fun cut(a: String, b: String, forMs: Long, holds: Boolean) {
-        cuts[setOf(a, b)] = Cut(clock.time + forMs, holds)
+    /** Probability that a message arrives 2 to 30 s late, mostly after the sender's time-out. */
+    var lateProbability = 0.002
+
+    /** Cuts the link between [a] and [b] in both directions. */
+    fun cut(a: String, b: String, forMs: Long, deliversLater: Boolean) {
+        cuts[setOf(a, b)] = Cut(clock.timeMs + forMs, deliversLater)
     }
 
-    /** Stops what goes from [from] to [to], while the other direction works. */
+    /** Loses all messages from [from] to [to]; the other direction works. */
     fun cutOneWay(from: String, to: String, forMs: Long) {
-        oneWay[from to to] = Cut(clock.time + forMs, holds = false)
+        oneWayCuts[from to to] = Cut(clock.timeMs + forMs, deliversLater = false)
     }
 
-    private val oneWay = HashMap<Pair<String, String>, Cut>()
+    private val oneWayCuts = HashMap<Pair<String, String>, Cut>()
+
+    /** Probability that a message is delivered twice. */
+    var copyProbability = 0.0
 
-    /** How often a message is delivered once more, and how much later at most. */
-    var copies = 0.0
-    var copiesMs = 40_000L
+    /** The longest delay of a message's copy. */
+    var maxCopyDelayMs = 40_000L
 
-    /** How often a direct command, or its answer, is held up for seconds and then goes on its way. */
-    var held = 0.0
+    /** Probability that a direct command, or its reply, is held up for [holdMs] before it is sent on. */
+    var holdProbability = 0.0
 
-    /** How long a direct command or its answer is held up now; mostly not at all. */
-    fun holdUp(): Long = if (held > 0 && clock.chance(held)) clock.between(heldMs.first, heldMs.last) else 0
+    /** Draws how long a direct command or its reply is held up; 0 if it is not. */
+    fun drawHoldMs(): Long =
+        if (holdProbability > 0 &&
+            clock.chance(holdProbability)
+        ) {
+            clock.between(holdMs.first, holdMs.last)
+        } else {
+            0
+        }
 
-    var heldMs = 2000L..9000L
+    /** The shortest and the longest time for which a direct command or its reply is held up. */
+    var holdMs = 2000L..9000L
 
-    /** Whether a message is to be delivered once more, and when. */
-    fun copyAfter(): Long? = if (copies > 0 && clock.chance(copies)) clock.between(1, copiesMs) else null
+    /** Draws the delay after which a message is delivered a second time; null if it is delivered once. */
+    fun drawCopyDelayMs(): Long? =
+        if (copyProbability > 0 &&
+            clock.chance(copyProbability)
+        ) {
+            clock.between(1, maxCopyDelayMs)
+        } else {
+            null
+        }
 
-    /** Delivers [run] at [to], or not. */
+    /** Sends a message from [from] to [to]; [run] is called when it arrives, and never if it is lost. */
     fun send(from: String, to: String, run: () -> Unit) {
         val cut =
-            (cuts[setOf(from, to)] ?: oneWay[from to to])?.takeIf { it.until > clock.time }
-                ?: oneWay[from to to]?.takeIf { it.until > clock.time }
+            (cuts[setOf(from, to)] ?: oneWayCuts[from to to])?.takeIf { it.untilMs > clock.timeMs }
+                ?: oneWayCuts[from to to]?.takeIf { it.untilMs > clock.timeMs }
         if (cut != null) {
-            if (cut.holds) clock.after(cut.until - clock.time + clock.between(1, 50), run)
+            if (cut.deliversLater) clock.after(cut.untilMs - clock.timeMs + clock.between(1, 50), run)
             return
         }
-        if (clock.chance(loss)) return
-        val delay = if (clock.chance(late)) clock.between(2000, 30_000) else clock.between(1, 12)
-        clock.after(delay, run)
+        if (clock.chance(lossProbability)) return
+        val delayMs = if (clock.chance(lateProbability)) clock.between(2000, 30_000) else clock.between(1, 12)
+        clock.after(delayMs, run)
     }
 }
--- a/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Simulation.kt
@@ -12,45 +12,49 @@
 import org.chalkhollow.settings.PlatformSettings
 import org.chalkhollow.settings.StateLimits
 
-/** How much there is in a simulation. */
+/** The size of a simulation. */
 class SimulationSize(
     val controllers: Int = 3,
-    /** How many machines there may be. */
-    val capacity: Int = 14,
-    /** How many times the teams' usual limits hold. */
-    val scale: Int = 1,
+    /** The largest number of machines that the cloud has at a time. */
+    val maxMachines: Int = 14,
+    /** Multiplies the teams' guarantees and limits. */
+    val limitFactor: Int = 1,
 )
 
-/** What is wrong on purpose, so that tests of the checks see the rules broken. */
-class Sabotage(
-    /** The lease that the controllers are told in place of the workers' true one. */
-    val toldLeaseS: Double? = null,
-    /** How much more than the teams' true limits the controllers are told. */
-    val toldLimitFactor: Double = 1.0,
-    /** Late copies of heartbeats pass for new ones. */
+/** Deliberate errors in the configuration or the fakes, so that tests of the rules see violations. */
+class DeliberateErrors(
+    /** The worker lease that the controllers are configured with, if not the true one. */
+    val configuredLeaseS: Double? = null,
+    /** Multiplies the teams' limits that the controllers are configured with. */
+    val configuredLimitFactor: Double = 1.0,
+    /** Whether late copies of heartbeats look like new ones. */
     val copiesLookNew: Boolean = false,
-    /** Options of one controller that differ from the others'. */
-    val oddOptions: OperatorSettings? = null,
-    /** A machine type that only the controllers believe in. */
-    val phantomType: MachineType? = null,
+    /** Operator settings for controller `b` only, if they differ from the others'. */
+    val differingOptions: OperatorSettings? = null,
+    /** A machine type that the cloud lists in its catalog but cannot rent out. */
+    val nonexistentType: MachineType? = null,
 )
 
-/** Controllers, fakes and rules on one virtual clock; [FaultInjection] adds faults. */
+/** Controllers, fakes and rules on one virtual clock. [FaultInjection] injects faults. */
 class Simulation(
     seed: Long,
     val options: OperatorSettings = OperatorSettings(maxIdleS = 20.0),
     val leaseMs: Long = 8000,
-    /** How often workers send heartbeats. */
+    /** The interval between a worker's heartbeats. */
     val heartbeatMs: Long = 2000,
     size: SimulationSize = SimulationSize(),
     private val stateLimits: StateLimits = StateLimits(80.0, 20.0, 8192, 12),
     private val objectives: List<Objective> = emptyList(),
-    val sabotage: Sabotage = Sabotage(),
+    val deliberateErrors: DeliberateErrors = DeliberateErrors(),
 ) {
     val clock = VirtualClock(seed)
     val network = Network(clock)
     val zones = listOf("east", "west")
-    val limits = listOf("red", "blue").map { Team(it, 16.0 * size.scale, 40.0 * size.scale, 0.0, 0.0) }
+
+    /** The teams with their true limits, see [DeliberateErrors.configuredLimitFactor]. */
+    val teams = listOf("red", "blue").map { Team(it, 16.0 * size.limitFactor, 40.0 * size.limitFactor, 0.0, 0.0) }
+
+    /** How long a task may run on after its user was told that the job is cancelled. */
     val cancelMs = 25_000L
     val types =
         listOf(
@@ -58,24 +62,24 @@
             MachineType("large", Resources(16.0, 0.0, 64.0), 1.0, 20.0, 1.2, 0.5, 6.0, zones),
         )
     private val labels = List(size.controllers) { "abcde"[it].toString() }
-    private val toldLeaseS = sabotage.toldLeaseS ?: (leaseMs / 1000.0)
-    val settings = settingsOf("a", toldLeaseS, sabotage.toldLimitFactor)
+    private val controllerLeaseS = deliberateErrors.configuredLeaseS ?: (leaseMs / 1000.0)
+    val settings = settingsOf("a", controllerLeaseS, deliberateErrors.configuredLimitFactor)
     val state = FakeStateService(clock, network, settings.stateLimits)
     val cloud =
         FakeCloud(
             clock,
             network,
             types,
-            types + listOfNotNull(sabotage.phantomType),
-            size.capacity,
+            types + listOfNotNull(deliberateErrors.nonexistentType),
+            size.maxMachines,
         ) { name, type, zone, spot -> FakeWorker(this, name, type, zone, spot, leaseMs) }
     val nodes =
         labels.map {
             SimulatedController(
                 this,
                 it,
-                settingsOf(it, toldLeaseS, sabotage.toldLimitFactor),
-                sabotage.oddOptions?.takeIf { _ -> it == "b" } ?: options,
+                settingsOf(it, controllerLeaseS, deliberateErrors.configuredLimitFactor),
+                deliberateErrors.differingOptions?.takeIf { _ -> it == "b" } ?: options,
             )
         }
     val users = Users(this)
@@ -84,19 +88,19 @@
     /** Whether log lines, faults and commands are printed. */
     var verbose = false
 
-    /** Told of every start of a controller. */
+    /** Called when a controller starts. */
     var onStart: (SimulatedController) -> Unit = {}
 
-    /** Told of every effect of a controller: when, whose, and which. */
+    /** Called for every effect of a controller with the time in ms, the controller's label and the effect. */
     var onEffect: (Long, String, Effect) -> Unit = { _, _, _ -> }
 
-    /** Told of every frame between controllers. */
+    /** Called for every frame that a controller sends to another. */
     var onFrame: (ByteArray) -> Unit = {}
 
-    /** The settings of [label] when the state service is to have the limits [next]. */
-    fun settingsWith(label: String, next: StateLimits): PlatformSettings =
+    /** The settings of [label] when the state service's limits will change to [nextLimits]. */
+    fun settingsWith(label: String, nextLimits: StateLimits): PlatformSettings =
         settingsOf(label, settings.workerLeaseS, 1.0).let {
-            it.copy(stateLimits = stateLimits.coerceAtMost(next), currentStateLimits = stateLimits)
+            it.copy(stateLimits = stateLimits.coerceAtMost(nextLimits), currentStateLimits = stateLimits)
         }
 
     private fun settingsOf(label: String, leaseS: Double, factor: Double) =
@@ -108,7 +112,7 @@
             peers = labels.filter { it != label }.map { Peer(it, Address("127.0.0.1", 3)) },
             state = Address("127.0.0.1", 4),
             cloud = Address("127.0.0.1", 5),
-            teams = limits.map { it.copy(cpusMax = it.cpusMax * factor) },
+            teams = teams.map { it.copy(cpusMax = it.cpusMax * factor) },
             objectives = objectives,
             heartbeatIntervalS = heartbeatMs / 1000.0,
             workerLeaseS = leaseS,
@@ -120,47 +124,51 @@
             skewMs = 25.0,
         )
 
+    /** The controller that has [index] in the list of peers of [label]. */
     fun peerOf(label: String, index: Int): SimulatedController =
         nodes.first { node -> node.label == labels.filter { it != label }[index] }
 
+    /** The index of controller [of] in the list of peers of [label]. */
     fun indexAt(label: String, of: String): Int = labels.filter { it != label }.indexOf(of)
 
-    /** Sends [message] of controller [node] to its worker; [reply] comes once, at the latest after the time-out. */
-    fun direct(node: String, message: Effect.WorkerCommand, reply: (CommandReply) -> Unit) {
-        var answered = false
+    /** Sends [message] of controller [node] to a worker. Calls [reply] once, at the latest after the time-out. */
+    fun sendCommand(node: String, message: Effect.WorkerCommand, reply: (CommandReply) -> Unit) {
+        var replied = false
 
-        fun answer(result: CommandReply) {
-            if (!answered) {
-                answered = true
+        fun replyOnce(result: CommandReply) {
+            if (!replied) {
+                replied = true
                 reply(result)
             }
         }
-        val sentAt = clock.time
-        clock.after(COMMAND_TIMEOUT_MS) { answer(CommandReply.NoResponse) }
+        val sentAtMs = clock.timeMs
+        clock.after(COMMAND_TIMEOUT_MS) { replyOnce(CommandReply.NoResponse) }
         network.send(node, message.address) {
-            afterHoldUp {
-                cloud.worker(message.address)?.direct(message, sentAt) { result ->
-                    network.send(message.address, node) { afterHoldUp { answer(result) } }
+            afterHold {
+                cloud.worker(message.address)?.receiveCommand(message, sentAtMs) { result ->
+                    network.send(message.address, node) { afterHold { replyOnce(result) } }
                 }
             }
         }
     }
 
-    /** Runs [deliver] now, or later if the network holds it up. */
-    private fun afterHoldUp(deliver: () -> Unit) {
-        val held = network.holdUp()
-        if (held > 0) clock.after(held, deliver) else deliver()
+    /** Calls [deliver] now, or later if the network holds the message up. */
+    private fun afterHold(deliver: () -> Unit) {
+        val holdMs = network.drawHoldMs()
+        if (holdMs > 0) clock.after(holdMs, deliver) else deliver()
     }
 
     /**
-     * Starts everything, the controllers after [firstMs]; [jobs] jobs arrive over [overMs]. Machines that the cloud
-     * lists when the controllers begin, 3 s after they were added, are the operator's own, and stay.
+     * Starts the simulation: adds [machines] machines, starts the controllers after [controllerDelayMs], and has users
+     * submit [jobs] random jobs within [overMs] and query a third as many unknown ones. The cloud lists a machine 3 s
+     * after it is added. Machines that are listed when the controllers start become static machines, which are never
+     * deleted.
      */
-    fun begin(jobs: Int, overMs: Long, machines: Int = 4, firstMs: Long = 0) {
+    fun begin(jobs: Int, overMs: Long, machines: Int = 4, controllerDelayMs: Long = 0) {
         repeat(machines) { cloud.add(types[0], zones[it % 2], false, 0) }
-        for (node in nodes) clock.after(firstMs + clock.between(0, 500)) { node.start() }
-        repeat(jobs) { clock.after(clock.between(0, overMs)) { users.arrive() } }
-        repeat(jobs / 3) { clock.after(clock.between(0, overMs)) { users.askUnknown() } }
+        for (node in nodes) clock.after(controllerDelayMs + clock.between(0, 500)) { node.start() }
+        repeat(jobs) { clock.after(clock.between(0, overMs)) { users.submitRandomJob() } }
+        repeat(jobs / 3) { clock.after(clock.between(0, overMs)) { users.queryUnknownJob() } }
         clock.afterEach = rules::check
     }
 
