--- a/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/FakeWorker.kt
@@ -44,7 +44,7 @@
     /** When the cloud reclaims this spot machine; 0 without a termination notice. */
     var terminationAtMs = 0L
 
-    /** Whether the machine has booted and not failed. */
+    /** Whether the machine has booted and neither failed nor been deleted. */
     val present: Boolean get() = up && !dead
 
     fun boot() {
@@ -59,7 +59,7 @@
         tasks.clear()
     }
 
-    /** For [forMs], the machine executes nothing and its tasks make no progress. */
+    /** For [forMs], the machine does nothing. Commands that arrive and tasks that end are handled when it resumes. */
     fun hang(forMs: Long) {
         hangUntilMs = clock.timeMs + forMs
         if (simulation.verbose) println("${clock.timeMs} $name hangs for $forMs ms")
@@ -67,7 +67,7 @@
 
     private var blockedUntilMs = 0L
 
-    /** For [forMs], the worker cannot connect to any controller. It still receives direct commands and replies. */
+    /** For [forMs], the worker cannot connect to any controller. It still executes direct commands. */
     fun blockConnections(forMs: Long) {
         blockedUntilMs = clock.timeMs + forMs
         if (simulation.verbose) println("${clock.timeMs} $name cannot connect to controllers for $forMs ms")
--- a/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Rules.kt
@@ -74,7 +74,7 @@
     }
 
     /** A poll about [id] got a response with its state. */
-    fun pollResponse(id: String) {
+    fun recordPollResponse(id: String) {
         history.lastPollResponseAtMs[id] = clock.timeMs
     }
 
--- a/src/test/kotlin/org/chalkhollow/simulation/Users.kt
+++ b/src/test/kotlin/org/chalkhollow/simulation/Users.kt
@@ -118,7 +118,7 @@
     private fun poll(id: String, again: Boolean = true) {
         val requestedAtMs = clock.timeMs
         call(UserRequest.Query(id), 2000) { response ->
-            if (response?.status == 200) simulation.rules.pollResponse(id)
+            if (response?.status == 200) simulation.rules.recordPollResponse(id)
             val status = handleResponse(id, response, requestedAtMs)
             if (!again) return@call
             if (status != "done" && status != "aborted") {
