--- a/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ArchiveTrainingRun.kt
@@ -21,11 +21,11 @@
  * time, and a start is an outage to users.
  */
 object ArchiveTrainingRun {
-    private const val STEPS = 100
-    private const val MAX_BODY = 64 * 1024
+    private const val STEP_COUNT = 100
+    private const val MAX_BODY_BYTES = 64 * 1024
     private const val BODY_BYTES = 8
     private const val TIMEOUT_MS = 1000L
-    private const val RUN_MS = 800L
+    private const val NODE_RUN_MS = 800L
 
     /** Runs and ends the process. */
     fun run() {
@@ -33,7 +33,7 @@
         val settings = PlatformSettingsParser.parse(settings(ports[0], ports[1]), "warm-up")
         runBlocking {
             val warmUp = WarmUpSimulation(settings)
-            repeat(STEPS) { warmUp.step() }
+            repeat(STEP_COUNT) { warmUp.step() }
             runNode(settings)
         }
         System.err.println("warm-up done")
@@ -49,7 +49,7 @@
         Thread(loop::run).apply { isDaemon = true }.start()
         withContext(loop) {
             ControllerNode(scope, loop, settings, OperatorSettings(), 1, System.nanoTime()).start()
-            val client = HttpClient(loop, settings.clientListen, MAX_BODY, 1, TaskPriority.CONTROL)
+            val client = HttpClient(loop, settings.clientListen, MAX_BODY_BYTES, 1, TaskPriority.CONTROL)
             client.request("GET", "/up", null, TIMEOUT_MS) {}
             client.request("POST", "/work", Pack.encode(WarmUpMessages.job("j-000001", "t")), TIMEOUT_MS) {}
             client.request("GET", "/work/j-1", null, TIMEOUT_MS) {}
@@ -60,7 +60,7 @@
                 TIMEOUT_MS,
             ) {}
             for (message in peerMessages()) Frames.decode(Frames.encode(message))
-            delay(RUN_MS)
+            delay(NODE_RUN_MS)
         }
     }
 
@@ -75,11 +75,11 @@
             PeerMessage.ForwardedResponse(1, HttpStatus.OK, ByteArray(BODY_BYTES), 0),
         )
 
-    private fun settings(users: Int, peers: Int): String =
+    private fun settings(clientPort: Int, peerPort: Int): String =
         """
-        {"label":"a","location":"z","client_listen":"127.0.0.1:$users","mesh_addr":"127.0.0.1:$peers",
-         "seeds":[{"label":"b","location":"z","endpoint":"127.0.0.1:$peers"}],
-         "external":{"cloud":"127.0.0.1:$users","state":"127.0.0.1:$users"},
+        {"label":"a","location":"z","client_listen":"127.0.0.1:$clientPort","mesh_addr":"127.0.0.1:$peerPort",
+         "seeds":[{"label":"b","location":"z","endpoint":"127.0.0.1:$peerPort"}],
+         "external":{"cloud":"127.0.0.1:$clientPort","state":"127.0.0.1:$clientPort"},
          "facts":{"initial_size":2,"zones":["z"],"teams":[{"name":"t","cpus":8,"cpus_max":16,"gpus":0,"gpus_max":0}],
           "objectives":[{"kind":"wait","class":"w","within_s":5,"share":0.9}],
           "workers":{"report_s":2,"lease_s":10,"cancel_s":40},
--- a/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/CloudClient.kt
@@ -17,7 +17,7 @@
             CloudOp.Catalog -> http.request(GET, "/catalog", null, TIMEOUT_MS, onResult)
             is CloudOp.Machines -> {
                 val after = op.after?.let { "since=" + it.encodeURLParameter() + "&" } ?: ""
-                http.request(GET, "/machines?" + after + "page=$PAGE", null, TIMEOUT_MS, onResult)
+                http.request(GET, "/machines?" + after + "page=$PAGE_SIZE", null, TIMEOUT_MS, onResult)
             }
             is CloudOp.Rent -> {
                 val body = Pack.encode(ServiceCodec.rent(op.request, op.type, op.zone, op.spot, op.count))
@@ -34,7 +34,7 @@
         when (result) {
             HttpResult.NotSent -> CloudReply.Unavailable
             HttpResult.NoResponse -> CloudReply.NoResponse
-            is HttpResult.Answered ->
+            is HttpResult.Response ->
                 decoder.decode(ifMalformed = CloudReply.NoResponse) { decode(op, result.status, result.body) }
         }
 
@@ -48,7 +48,7 @@
                     CloudReply.Unavailable
                 }
             HttpStatus.TOO_MANY_REQUESTS -> CloudReply.Unavailable
-            HttpStatus.BAD_REQUEST -> CloudReply.Rejected(decoder.reason(body))
+            HttpStatus.BAD_REQUEST -> CloudReply.Rejected(decoder.errorText(body))
             else -> CloudReply.NoResponse
         }
 
@@ -73,7 +73,7 @@
         const val TIMEOUT_MS = 4000L
 
         /** Machines that a list is asked for at once. */
-        const val PAGE = 500
+        const val PAGE_SIZE = 500
 
         /** The error that a refused rental names when the cloud has no such machine to give. */
         const val NO_CAPACITY = "no capacity"
--- a/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ControllerNode.kt
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * One controller with all that it talks to: makes the parts, ties them together and starts them. Decides nothing.
- * Everything runs on the thread of [loop], and [scope] must run there too. [begunAtNs] is when this process began, by
- * the steady clock in nanoseconds: an earlier incarnation of this controller had ended by then, which may be a while
- * before this is made on a slow machine.
+ * Creates the parts of one controller, connects and starts them. Makes no decisions itself. Everything runs on the
+ * thread of [loop], and [scope] must run there too. [processStartNs] is when this process started, in monotonic time:
+ * earlier incarnations of this controller had ended by then. On a slow machine, this object is created noticeably
+ * later.
  */
 class ControllerNode(
     private val scope: CoroutineScope,
@@ -27,24 +27,30 @@
     private val settings: PlatformSettings,
     operatorSettings: OperatorSettings,
     incarnation: Long,
-    begunAtNs: Long,
+    processStartNs: Long,
 ) {
     private val log = LoggerFactory.getLogger("chalkhollow")
     private val metrics = Metrics()
     private val controller =
-        Controller(settings, operatorSettings, incarnation, SteadyClock.now(), begunAtNs / SteadyClock.NANOS_PER_MS)
+        Controller(
+            settings,
+            operatorSettings,
+            incarnation,
+            SystemClocks.now(),
+            processStartNs / SystemClocks.NANOS_PER_MS,
+        )
 
     /** Bounds how often malformed messages are logged; the metrics count them all. */
     @Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
     private val malformedLogLimiter = RateLimiter.create(MAX_MALFORMED_LOGS_PER_S)
     private val decoder =
         ResponseDecoder { e ->
-            metrics.malformedReply()
+            metrics.countMalformedReply()
             if (malformedLogLimiter.tryAcquire()) log.warn("malformed response, taken for none: {}", e.message)
         }
-    private val spareSockets = minOf(MAX_SPARE_SOCKETS, settings.maxConnections / SPARE_SOCKETS_DIVISOR)
+    private val reservedSockets = minOf(MAX_RESERVED_SOCKETS, settings.maxConnections / RESERVED_SOCKETS_DIVISOR)
     private val workerClients: WorkerHttpClients =
-        WorkerHttpClients(loop, settings.maxConnections - spareSockets) { server.connected }
+        WorkerHttpClients(loop, settings.maxConnections - reservedSockets) { server.connectionCount }
     private val peerConnections =
         PeerConnections(
             scope,
@@ -63,23 +69,24 @@
         HttpServer(
             loop,
             settings.clientListen,
-            maxOf(MIN_CONNECTIONS, settings.maxConnections * CLIENT_PERCENT / PERCENT - spareSockets),
-            { SteadyClock.ms() },
+            maxOf(MIN_CLIENT_CONNECTIONS, settings.maxConnections * CLIENT_SOCKETS_PERCENT / PERCENT - reservedSockets),
+            { SystemClocks.monotonicMs() },
             object : HttpServer.Events {
-                override fun beforeAccept() = workerClients.makeRoom(1)
+                override fun beforeAccept() = workerClients.freeSockets(1)
 
                 override fun newHandler() = RequestRouter(router)
 
-                override fun onShed(priority: TaskPriority) = metrics.shed(priority)
+                override fun onShed(priority: TaskPriority) = metrics.countShed(priority)
             },
         )
 
     private fun outboundClients(): OutboundClients {
         val stateHttp =
-            HttpClient(loop, settings.state, MAX_SERVICE_BODY, MAX_IDLE_TO_STATE_SERVICE, TaskPriority.CONTROL)
-        val cloudHttp = HttpClient(loop, settings.cloud, MAX_SERVICE_BODY, MAX_IDLE_TO_CLOUD, TaskPriority.WORKER)
+            HttpClient(loop, settings.state, MAX_SERVICE_BODY_BYTES, MAX_IDLE_STATE_CONNECTIONS, TaskPriority.CONTROL)
+        val cloudHttp =
+            HttpClient(loop, settings.cloud, MAX_SERVICE_BODY_BYTES, MAX_IDLE_CLOUD_CONNECTIONS, TaskPriority.WORKER)
         return OutboundClients(
-            StateServiceClient(stateHttp, settings.stateLimits.rps * STATE_BUDGET_SHARE, decoder),
+            StateServiceClient(stateHttp, settings.stateLimits.rps * STATE_RPS_FRACTION, decoder),
             CloudClient(cloudHttp, decoder),
             WorkerClient(workerClients, decoder),
         )
@@ -87,22 +94,22 @@
 
     /** Binds the ports and starts; throws [CannotListenException] when a port cannot be bound. */
     suspend fun start() {
-        val peerSocket = bindPeers()
-        bindClients()
+        val peerSocket = bindPeerPort()
+        bindClientPort()
         peerConnections.run(peerSocket)
         log.info("{} listens on {}", settings.label, settings.clientListen)
         executor.step(Input.Tick)
-        scope.launch(TaskPriorityElement(TaskPriority.IDLE)) { warmUpIdle() }
+        scope.launch(TaskPriorityElement(TaskPriority.IDLE)) { warmUpWhileIdle() }
     }
 
-    private suspend fun bindPeers(): ServerSocket =
+    private suspend fun bindPeerPort(): ServerSocket =
         try {
             peerConnections.bind()
         } catch (expected: Exception) {
             throw CannotListenException(settings.peerAddress, expected) // an address may also not resolve
         }
 
-    private fun bindClients() =
+    private fun bindClientPort() =
         try {
             server.start()
         } catch (expected: Exception) {
@@ -110,37 +117,37 @@
         }
 
     /** Goes through a failover in memory while this controller follows a leader and has nothing else to do. */
-    private suspend fun warmUpIdle() {
+    private suspend fun warmUpWhileIdle() {
         val warmUp = WarmUpSimulation(settings)
         var steps = 0
-        delay(WARM_UP_AFTER_MS)
-        while (steps < WARM_UP_STEPS) {
-            delay(WARM_UP_EVERY_MS)
-            if (controller.gauges.leading || !controller.takesRequests(SteadyClock.now())) continue
+        delay(WARM_UP_DELAY_MS)
+        while (steps < WARM_UP_STEP_COUNT) {
+            delay(WARM_UP_STEP_INTERVAL_MS)
+            if (controller.gauges.leading || !controller.takesRequests(SystemClocks.now())) continue
             warmUp.step()
             steps++
         }
     }
 
     private companion object {
-        const val MAX_SERVICE_BODY = 2 * 1024 * 1024
-        const val MAX_IDLE_TO_STATE_SERVICE = 4
-        const val MAX_IDLE_TO_CLOUD = 2
+        const val MAX_SERVICE_BODY_BYTES = 2 * 1024 * 1024
+        const val MAX_IDLE_STATE_CONNECTIONS = 4
+        const val MAX_IDLE_CLOUD_CONNECTIONS = 2
 
         /** Of the requests that the state service takes, those that one controller may spend. */
-        const val STATE_BUDGET_SHARE = 0.5
+        const val STATE_RPS_FRACTION = 0.5
 
         /** Sockets for the services, the other controllers, listening, and connections about to close. */
-        const val MAX_SPARE_SOCKETS = 40
-        const val SPARE_SOCKETS_DIVISOR = 4
+        const val MAX_RESERVED_SOCKETS = 40
+        const val RESERVED_SOCKETS_DIVISOR = 4
 
         /** Of all sockets, those that clients may hold; the rest is for direct commands. */
-        const val CLIENT_PERCENT = 80
+        const val CLIENT_SOCKETS_PERCENT = 80
         const val PERCENT = 100
-        const val MIN_CONNECTIONS = 8
+        const val MIN_CLIENT_CONNECTIONS = 8
         const val MAX_MALFORMED_LOGS_PER_S = 0.2
-        const val WARM_UP_AFTER_MS = 4000L
-        const val WARM_UP_EVERY_MS = 100L
-        const val WARM_UP_STEPS = 350
+        const val WARM_UP_DELAY_MS = 4000L
+        const val WARM_UP_STEP_INTERVAL_MS = 100L
+        const val WARM_UP_STEP_COUNT = 350
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/DroppedFrameLogger.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/DroppedFrameLogger.kt
@@ -14,16 +14,16 @@
     private val loggedKinds = HashSet<String>()
 
     override fun onMalformed(peer: String?, reason: String) {
-        metrics.malformedFrame()
+        metrics.countMalformedFrame()
         if (limiter.tryAcquire()) {
             log.warn("dropped a malformed frame from {}: {}", peer ?: UNKNOWN_PEER, printable(reason))
         }
     }
 
     override fun onUnknownKind(peer: String?, kind: String) {
-        metrics.newerFrame()
+        metrics.countUnknownFrame()
         val name = printable(kind)
-        if (loggedKinds.size < MAX_KINDS && loggedKinds.add(name)) {
+        if (loggedKinds.size < MAX_LOGGED_KINDS && loggedKinds.add(name)) {
             log.warn("skipping messages of the unknown kind \"{}\" from {}", name, peer ?: UNKNOWN_PEER)
         }
     }
@@ -34,7 +34,7 @@
 
     private companion object {
         const val MAX_WARNINGS_PER_S = 0.2
-        const val MAX_KINDS = 16
+        const val MAX_LOGGED_KINDS = 16
         const val MAX_CHARS = 120
         const val UNKNOWN_PEER = "an unknown controller"
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EffectExecutor.kt
@@ -26,12 +26,12 @@
     private var tickTimer: DisposableHandle? = null
 
     /** Whether the effects of a step are being executed, during which no other step may begin. */
-    private var executing = false
+    private var isExecuting = false
 
     /** Steps [controller] with [input]; ends the process when that fails. */
     @Suppress("TooGenericExceptionCaught") // any fault leaves the view of the controller half changed
     fun step(input: Input) {
-        val decidedAt = SteadyClock.now()
+        val decidedAt = SystemClocks.now()
         val effects =
             try {
                 controller.step(decidedAt, input)
@@ -42,51 +42,51 @@
                 Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR)
                 return
             }
-        executing = true
+        isExecuting = true
         for (effect in effects) {
             // A process can be paused between deciding and executing, and another may lead by the time it goes on.
-            if (SteadyClock.ms() - decidedAt.steady < LATE_MS) {
+            if (SystemClocks.monotonicMs() - decidedAt.steady < MAX_EFFECT_DELAY_MS) {
                 execute(effect)
             } else {
-                controller.whenLate(SteadyClock.now(), effect)?.let(::execute)
+                controller.whenLate(SystemClocks.now(), effect)?.let(::execute)
             }
         }
-        executing = false
+        isExecuting = false
     }
 
     private fun execute(effect: Effect) {
         when (effect) {
             is Effect.Response ->
-                pendingRequests.answer(effect.call, HttpReply(effect.status, effect.body, effect.retryAfterS))
+                pendingRequests.respond(effect.call, HttpResponse(effect.status, effect.body, effect.retryAfterS))
             is Effect.State ->
                 clients.state.run(effect.op, timed<StateReply>("state") { Input.State(effect.ticket, it) })
             is Effect.Cloud ->
                 clients.cloud.run(effect.op, timed<CloudReply>("cloud") { Input.Cloud(effect.ticket, it) })
             is Effect.WorkerCommand ->
                 clients.workers.run(effect, timed<CommandReply>("direct") { Input.WorkerReply(effect.ticket, it) })
-            is Effect.Timing -> metrics.took(effect.kind, effect.ms * MICROS_PER_MS)
+            is Effect.Timing -> metrics.recordDuration(effect.kind, effect.ms * MICROS_PER_MS)
             is Effect.Send -> peers.send(effect.peer, effect.message)
             is Effect.Timer -> setTimer(effect)
-            is Effect.LogEvent -> write(effect)
+            is Effect.LogEvent -> writeLog(effect)
         }
     }
 
     private fun setTimer(effect: Effect.Timer) {
         tickTimer?.dispose()
-        tickTimer = loop.after(effect.at - SteadyClock.ms()) { step(Input.Tick) }
+        tickTimer = loop.runAfter(effect.at - SystemClocks.monotonicMs()) { step(Input.Tick) }
     }
 
     /** Takes a reply, steps the controller with its [input], and records how long the reply took from now on. */
     private fun <R> timed(kind: String, input: (R) -> Input): (R) -> Unit {
         val sentAtNs = System.nanoTime()
         return { reply ->
-            metrics.took(kind, SteadyClock.microsSince(sentAtNs))
+            metrics.recordDuration(kind, SystemClocks.microsSince(sentAtNs))
             // A request that is refused before it is sent is answered while the effects of a step are executed.
-            if (executing) loop.submit(TaskPriority.CONTROL) { step(input(reply)) } else step(input(reply))
+            if (isExecuting) loop.submit(TaskPriority.CONTROL) { step(input(reply)) } else step(input(reply))
         }
     }
 
-    private fun write(event: Effect.LogEvent) =
+    private fun writeLog(event: Effect.LogEvent) =
         when (event.level) {
             Effect.Level.ERROR -> log.error(event.text)
             Effect.Level.WARN -> log.warn(event.text)
@@ -96,7 +96,7 @@
 
     private companion object {
         /** An effect that is executed this long after it was decided is checked again. */
-        const val LATE_MS = 100L
+        const val MAX_EFFECT_DELAY_MS = 100L
         const val EXIT_INTERNAL_ERROR = 70
         const val MICROS_PER_MS = 1000L
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/EventLoop.kt
@@ -35,20 +35,20 @@
 
     private class Registration(val listener: ReadyListener) {
         /** Whether its key waits in [readyKeys]. */
-        var queued = false
+        var isQueued = false
     }
 
-    private class Timer(val at: Long, private val order: Long, val run: Runnable) : Comparable<Timer> {
-        var cancelled = false
+    private class Timer(val dueAtNs: Long, private val sequence: Long, val task: Runnable) : Comparable<Timer> {
+        var isCancelled = false
 
         override fun compareTo(other: Timer): Int {
-            val byTime = at.compareTo(other.at)
-            return if (byTime != 0) byTime else order.compareTo(other.order)
+            val byTime = dueAtNs.compareTo(other.dueAtNs)
+            return if (byTime != 0) byTime else sequence.compareTo(other.sequence)
         }
     }
 
     private val selector = Selector.open()
-    private val queues = PriorityTaskQueue()
+    private val taskQueue = PriorityTaskQueue()
 
     /** Channels that are ready and were not served yet, longest waiting first. */
     private val readyKeys = ArrayDeque<SelectionKey>()
@@ -57,16 +57,16 @@
      * Tasks from other threads, which are messages of other controllers. They go before all else, since an election
      * must not wait behind hundreds of workers that look for the leader.
      */
-    private val fromOtherThreads = ConcurrentLinkedQueue<Runnable>()
+    private val tasksFromOtherThreads = ConcurrentLinkedQueue<Runnable>()
     private val timers = PriorityQueue<Timer>()
-    private var timersMade = 0L
+    private var nextTimerSequence = 0L
     private var thread: Thread? = null
 
     /** When the current pass ends, so that the state service is looked at again; in nanoseconds. */
-    private var passEndsAt = 0L
+    private var passDeadlineNs = 0L
 
     /** Scratch space for reads; only this thread's. */
-    val scratch: ByteBuffer = ByteBuffer.allocate(SCRATCH_BYTES)
+    val readBuffer: ByteBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES)
 
     /** Registers [channel]; must be called on the loop's thread. */
     fun register(channel: SelectableChannel, interest: Int, listener: ReadyListener): SelectionKey {
@@ -75,85 +75,90 @@
     }
 
     /** Queues [task] at [priority]; must be called on the loop's thread. */
-    fun submit(priority: TaskPriority, task: Runnable) = queues.add(priority, task)
+    fun submit(priority: TaskPriority, task: Runnable) = taskQueue.add(priority, task)
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
         if (Thread.currentThread() === thread) {
-            queues.add(context[TaskPriorityElement]?.level ?: TaskPriority.CONTROL, block)
+            taskQueue.add(context[TaskPriorityElement]?.priority ?: TaskPriority.CONTROL, block)
         } else {
-            fromOtherThreads.add(block)
+            tasksFromOtherThreads.add(block)
             selector.wakeup()
         }
     }
 
     override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
-        val resume =
-            if (continuation.context[TaskPriorityElement]?.level == TaskPriority.IDLE) {
+        val resumeTask =
+            if (continuation.context[TaskPriorityElement]?.priority == TaskPriority.IDLE) {
                 Runnable { continuation.resume(Unit) } // queued, since something else may be due by then
             } else {
                 Runnable { with(continuation) { resumeUndispatched(Unit) } }
             }
-        val handle = invokeOnTimeout(timeMillis, resume, continuation.context)
+        val handle = invokeOnTimeout(timeMillis, resumeTask, continuation.context)
         continuation.invokeOnCancellation { handle.dispose() }
     }
 
     /** Runs [block] after [delayMs], before all that is queued; must be called on the loop's thread. */
-    fun after(delayMs: Long, block: () -> Unit): DisposableHandle {
-        val timer = timer(delayMs, block)
+    fun runAfter(delayMs: Long, block: () -> Unit): DisposableHandle {
+        val timer = newTimer(delayMs, block)
         timers.add(timer)
-        return DisposableHandle { timer.cancelled = true }
+        return DisposableHandle { timer.isCancelled = true }
     }
 
-    private fun timer(delayMs: Long, run: Runnable) =
-        Timer(System.nanoTime() + delayMs.coerceIn(0, MAX_DELAY_MS) * SteadyClock.NANOS_PER_MS, timersMade++, run)
+    private fun newTimer(delayMs: Long, task: Runnable) =
+        Timer(
+            System.nanoTime() + delayMs.coerceIn(0, MAX_DELAY_MS) * SystemClocks.NANOS_PER_MS,
+            nextTimerSequence++,
+            task,
+        )
 
     override fun invokeOnTimeout(timeMillis: Long, block: Runnable, context: CoroutineContext): DisposableHandle {
-        val timer = timer(timeMillis, block)
+        val timer = newTimer(timeMillis, block)
         if (Thread.currentThread() === thread) {
             timers.add(timer)
         } else {
             dispatch(context) { timers.add(timer) }
         }
-        return DisposableHandle { timer.cancelled = true }
+        return DisposableHandle { timer.isCancelled = true }
     }
 
     /** Runs on the calling thread for as long as the process lives. */
     fun run() {
         thread = Thread.currentThread()
         while (true) {
-            passEndsAt = System.nanoTime() + MAX_PASS_MS * SteadyClock.NANOS_PER_MS
+            passDeadlineNs = System.nanoTime() + MAX_PASS_MS * SystemClocks.NANOS_PER_MS
             runTimers()
-            runQueued()
-            val busy = queues.holdsIdle || isWorkWaiting()
-            val wait = if (busy) 0 else waitMs()
-            if (wait == 0L) selector.selectNow() else selector.select(wait)
-            serveReady()
-            if (!isWorkWaiting() && !timerIsDue()) queues.takeIdle()?.run()
+            runQueuedTasks()
+            val hasWork = taskQueue.hasIdle || hasPendingWork()
+            val selectTimeoutMs = if (hasWork) 0 else msUntilNextTimer()
+            if (selectTimeoutMs == 0L) selector.selectNow() else selector.select(selectTimeoutMs)
+            serveReadyChannels()
+            if (!hasPendingWork() && !isTimerDue()) taskQueue.takeIdle()?.run()
         }
     }
 
-    private fun isWorkWaiting(): Boolean = !queues.isEmpty() || !fromOtherThreads.isEmpty() || readyKeys.isNotEmpty()
+    private fun hasPendingWork(): Boolean =
+        !taskQueue.isEmpty() || !tasksFromOtherThreads.isEmpty() || readyKeys.isNotEmpty()
 
     /**
      * Serves channels that are ready: those that leadership depends on at once, the others in the order in which they
      * became ready and up to a bound, so that hundreds of heartbeats cannot delay a renewal of the leader lease.
      */
-    private fun serveReady() {
+    private fun serveReadyChannels() {
         for (key in selector.selectedKeys()) {
             val registration = key.attachment() as Registration
             if (registration.listener.isControl) {
                 serve(key)
-            } else if (!registration.queued) {
-                registration.queued = true
+            } else if (!registration.isQueued) {
+                registration.isQueued = true
                 readyKeys.addLast(key)
             }
         }
         selector.selectedKeys().clear()
-        repeat(MAX_READY_AT_ONCE) {
+        repeat(MAX_CHANNELS_PER_PASS) {
             val key = readyKeys.removeFirstOrNull() ?: return
-            (key.attachment() as Registration).queued = false
+            (key.attachment() as Registration).isQueued = false
             serve(key)
-            if (passIsLong()) return
+            if (isPassOver()) return
         }
     }
 
@@ -164,9 +169,9 @@
     private fun runTimers() {
         while (true) {
             val next = timers.peek() ?: return
-            if (!next.cancelled && next.at > System.nanoTime()) return
+            if (!next.isCancelled && next.dueAtNs > System.nanoTime()) return
             timers.poll()
-            if (!next.cancelled) next.run.run()
+            if (!next.isCancelled) next.task.run()
         }
     }
 
@@ -174,31 +179,31 @@
      * Runs what is queued, most important first and up to a bound, so that sockets are served too. Timers, on which
      * renewals of the leader lease depend, and other controllers' messages go between any two tasks.
      */
-    private fun runQueued() {
-        repeat(MAX_TASKS_AT_ONCE) {
-            (fromOtherThreads.poll() ?: queues.take() ?: return).run()
-            if (timerIsDue()) runTimers()
-            if (passIsLong()) return
+    private fun runQueuedTasks() {
+        repeat(MAX_TASKS_PER_PASS) {
+            (tasksFromOtherThreads.poll() ?: taskQueue.take() ?: return).run()
+            if (isTimerDue()) runTimers()
+            if (isPassOver()) return
         }
     }
 
-    private fun passIsLong(): Boolean = System.nanoTime() >= passEndsAt
+    private fun isPassOver(): Boolean = System.nanoTime() >= passDeadlineNs
 
-    private fun timerIsDue(): Boolean {
+    private fun isTimerDue(): Boolean {
         val next = timers.peek() ?: return false
-        return next.at <= System.nanoTime()
+        return next.dueAtNs <= System.nanoTime()
     }
 
-    private fun waitMs(): Long {
-        while (timers.peek()?.cancelled == true) timers.poll()
-        val next = timers.peek() ?: return IDLE_MS
-        val roundedUpNs = next.at - System.nanoTime() + SteadyClock.NANOS_PER_MS - 1
-        return (roundedUpNs / SteadyClock.NANOS_PER_MS).coerceIn(0, IDLE_MS)
+    private fun msUntilNextTimer(): Long {
+        while (timers.peek()?.isCancelled == true) timers.poll()
+        val next = timers.peek() ?: return MAX_SELECT_MS
+        val roundedUpNs = next.dueAtNs - System.nanoTime() + SystemClocks.NANOS_PER_MS - 1
+        return (roundedUpNs / SystemClocks.NANOS_PER_MS).coerceIn(0, MAX_SELECT_MS)
     }
 
     private companion object {
-        const val SCRATCH_BYTES = 64 * 1024
-        const val MAX_TASKS_AT_ONCE = 16
+        const val READ_BUFFER_BYTES = 64 * 1024
+        const val MAX_TASKS_PER_PASS = 16
 
         /**
          * Whatever is counted, a pass ends when it has taken this long. A failover is a dozen messages one after the
@@ -208,10 +213,10 @@
         const val MAX_PASS_MS = 25L
 
         /** Channels that are read from in one pass; what they bring is queued by priority. */
-        const val MAX_READY_AT_ONCE = 16
+        const val MAX_CHANNELS_PER_PASS = 16
 
         /** The longest wait without anything to do. */
-        const val IDLE_MS = 10_000L
+        const val MAX_SELECT_MS = 10_000L
         const val MAX_DELAY_MS = 1L shl 40
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpClient.kt
@@ -5,7 +5,7 @@
 
 /** How a request ended. */
 sealed interface HttpResult {
-    class Answered(val status: Int, val body: ByteArray) : HttpResult
+    class Response(val status: Int, val body: ByteArray) : HttpResult
 
     /** It certainly never left this process. */
     data object NotSent : HttpResult
@@ -15,22 +15,22 @@
 }
 
 /**
- * Requests to one address over persistent connections, one request at a time on each, of which up to [maxIdle] are
- * kept. A response has a body of at most [maxBody] bytes. Results are handed over as tasks of [priority]. Clients at
- * [TaskPriority.CONTROL], on which leadership depends, are also read before all others. It costs no coroutine, for the
- * same reason as [HttpServerConnection].
+ * An HTTP client for one address. Connections are persistent and carry one request at a time; up to
+ * [maxIdleConnections] idle ones are kept. A response body has at most [maxBodyBytes] bytes. Results are delivered as
+ * tasks of [priority]. Connections of a [TaskPriority.CONTROL] client, on which leadership depends, are also read
+ * before all others. The client starts no coroutines, for the reason given at [HttpServerConnection].
  */
 class HttpClient(
     private val loop: EventLoop,
     private val address: Address,
-    private val maxBody: Int,
-    private val maxIdle: Int,
+    private val maxBodyBytes: Int,
+    private val maxIdleConnections: Int,
     private val priority: TaskPriority,
 ) {
     private val idle = ArrayDeque<ClientConnection>()
     private val host = address.toString()
-    private var closed = false
-    private val mayKeep: Boolean get() = !closed && idle.size < maxIdle
+    private var isClosed = false
+    private val canKeepIdle: Boolean get() = !isClosed && idle.size < maxIdleConnections
 
     /** Sends a request; [onResult] is called once, on the loop's thread, after [timeoutMs] at the latest. */
     fun request(method: String, path: String, body: ByteArray?, timeoutMs: Long, onResult: (HttpResult) -> Unit) {
@@ -45,7 +45,7 @@
 
     /** Closes the idle connections, and each other as soon as its request has ended. */
     fun close() {
-        closed = true
+        isClosed = true
         while (true) (idle.removeLastOrNull() ?: return).close()
     }
 
@@ -54,7 +54,7 @@
     private fun idleConnection(): ClientConnection? {
         while (true) {
             val connection = idle.removeLastOrNull() ?: return null
-            if (connection.usable) return connection
+            if (connection.isUsable) return connection
             connection.close()
         }
     }
@@ -62,12 +62,12 @@
     private class Exchange(val request: ByteArray, val timeoutMs: Long, val onResult: (HttpResult) -> Unit)
 
     private inner class ClientConnection(private val socket: TcpConnection) : TcpConnection.Receiver {
-        private val messages = MessageAssembler(responseHeads, maxBody)
+        private val messages = MessageAssembler(responseHeads, maxBodyBytes)
         private var current: Exchange? = null
         private var timeout: DisposableHandle? = null
 
         /** False when the peer has closed, or has sent something that no request asked for. */
-        val usable: Boolean get() = !socket.ended && messages.size == 0
+        val isUsable: Boolean get() = !socket.hasEnded && messages.bufferedBytes == 0
 
         init {
             socket.receive(this)
@@ -75,9 +75,9 @@
 
         fun begin(exchange: Exchange) {
             current = exchange
-            timeout = loop.after(exchange.timeoutMs) { end(HttpResult.NoResponse, keep = false) }
+            timeout = loop.runAfter(exchange.timeoutMs) { end(HttpResult.NoResponse, keep = false) }
             socket.send(exchange.request)
-            if (socket.ended) end(HttpResult.NoResponse, keep = false)
+            if (socket.hasEnded) end(HttpResult.NoResponse, keep = false)
         }
 
         override fun onBytes(bytes: ByteArray, size: Int) {
@@ -85,7 +85,10 @@
             if (current == null) return
             try {
                 val message = messages.next() ?: return
-                end(HttpResult.Answered(message.head.status, message.body), keep = !message.head.framing.closes)
+                end(
+                    HttpResult.Response(message.head.status, message.body),
+                    keep = !message.head.framing.closesConnection,
+                )
             } catch (expected: Exception) {
                 // No HTTP, or too much of it. Not only IOException: the parser has exceptions of its own.
                 end(HttpResult.NoResponse, keep = false)
@@ -100,7 +103,7 @@
             timeout?.dispose()
             timeout = null
             if (exchange != null) finish(exchange, result)
-            if (keep && usable && mayKeep) idle.addLast(this) else close()
+            if (keep && isUsable && canKeepIdle) idle.addLast(this) else close()
         }
 
         fun close() = socket.close()
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServer.kt
@@ -38,28 +38,28 @@
         }
 
     /** How many connections are open. */
-    val connected: Int get() = connections.size
-    private val full: Boolean get() = connections.size >= maxConnections
+    val connectionCount: Int get() = connections.size
+    private val isFull: Boolean get() = connections.size >= maxConnections
 
     /** When [closeIdle] last ran. */
-    private var sweptAt = 0L
+    private var sweptAtMs = 0L
 
     /** Binds the port and serves; throws `IOException` when the port is taken. */
     fun start() {
-        TcpConnection.listen(loop, address, BACKLOG, ::accepted)
-        sweepRegularly()
+        TcpConnection.listen(loop, address, BACKLOG, ::onAccepted)
+        scheduleSweep()
     }
 
-    private fun sweepRegularly() {
-        loop.after(SWEEP_INTERVAL_MS) {
+    private fun scheduleSweep() {
+        loop.runAfter(SWEEP_INTERVAL_MS) {
             closeIdle(MAX_IDLE_MS)
-            sweepRegularly()
+            scheduleSweep()
         }
     }
 
-    private fun accepted(socket: TcpConnection) {
-        if (full && clock() - sweptAt > MIN_FULL_SWEEP_INTERVAL_MS) closeIdle(MAX_IDLE_WHEN_FULL_MS)
-        if (full) return socket.close()
+    private fun onAccepted(socket: TcpConnection) {
+        if (isFull && clock() - sweptAtMs > MIN_FULL_SWEEP_INTERVAL_MS) closeIdle(MAX_IDLE_WHEN_FULL_MS)
+        if (isFull) return socket.close()
         events.beforeAccept()
         val connection = HttpServerConnection(socket, loop, heads, events.newHandler(), connectionEvents)
         connections.add(connection)
@@ -68,8 +68,8 @@
 
     private fun closeIdle(maxIdleMs: Long) {
         val now = clock()
-        sweptAt = now
-        val idle = connections.filter { !it.handling && now - it.activeAt > maxIdleMs }
+        sweptAtMs = now
+        val idle = connections.filter { !it.isHandling && now - it.lastActiveMs > maxIdleMs }
         for (connection in idle) connection.close()
     }
 
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpServerConnection.kt
@@ -4,7 +4,7 @@
 
 /** Takes the answer to a request, now or later, and only once. */
 fun interface HttpResponder {
-    fun answer(reply: HttpReply)
+    fun respond(response: HttpResponse)
 }
 
 /** Handles the requests of one connection, one at a time. */
@@ -42,22 +42,22 @@
     }
 
     /** When it last sent something or was answered, by the steady clock in milliseconds. */
-    var activeAt = SteadyClock.ms()
+    var lastActiveMs = SystemClocks.monotonicMs()
         private set
 
     /** Whether a request is queued or waits for its answer. */
-    val handling: Boolean get() = current != null
-    private val messages = MessageAssembler(heads, MAX_BODY)
+    val isHandling: Boolean get() = current != null
+    private val messages = MessageAssembler(heads, MAX_BODY_BYTES)
     private var current: HttpMessage<RequestHead>? = null
-    private var arrivedAt = 0L
+    private var arrivedAtMs = 0L
 
     fun close() = socket.close()
 
     override fun onBytes(bytes: ByteArray, size: Int) {
-        activeAt = SteadyClock.ms()
+        lastActiveMs = SystemClocks.monotonicMs()
         messages.add(bytes, size)
-        if (handling) {
-            if (messages.size > MAX_UNREAD) socket.pauseReading()
+        if (isHandling) {
+            if (messages.bufferedBytes > MAX_BUFFERED_BYTES) socket.pauseReading()
         } else {
             takeRequest()
         }
@@ -72,10 +72,10 @@
         try {
             val request = messages.next() ?: return
             current = request
-            arrivedAt = activeAt
+            arrivedAtMs = lastActiveMs
             loop.submit(handler.priorityOf(request.head), this)
         } catch (expected: BodyTooLargeException) {
-            socket.send(HttpWriter.response(HttpReply(HttpStatus.CONTENT_TOO_LARGE, null), closes = true))
+            socket.send(HttpWriter.response(HttpResponse(HttpStatus.CONTENT_TOO_LARGE, null), closesConnection = true))
             socket.closeAfterSending()
         } catch (expected: Exception) {
             // The peer does not speak HTTP. Not only IOException: the parser has exceptions of its own.
@@ -86,25 +86,25 @@
     /** Handles the current request, unless its client has disconnected or timed out. */
     override fun run() {
         val request = current ?: return
-        val timedOut = SteadyClock.ms() - arrivedAt > handler.clientTimeoutMs(request.head)
-        if (!socket.ended && !timedOut) return handler.handle(request, this)
+        val timedOut = SystemClocks.monotonicMs() - arrivedAtMs > handler.clientTimeoutMs(request.head)
+        if (!socket.hasEnded && !timedOut) return handler.handle(request, this)
         events.onShed(handler.priorityOf(request.head))
         socket.close()
     }
 
-    override fun answer(reply: HttpReply) {
-        val closes = current?.head?.framing?.closes ?: return
+    override fun respond(response: HttpResponse) {
+        val closesConnection = current?.head?.framing?.closesConnection ?: return
         current = null
-        activeAt = SteadyClock.ms()
-        socket.send(HttpWriter.response(reply, closes))
-        if (closes) return socket.closeAfterSending()
-        if (messages.size == 0) return
+        lastActiveMs = SystemClocks.monotonicMs()
+        socket.send(HttpWriter.response(response, closesConnection))
+        if (closesConnection) return socket.closeAfterSending()
+        if (messages.bufferedBytes == 0) return
         socket.resumeReading()
         takeRequest()
     }
 
     private companion object {
-        const val MAX_BODY = 64 * 1024
-        const val MAX_UNREAD = 128 * 1024
+        const val MAX_BODY_BYTES = 64 * 1024
+        const val MAX_BUFFERED_BYTES = 128 * 1024
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/HttpWriter.kt
@@ -3,15 +3,16 @@
 import org.chalkhollow.model.HttpStatus
 
 /** The answer to a request; [retryAfterS] of 0 asks for nothing. */
-class HttpReply(
+class HttpResponse(
     val status: Int,
     val body: ByteArray?,
     val retryAfterS: Int = 0,
-    val type: String = HttpWriter.MESSAGE_PACK,
+    val contentType: String = HttpWriter.MESSAGE_PACK,
 ) {
     /** Whether [other] is encoded to the same bytes, as far as that shows without comparing bodies. */
-    internal fun repeats(other: HttpReply): Boolean =
-        body === other.body && status == other.status && retryAfterS == other.retryAfterS && type == other.type
+    internal fun hasSameContent(other: HttpResponse): Boolean =
+        body === other.body && status == other.status && retryAfterS == other.retryAfterS &&
+            contentType == other.contentType
 }
 
 /**
@@ -19,12 +20,12 @@
  */
 internal object HttpWriter {
     const val MESSAGE_PACK = "application/msgpack"
-    private val NOTHING = ByteArray(0)
-    private var last: Written? = null
+    private val EMPTY = ByteArray(0)
+    private var lastEncoded: EncodedResponse? = null
 
-    private class Written(val reply: HttpReply, val bytes: ByteArray)
+    private class EncodedResponse(val response: HttpResponse, val bytes: ByteArray)
 
-    private val reasons =
+    private val reasonPhrases =
         mapOf(
             HttpStatus.OK to "OK",
             HttpStatus.CREATED to "Created",
@@ -40,32 +41,32 @@
     /** A request with the [body], if there is one, as MessagePack. */
     fun request(method: String, host: String, path: String, body: ByteArray?): ByteArray {
         val head = StringBuilder()
-        head.append("$method $path HTTP/1.1$END")
-        head.append("Host: $host$END")
-        if (body != null) head.append("Content-Type: $MESSAGE_PACK${END}Content-Length: ${body.size}$END")
-        return message(head, body ?: NOTHING)
+        head.append("$method $path HTTP/1.1$CRLF")
+        head.append("Host: $host$CRLF")
+        if (body != null) head.append("Content-Type: $MESSAGE_PACK${CRLF}Content-Length: ${body.size}$CRLF")
+        return join(head, body ?: EMPTY)
     }
 
-    /** [reply] encoded; the array may be returned again and must not be changed. */
-    fun response(reply: HttpReply, closes: Boolean): ByteArray {
-        if (closes) return write(reply, closes = true)
-        last?.let { if (reply.repeats(it.reply)) return it.bytes }
-        return write(reply, closes = false).also { last = Written(reply, it) }
+    /** [response] encoded; the array may be returned again and must not be changed. */
+    fun response(response: HttpResponse, closesConnection: Boolean): ByteArray {
+        if (closesConnection) return encode(response, closesConnection = true)
+        lastEncoded?.let { if (response.hasSameContent(it.response)) return it.bytes }
+        return encode(response, closesConnection = false).also { lastEncoded = EncodedResponse(response, it) }
     }
 
-    private fun write(reply: HttpReply, closes: Boolean): ByteArray {
-        val body = reply.body ?: NOTHING
+    private fun encode(response: HttpResponse, closesConnection: Boolean): ByteArray {
+        val body = response.body ?: EMPTY
         val head = StringBuilder()
-        head.append("HTTP/1.1 ${reply.status} ${reasons[reply.status] ?: "Status"}$END")
-        if (body.isNotEmpty()) head.append("Content-Type: ${reply.type}$END")
-        head.append("Content-Length: ${body.size}$END")
-        if (reply.retryAfterS > 0) head.append("Retry-After: ${reply.retryAfterS}$END")
-        if (closes) head.append("Connection: close$END")
-        return message(head, body)
+        head.append("HTTP/1.1 ${response.status} ${reasonPhrases[response.status] ?: "Status"}$CRLF")
+        if (body.isNotEmpty()) head.append("Content-Type: ${response.contentType}$CRLF")
+        head.append("Content-Length: ${body.size}$CRLF")
+        if (response.retryAfterS > 0) head.append("Retry-After: ${response.retryAfterS}$CRLF")
+        if (closesConnection) head.append("Connection: close$CRLF")
+        return join(head, body)
     }
 
-    private fun message(head: StringBuilder, body: ByteArray): ByteArray =
-        head.append(END).toString().encodeToByteArray() + body
+    private fun join(head: StringBuilder, body: ByteArray): ByteArray =
+        head.append(CRLF).toString().encodeToByteArray() + body
 
-    private const val END = "\r\n"
+    private const val CRLF = "\r\n"
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/MessageHeads.kt
@@ -14,22 +14,22 @@
 /** Where the body of a message ends, and whether the connection ends with the message. */
 class Framing(
     /** Whether the connection is to be closed after the exchange. */
-    val closes: Boolean,
-    val chunked: Boolean,
-    /** The length of the body in bytes; null when the header is invalid, or when the body is [chunked]. */
-    val length: Long?,
+    val closesConnection: Boolean,
+    val isChunked: Boolean,
+    /** The length of the body in bytes; null when the header is invalid, or when the body is [isChunked]. */
+    val bodyLength: Long?,
 ) {
     internal companion object {
         fun of(headers: HttpHeadersMap): Framing {
-            val chunked = headers["Transfer-Encoding"]?.toString()?.contains("chunked", ignoreCase = true) == true
+            val isChunked = headers["Transfer-Encoding"]?.toString()?.contains("chunked", ignoreCase = true) == true
             return Framing(
-                closes = headers["Connection"]?.toString()?.contains("close", ignoreCase = true) == true,
-                chunked = chunked,
-                length = if (chunked) null else length(headers),
+                closesConnection = headers["Connection"]?.toString()?.contains("close", ignoreCase = true) == true,
+                isChunked = isChunked,
+                bodyLength = if (isChunked) null else bodyLength(headers),
             )
         }
 
-        private fun length(headers: HttpHeadersMap): Long? {
+        private fun bodyLength(headers: HttpHeadersMap): Long? {
             val text = headers["Content-Length"] ?: return 0L
             return text
                 .toString()
@@ -45,9 +45,9 @@
     /** How many bytes it has, with the empty line that ends it. */
     val size: Int get() = bytes.size
 
-    /** Whether the first [count] of [received] begin with this head. */
-    fun begins(received: ByteArray, count: Int): Boolean =
-        count >= bytes.size && Arrays.equals(received, 0, bytes.size, bytes, 0, bytes.size)
+    /** Whether the first [count] of [buffer] begin with this head. */
+    fun isPrefixOf(buffer: ByteArray, count: Int): Boolean =
+        count >= bytes.size && Arrays.equals(buffer, 0, bytes.size, bytes, 0, bytes.size)
 }
 
 /** The head of a request. */
@@ -62,21 +62,21 @@
  * read lately are kept and not read again: parsing was the largest part of what a heartbeat costs.
  */
 class HeadReader<H : MessageHead> private constructor(private val parse: suspend (ByteArray) -> H) {
-    private val known = HashMap<ByteBuffer, H>()
+    private val cached = HashMap<ByteBuffer, H>()
 
     /** The head in the first [size] of [bytes], with the empty line that ends it; throws when it is malformed. */
     fun read(bytes: ByteArray, size: Int): H {
-        known[ByteBuffer.wrap(bytes, 0, size)]?.let { return it }
+        cached[ByteBuffer.wrap(bytes, 0, size)]?.let { return it }
         val copy = bytes.copyOf(size)
-        val head = runAtOnce { parse(copy) }
-        if (known.size >= MAX_KNOWN) known.clear()
-        known[ByteBuffer.wrap(copy)] = head
+        val head = runWithoutSuspending { parse(copy) }
+        if (cached.size >= MAX_CACHED_HEADS) cached.clear()
+        cached[ByteBuffer.wrap(copy)] = head
         return head
     }
 
     companion object {
         /** A body's length is part of the head, so there are a few for each number of tasks on a machine. */
-        private const val MAX_KNOWN = 1024
+        private const val MAX_CACHED_HEADS = 1024
 
         fun ofRequests(): HeadReader<RequestHead> = HeadReader(::parseRequestHead)
 
@@ -95,7 +95,7 @@
         }
 
         /** Runs [block], which must not have to wait for anything. */
-        internal fun <T> runAtOnce(block: suspend () -> T): T {
+        internal fun <T> runWithoutSuspending(block: suspend () -> T): T {
             var result: Result<T>? = null
             block.startCoroutine(Continuation(EmptyCoroutineContext) { result = it })
             return checkNotNull(result) { "suspended" }.getOrThrow()
--- a/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/Metrics.kt
@@ -11,47 +11,47 @@
  * since that costs processor time which a start does not have. The names of metrics are an interface to operators.
  */
 class Metrics {
-    private val answers = Int2LongOpenHashMap()
+    private val responses = Int2LongOpenHashMap()
     private var malformedHeartbeats = 0L
     private var malformedFrames = 0L
-    private var newerFrames = 0L
+    private var unknownFrames = 0L
     private var malformedReplies = 0L
     private val shed = LongArray(TaskPriority.entries.size)
     private val histograms = LinkedHashMap<String, Histogram>()
     private val registry by lazy { newRegistry() }
 
     /** A request was answered with [status]. */
-    fun answered(status: Int) {
-        answers.addTo(status, 1)
+    fun countResponse(status: Int) {
+        responses.addTo(status, 1)
     }
 
     /** A heartbeat that could not be read. */
-    fun malformedHeartbeat() {
+    fun countMalformedHeartbeat() {
         malformedHeartbeats++
     }
 
     /** A request was dropped before it was handled, since its client had disconnected or timed out. */
-    fun shed(priority: TaskPriority) {
+    fun countShed(priority: TaskPriority) {
         shed[priority.ordinal]++
     }
 
     /** A frame from another controller that could not be read. */
-    fun malformedFrame() {
+    fun countMalformedFrame() {
         malformedFrames++
     }
 
     /** A frame from another controller of a kind that this version does not know. */
-    fun newerFrame() {
-        newerFrames++
+    fun countUnknownFrame() {
+        unknownFrames++
     }
 
     /** A reply of the state service, the cloud or a worker that could not be read. */
-    fun malformedReply() {
+    fun countMalformedReply() {
         malformedReplies++
     }
 
     /** How long something of this [kind] took, in microseconds. */
-    fun took(kind: String, micros: Long) =
+    fun recordDuration(kind: String, micros: Long) =
         histograms.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
 
     /** All metrics, one a line. */
@@ -89,9 +89,9 @@
     }
 
     private fun StringBuilder.appendRegistry() {
-        for (status in answers.keys.toIntArray()) {
+        for (status in responses.keys.toIntArray()) {
             FunctionCounter
-                .builder("chalkhollow.answers", answers) { it.get(status).toDouble() }
+                .builder("chalkhollow.answers", responses) { it.get(status).toDouble() }
                 .tag("status", status.toString())
                 .register(registry)
         }
@@ -106,7 +106,7 @@
         val registry = SimpleMeterRegistry()
         counter("chalkhollow.reports.malformed") { it.malformedHeartbeats }.register(registry)
         counter("chalkhollow.frames.malformed") { it.malformedFrames }.register(registry)
-        counter("chalkhollow.frames.newer") { it.newerFrames }.register(registry)
+        counter("chalkhollow.frames.newer") { it.unknownFrames }.register(registry)
         counter("chalkhollow.replies.malformed") { it.malformedReplies }.register(registry)
         return registry
     }
--- a/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/OperatorEndpoints.kt
@@ -9,29 +9,29 @@
 /** What operators and their monitoring read: whether a controller is up, metrics, and status as JSON. */
 internal class OperatorEndpoints(private val controller: Controller, private val metrics: Metrics) {
     /** `/up`: whether this controller takes requests. */
-    fun up(): HttpReply =
-        HttpReply(if (controller.takesRequests(SteadyClock.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE, null)
+    fun up(): HttpResponse =
+        HttpResponse(if (controller.takesRequests(SystemClocks.now())) HttpStatus.OK else HttpStatus.UNAVAILABLE, null)
 
     /** `/metrics` in the text format of Prometheus. */
-    fun metrics(): HttpReply {
+    fun metrics(): HttpResponse {
         val text = metrics.text(controller.gauges)
-        return HttpReply(HttpStatus.OK, text.encodeToByteArray(), type = "text/plain; version=0.0.4")
+        return HttpResponse(HttpStatus.OK, text.encodeToByteArray(), contentType = "text/plain; version=0.0.4")
     }
 
     /** What is under `/ops/`, in JSON; see `status` on the command line. */
-    fun operations(path: String): HttpReply {
-        val text =
+    fun operations(path: String): HttpResponse {
+        val json =
             when {
-                path == "status" -> JSON.encodeToString(StatusView.serializer(), controller.status(SteadyClock.now()))
-                path.startsWith(JOBS_PREFIX) -> job(path.substring(JOBS_PREFIX.length))
+                path == "status" -> JSON.encodeToString(StatusView.serializer(), controller.status(SystemClocks.now()))
+                path.startsWith(JOBS_PREFIX) -> jobJson(path.substring(JOBS_PREFIX.length))
                 else -> null
             }
-        val status = if (text == null) HttpStatus.NOT_FOUND else HttpStatus.OK
-        return HttpReply(status, text?.encodeToByteArray(), type = "application/json")
+        val status = if (json == null) HttpStatus.NOT_FOUND else HttpStatus.OK
+        return HttpResponse(status, json?.encodeToByteArray(), contentType = "application/json")
     }
 
-    private fun job(id: String): String? =
-        controller.jobStatus(SteadyClock.now(), id)?.let { JSON.encodeToString(JobView.serializer(), it) }
+    private fun jobJson(id: String): String? =
+        controller.jobStatus(SystemClocks.now(), id)?.let { JSON.encodeToString(JobView.serializer(), it) }
 
     private companion object {
         const val JOBS_PREFIX = "jobs/"
--- a/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/PriorityTaskQueue.kt
@@ -19,22 +19,22 @@
 }
 
 /** The priority of a coroutine's tasks. */
-class TaskPriorityElement(val level: TaskPriority) : AbstractCoroutineContextElement(Key) {
+class TaskPriorityElement(val priority: TaskPriority) : AbstractCoroutineContextElement(Key) {
     companion object Key : CoroutineContext.Key<TaskPriorityElement>
 }
 
 /**
- * The tasks that are queued on an [EventLoop]. Control goes before all else. Workers and users share what is
- * left: users are few and wait for their answers, so they need not queue behind hundreds of heartbeats, but
- * get at most one task in [WORKERS_PER_USER] + 1 while workers wait, so that a flood of requests costs no worker its
- * lease.
+ * The tasks that are queued on an [EventLoop]. Control tasks run first. Worker and user tasks share the remaining time:
+ * there are few users and they wait for their responses, so they do not queue behind hundreds of heartbeats. But while
+ * worker tasks are queued, at most one of [WORKER_TASKS_PER_USER_TASK] + 1 tasks is a user task, so that a flood of
+ * user requests does not make workers lose their leases.
  */
 class PriorityTaskQueue {
     private val control = ArrayDeque<Runnable>()
     private val workers = ArrayDeque<Runnable>()
     private val users = ArrayDeque<Runnable>()
     private val idle = ArrayDeque<Runnable>()
-    private var workersSinceUser = WORKERS_PER_USER
+    private var workerTasksSinceUserTask = WORKER_TASKS_PER_USER_TASK
 
     fun add(priority: TaskPriority, task: Runnable) {
         when (priority) {
@@ -46,7 +46,7 @@
     }
 
     /** Whether work waits that is done only when there is nothing else to do. */
-    val holdsIdle: Boolean get() = idle.isNotEmpty()
+    val hasIdle: Boolean get() = idle.isNotEmpty()
 
     /** Whether nothing but idle work waits. */
     fun isEmpty(): Boolean = control.isEmpty() && workers.isEmpty() && users.isEmpty()
@@ -57,14 +57,14 @@
     fun takeIdle(): Runnable? = idle.removeFirstOrNull()
 
     private fun takeUser(): Runnable? {
-        if (workersSinceUser < WORKERS_PER_USER) return null
-        return users.removeFirstOrNull()?.also { workersSinceUser = 0 }
+        if (workerTasksSinceUserTask < WORKER_TASKS_PER_USER_TASK) return null
+        return users.removeFirstOrNull()?.also { workerTasksSinceUserTask = 0 }
     }
 
-    private fun takeWorker(): Runnable? = workers.removeFirstOrNull()?.also { workersSinceUser++ }
+    private fun takeWorker(): Runnable? = workers.removeFirstOrNull()?.also { workerTasksSinceUserTask++ }
 
     companion object {
         /** Heartbeats that go between two users' requests while both wait. */
-        const val WORKERS_PER_USER = 2
+        const val WORKER_TASKS_PER_USER_TASK = 2
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/ResponseDecoder.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/ResponseDecoder.kt
@@ -10,22 +10,22 @@
         try {
             decode()
         } catch (e: MalformedMessageException) {
-            malformed(e)
+            reportMalformed(e)
             ifMalformed
         }
 
     /** Passes [e] on; public only because [decode] is inlined. */
-    fun malformed(e: MalformedMessageException) = onMalformed(e)
+    fun reportMalformed(e: MalformedMessageException) = onMalformed(e)
 
     /** The text of an error response, for people. */
-    fun reason(body: ByteArray): String =
+    fun errorText(body: ByteArray): String =
         try {
-            Pack.decode(body).toString().take(MAX_REASON)
+            Pack.decode(body).toString().take(MAX_ERROR_TEXT_CHARS)
         } catch (expected: MalformedMessageException) {
             "no reason given" // the status has said what matters
         }
 
     private companion object {
-        const val MAX_REASON = 200
+        const val MAX_ERROR_TEXT_CHARS = 200
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/StateServiceClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/StateServiceClient.kt
@@ -9,16 +9,16 @@
 import org.chalkhollow.wire.ServiceCodec
 
 /**
- * The state service, over [http], at no more than [requestsPerS]; a request that the budget refuses is answered as not
- * executed.
+ * Calls the state service over [http], at most [requestsPerS] times a second. A call above this limit is not sent and
+ * gets [StateReply.Unavailable], which means that it was not executed.
  */
 class StateServiceClient(private val http: HttpClient, requestsPerS: Double, private val decoder: ResponseDecoder) {
     @Suppress("UnstableApiUsage") // Guava's rate limiter is marked as beta
-    private val budget = RateLimiter.create(requestsPerS)
+    private val rateLimiter = RateLimiter.create(requestsPerS)
 
     /** Sends [op]; [onReply] is called once, possibly before this returns. */
     fun run(op: StateOp, onReply: (StateReply) -> Unit) {
-        if (!budget.tryAcquire()) return onReply(StateReply.Unavailable)
+        if (!rateLimiter.tryAcquire()) return onReply(StateReply.Unavailable)
         val onResult = { result: HttpResult -> onReply(reply(op, result)) }
         when (op) {
             is StateOp.Read -> http.request(GET, "/keys/" + op.key, null, TIMEOUT_MS, onResult)
@@ -32,14 +32,14 @@
 
     private fun listPath(op: StateOp.List): String {
         val after = op.after?.let { "&since=" + it.encodeURLParameter() } ?: ""
-        return "/keys?under=" + op.prefix.encodeURLParameter() + after + "&page=$PAGE"
+        return "/keys?under=" + op.prefix.encodeURLParameter() + after + "&page=$PAGE_SIZE"
     }
 
     private fun reply(op: StateOp, result: HttpResult): StateReply =
         when (result) {
             HttpResult.NotSent -> StateReply.Unavailable
             HttpResult.NoResponse -> StateReply.NoResponse
-            is HttpResult.Answered ->
+            is HttpResult.Response ->
                 decoder.decode(ifMalformed = StateReply.NoResponse) { decode(op, result.status, result.body) }
         }
 
@@ -47,7 +47,7 @@
         when (status) {
             HttpStatus.OK -> decodeSuccess(op, body)
             HttpStatus.TOO_MANY_REQUESTS, HttpStatus.UNAVAILABLE -> StateReply.Unavailable
-            HttpStatus.BAD_REQUEST -> StateReply.Rejected(decoder.reason(body))
+            HttpStatus.BAD_REQUEST -> StateReply.Rejected(decoder.errorText(body))
             HttpStatus.NOT_FOUND -> if (op is StateOp.Read) StateReply.Missing else StateReply.NoResponse
             HttpStatus.CONFLICT ->
                 if (op is StateOp.Commit) {
@@ -71,6 +71,6 @@
         const val TIMEOUT_MS = 1500L
 
         /** Keys that a list is asked for at once. */
-        const val PAGE = 500
+        const val PAGE_SIZE = 500
     }
 }
--- a/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/TcpConnection.kt
@@ -29,15 +29,15 @@
 
     private var receiver: Receiver? = null
 
-    /** Called once when the attempt to connect has ended; [ended] says whether it failed. */
+    /** Called once when the attempt to connect has ended; [hasEnded] says whether it failed. */
     private var onConnectEnd: (() -> Unit)? = null
     private var unsent: ByteBuffer? = null
-    private var closesAfterSending = false
-    private var closed = false
+    private var isClosingAfterSending = false
+    private var isClosed = false
     private val key: SelectionKey = loop.register(channel, 0, this)
 
     /** Whether the peer has closed its side, or the connection is closed. */
-    var ended = false
+    var hasEnded = false
         private set
 
     /** Begins to hand what arrives to [receiver]. */
@@ -47,15 +47,15 @@
     }
 
     /** Reads no more until [resumeReading], so that the peer has to wait. */
-    fun pauseReading() = want(SelectionKey.OP_READ, false)
+    fun pauseReading() = setInterest(SelectionKey.OP_READ, false)
 
     fun resumeReading() {
-        if (!ended) want(SelectionKey.OP_READ, true)
+        if (!hasEnded) setInterest(SelectionKey.OP_READ, true)
     }
 
     /** Sends all of [bytes], now or as soon as there is room. The array must not change afterwards. */
     fun send(bytes: ByteArray) {
-        if (closed) return
+        if (isClosed) return
         if (unsent != null) return close() // the peer does not keep up
         val buffer = ByteBuffer.wrap(bytes)
         try {
@@ -65,20 +65,20 @@
         }
         if (buffer.hasRemaining()) {
             unsent = buffer
-            want(SelectionKey.OP_WRITE, true)
+            setInterest(SelectionKey.OP_WRITE, true)
         }
     }
 
     /** Closes the connection once what was sent has left. */
     fun closeAfterSending() {
-        if (unsent == null) close() else closesAfterSending = true
+        if (unsent == null) close() else isClosingAfterSending = true
     }
 
     /** Closes the connection at once; what was not sent yet is lost. */
     fun close() {
         // Not by whether the channel is open: one that cannot connect has closed itself, and its callback is still due.
-        if (closed) return
-        closed = true
+        if (isClosed) return
+        isClosed = true
         key.cancel()
         channel.close()
         end()
@@ -86,12 +86,12 @@
     }
 
     private fun end() {
-        if (ended) return
-        ended = true
+        if (hasEnded) return
+        hasEnded = true
         receiver?.onEnd()
     }
 
-    private fun want(operation: Int, on: Boolean) {
+    private fun setInterest(operation: Int, on: Boolean) {
         if (!key.isValid) return
         val operations = if (on) key.interestOps() or operation else key.interestOps() and operation.inv()
         if (operations != key.interestOps()) key.interestOps(operations)
@@ -109,7 +109,7 @@
 
     private fun onConnected() {
         channel.finishConnect()
-        want(SelectionKey.OP_CONNECT, false)
+        setInterest(SelectionKey.OP_CONNECT, false)
         endConnect()
     }
 
@@ -120,28 +120,28 @@
     }
 
     private fun read() {
-        val scratch = loop.scratch
-        scratch.clear()
-        val size = channel.read(scratch)
+        val readBuffer = loop.readBuffer
+        readBuffer.clear()
+        val size = channel.read(readBuffer)
         if (size < 0) {
             pauseReading()
             end()
         } else {
-            receiver?.onBytes(scratch.array(), size)
+            receiver?.onBytes(readBuffer.array(), size)
         }
     }
 
     private fun flush() {
-        val rest = unsent ?: return want(SelectionKey.OP_WRITE, false)
+        val rest = unsent ?: return setInterest(SelectionKey.OP_WRITE, false)
         channel.write(rest)
         if (rest.hasRemaining()) return
         unsent = null
-        want(SelectionKey.OP_WRITE, false)
-        if (closesAfterSending) close()
+        setInterest(SelectionKey.OP_WRITE, false)
+        if (isClosingAfterSending) close()
     }
 
     companion object {
-        private const val MAX_ACCEPTED_AT_ONCE = 4
+        private const val MAX_ACCEPTED_PER_PASS = 4
 
         /** Connects to [address]; [onResult] gets the connection, or null when there is none after [timeoutMs]. */
         fun connect(
@@ -154,24 +154,24 @@
             val channel = SocketChannel.open()
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             val socket = TcpConnection(loop, channel, isControl)
-            val timeout = loop.after(timeoutMs) { socket.close() }
+            val timeout = loop.runAfter(timeoutMs) { socket.close() }
             socket.onConnectEnd = {
                 timeout.dispose()
-                onResult(socket.takeUnless { it.ended })
+                onResult(socket.takeUnless { it.hasEnded })
             }
             try {
                 if (channel.connect(InetSocketAddress(address.host, address.port))) {
                     socket.endConnect()
                 } else {
-                    socket.want(SelectionKey.OP_CONNECT, true)
+                    socket.setInterest(SelectionKey.OP_CONNECT, true)
                 }
             } catch (expected: IOException) {
                 socket.close()
             }
         }
 
-        /** Listens on [address] and hands every connection to [accepted]; throws `IOException` when it cannot. */
-        fun listen(loop: EventLoop, address: Address, backlog: Int, accepted: (TcpConnection) -> Unit) {
+        /** Listens on [address] and hands every connection to [onAccepted]; throws `IOException` when it cannot. */
+        fun listen(loop: EventLoop, address: Address, backlog: Int, onAccepted: (TcpConnection) -> Unit) {
             val server = ServerSocketChannel.open()
             try {
                 server.setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -180,7 +180,7 @@
                 server.close()
                 throw e
             }
-            loop.register(server, SelectionKey.OP_ACCEPT, Acceptor(loop, server, accepted))
+            loop.register(server, SelectionKey.OP_ACCEPT, Acceptor(loop, server, onAccepted))
         }
 
         /** The next connection; null when none waits, or when out of sockets, and the rest stays in the backlog. */
@@ -195,13 +195,13 @@
         private class Acceptor(
             private val loop: EventLoop,
             private val server: ServerSocketChannel,
-            private val accepted: (TcpConnection) -> Unit,
+            private val onAccepted: (TcpConnection) -> Unit,
         ) : EventLoop.ReadyListener {
             override fun onReady(key: SelectionKey) {
-                repeat(MAX_ACCEPTED_AT_ONCE) {
+                repeat(MAX_ACCEPTED_PER_PASS) {
                     val channel = acceptFrom(server) ?: return
                     channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-                    accepted(TcpConnection(loop, channel))
+                    onAccepted(TcpConnection(loop, channel))
                 }
             }
         }
--- a/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WarmUpSimulation.kt
@@ -31,60 +31,60 @@
  */
 internal class WarmUpSimulation(settings: PlatformSettings) {
     private val settings = settings.copy(peers = emptyList())
-    private val heads = HeadReader.ofRequests()
-    private val heartbeats = HashMap<Int, HeartbeatReader>()
-    private val inbox = ArrayDeque<Input>()
+    private val headReader = HeadReader.ofRequests()
+    private val heartbeatReaders = HashMap<Int, HeartbeatReader>()
+    private val inputs = ArrayDeque<Input>()
     private var controller = Controller(this.settings, OperatorSettings(), 1, Now(0, 0))
     private var revision = 1L
-    private var time = 0L
-    private var steps = 0
+    private var nowMs = 0L
+    private var nextStep = 0
 
     /** One step: a tick, a few heartbeats and, now and then, a user's request. */
     fun step() {
-        time += STEP_MS
-        val round = steps++
+        nowMs += STEP_MS
+        val step = nextStep++
         val team = settings.teams.firstOrNull()?.name ?: return
-        userRequest(round, team)?.let { inbox.add(Input.User(USER, it)) }
-        inbox.add(Input.Tick)
-        repeat(HEARTBEATS_PER_STEP) { i -> heartbeat((round * HEARTBEATS_PER_STEP + i) % MACHINES, round) }
-        while (true) carryOut(controller.step(Now(time, time), inbox.removeFirstOrNull() ?: break))
+        userRequest(step, team)?.let { inputs.add(Input.User(USER_CALL, it)) }
+        inputs.add(Input.Tick)
+        repeat(HEARTBEATS_PER_STEP) { i -> heartbeat((step * HEARTBEATS_PER_STEP + i) % MACHINE_COUNT, step) }
+        while (true) execute(controller.step(Now(nowMs, nowMs), inputs.removeFirstOrNull() ?: break))
     }
 
-    private fun userRequest(round: Int, team: String): UserRequest? =
-        when (round % JOB_EVERY) {
-            JOB_AT -> {
-                val raw = Pack.encode(WarmUpMessages.job(name(round), team))
+    private fun userRequest(step: Int, team: String): UserRequest? =
+        when (step % STEPS_PER_JOB) {
+            SUBMISSION_STEP -> {
+                val raw = Pack.encode(WarmUpMessages.job(jobName(step), team))
                 UserRequest.Submit(UserCodec.job(raw), raw)
             }
-            JOB_AT + QUERY_AFTER -> UserRequest.Query(name(round - QUERY_AFTER))
-            JOB_AT + CANCEL_AFTER -> UserRequest.Cancel(name(round - CANCEL_AFTER))
+            SUBMISSION_STEP + QUERY_DELAY_STEPS -> UserRequest.Query(jobName(step - QUERY_DELAY_STEPS))
+            SUBMISSION_STEP + CANCEL_DELAY_STEPS -> UserRequest.Cancel(jobName(step - CANCEL_DELAY_STEPS))
             else -> null
         }
 
-    private fun heartbeat(machine: Int, round: Int) {
-        val tasks = List(2) { WarmUpMessages.task("j-900000/$it", round / HEARTBEATS_PER_ATTEMPT) }
-        val sent = Pack.encode(WarmUpMessages.heartbeat(machine, round + 1, tasks))
-        val request = HttpWriter.request("POST", "warm-up", "/agent/beat", sent)
-        val messages = MessageAssembler(heads, sent.size)
+    private fun heartbeat(machine: Int, step: Int) {
+        val tasks = List(2) { WarmUpMessages.task("j-900000/$it", step / HEARTBEATS_PER_ATTEMPT) }
+        val encoded = Pack.encode(WarmUpMessages.heartbeat(machine, step + 1, tasks))
+        val request = HttpWriter.request("POST", "warm-up", "/agent/beat", encoded)
+        val messages = MessageAssembler(headReader, encoded.size)
         messages.add(request, request.size)
         val body = messages.next()?.body ?: return
-        val reader = heartbeats.getOrPut(machine) { HeartbeatReader() }
-        inbox.add(Input.Heartbeat(WORKER, reader.read(body)))
+        val reader = heartbeatReaders.getOrPut(machine) { HeartbeatReader() }
+        inputs.add(Input.Heartbeat(WORKER_CALL, reader.read(body)))
     }
 
-    private fun carryOut(effects: List<Effect>) {
+    private fun execute(effects: List<Effect>) {
         for (effect in effects) {
             when (effect) {
-                is Effect.State -> inbox.add(Input.State(effect.ticket, stateReply(effect.op)))
-                is Effect.Cloud -> inbox.add(Input.Cloud(effect.ticket, cloudReply(effect.op)))
+                is Effect.State -> inputs.add(Input.State(effect.ticket, stateReply(effect.op)))
+                is Effect.Cloud -> inputs.add(Input.Cloud(effect.ticket, cloudReply(effect.op)))
                 is Effect.WorkerCommand -> {
                     Pack.encode(WorkerCodec.direct(effect.fencingToken, effect.epoch, effect.commands))
-                    inbox.add(Input.WorkerReply(effect.ticket, CommandReply.NotSent))
+                    inputs.add(Input.WorkerReply(effect.ticket, CommandReply.NotSent))
                 }
                 is Effect.Response ->
                     HttpWriter.response(
-                        HttpReply(effect.status, effect.body, effect.retryAfterS),
-                        closes = false,
+                        HttpResponse(effect.status, effect.body, effect.retryAfterS),
+                        closesConnection = false,
                     )
                 else -> Unit
             }
@@ -109,20 +109,20 @@
             is CloudOp.Delete -> CloudReply.Deleted
         }
 
-    private fun name(round: Int) = "j-" + round.toString().padStart(ID_DIGITS, '0')
+    private fun jobName(step: Int) = "j-" + step.toString().padStart(ID_DIGITS, '0')
 
     private companion object {
         const val STEP_MS = 100
 
         // Call numbers of requests.
-        const val USER = 1
-        const val WORKER = 2
+        const val USER_CALL = 1
+        const val WORKER_CALL = 2
         const val HEARTBEATS_PER_STEP = 3
-        const val MACHINES = 12
-        const val JOB_EVERY = 50
-        const val JOB_AT = 10
-        const val QUERY_AFTER = 30
-        const val CANCEL_AFTER = 35
+        const val MACHINE_COUNT = 12
+        const val STEPS_PER_JOB = 50
+        const val SUBMISSION_STEP = 10
+        const val QUERY_DELAY_STEPS = 30
+        const val CANCEL_DELAY_STEPS = 35
         const val ID_DIGITS = 6
 
         /** After so many heartbeats of a machine its tasks are of the next attempt. */
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerClient.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerClient.kt
@@ -19,10 +19,10 @@
         when (result) {
             HttpResult.NotSent -> CommandReply.NotSent
             HttpResult.NoResponse -> CommandReply.NoResponse
-            is HttpResult.Answered -> decoder.decode(ifMalformed = CommandReply.NoResponse) { decode(result) }
+            is HttpResult.Response -> decoder.decode(ifMalformed = CommandReply.NoResponse) { decode(result) }
         }
 
-    private fun decode(result: HttpResult.Answered): CommandReply =
+    private fun decode(result: HttpResult.Response): CommandReply =
         when (result.status) {
             HttpStatus.OK -> CommandReply.Executed(WorkerCodec.heartbeat(result.body))
             HttpStatus.CONFLICT -> CommandReply.Refused(WorkerCodec.heartbeat(result.body))
--- a/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
+++ b/src/main/kotlin/org/chalkhollow/runtime/WorkerHttpClients.kt
@@ -5,10 +5,14 @@
 /**
  * One [HttpClient] with one kept connection for each worker that direct commands go to. At the largest sizes there are
  * fewer sockets than two a worker, so these are the ones to close: whenever the process holds more than [maxSockets],
- * the least recently used are closed. [otherSockets] counts the sockets held for everything else, which cannot be
+ * the least recently used are closed. [otherSocketCount] counts the sockets held for everything else, which cannot be
  * closed.
  */
-class WorkerHttpClients(private val loop: EventLoop, private val maxSockets: Int, private val otherSockets: () -> Int) {
+class WorkerHttpClients(
+    private val loop: EventLoop,
+    private val maxSockets: Int,
+    private val otherSocketCount: () -> Int,
+) {
     /** By address, least recently used first. */
     private val clients = LinkedHashMap<String, HttpClient>(INITIAL_CAPACITY, LOAD_FACTOR, true)
 
@@ -16,24 +20,24 @@
     fun clientOf(address: String): HttpClient? {
         clients[address]?.let { return it }
         val port = address.substringAfterLast(':', "").toIntOrNull() ?: return null
-        makeRoom(1)
-        return HttpClient(loop, Address(address.substringBeforeLast(':'), port), MAX_BODY, 1, TaskPriority.WORKER)
+        freeSockets(1)
+        return HttpClient(loop, Address(address.substringBeforeLast(':'), port), MAX_BODY_BYTES, 1, TaskPriority.WORKER)
             .also { clients[address] = it }
     }
 
     /** Closes the least recently used until there is room for [sockets] more. */
-    fun makeRoom(sockets: Int) {
-        val excess = clients.size + otherSockets() + sockets - maxSockets
-        val oldest = clients.values.iterator()
+    fun freeSockets(count: Int) {
+        val excess = clients.size + otherSocketCount() + count - maxSockets
+        val leastRecentlyUsed = clients.values.iterator()
         repeat(excess) {
-            if (!oldest.hasNext()) return
-            oldest.next().close()
-            oldest.remove()
+            if (!leastRecentlyUsed.hasNext()) return
+            leastRecentlyUsed.next().close()
+            leastRecentlyUsed.remove()
         }
     }
 
     private companion object {
-        const val MAX_BODY = 256 * 1024
+        const val MAX_BODY_BYTES = 256 * 1024
 
         // The defaults of LinkedHashMap, which has no constructor for access order without them.
         const val INITIAL_CAPACITY = 16
